--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -6,6 +6,7 @@
 
 import trio
 
+from fordstair.core.live_request import LiveRequest
 from fordstair.scheduling.later import Places
 from fordstair.scheduling.preemption import Preemption, Runs
 from fordstair.scheduling.queues import Item
@@ -14,7 +15,6 @@
 if TYPE_CHECKING:
     from fordstair.budgets.caps import Caps
     from fordstair.core.coordinator import Coordinator
-from fordstair.core.live_request import LiveRequest
 
 PREEMPT_MS = 200.0  # between two looks at who runs beyond a budget
 TICK_MS = 20.0  # between two looks while something waits: room also comes without an end, as pressure falls
--- a/fordstair/core/start_times.py
+++ b/fordstair/core/start_times.py
@@ -14,7 +14,7 @@
 
 
 class StartTimes:
-    """AdmissionQueue each start into a moment of the monotonic clock once, and keeps to it.
+    """Turns each start into a moment of the monotonic clock once, and keeps to it.
 
     The wall clock is looked at when the program starts, and never again: a step while the program runs
     makes no cold engine look warm, and none cold for an hour. A clock that was ahead before the program
--- a/fordstair/feed/observe.py
+++ b/fordstair/feed/observe.py
@@ -195,4 +195,3 @@
             return "failing"
         return "silent" if unheard_ms > SILENT_MS else "doubted"  # it answers, yet looks too idle to be sound
     return "warming" if warmth < 1.0 else "ready"
-
--- a/fordstair/feed/pacing.py
+++ b/fordstair/feed/pacing.py
@@ -26,7 +26,7 @@
 
     def due(self, now: float, changed: bool) -> float:
         """Return how long to wait for the next picture; 0 where it is due."""
-        if self.made_ms > now:
+        if self.made_ms > now:  # the clock that is handed in has gone back
             self.made_ms = now - self.every_ms
         gap = max(self.every_ms, min(self.beat_ms, self.cost_ms / FAST_PART))
         return max(0.0, self.made_ms + (gap if changed else self.beat_ms) - now)
--- a/fordstair/lab/engine.py
+++ b/fordstair/lab/engine.py
@@ -71,13 +71,12 @@
 
     def come_back_cold(self) -> None:
         """A new process under the same id and address: what ran is lost, connections are reset."""
-        self.silent = False
         for run in list(self.runs.values()):
             self._end(run, "lost")
         self.ended.clear()
         self.machine.restart(self.clock())
         self.reset_connections()
-        self._spoken.set()
+        self.speak_again()
 
     def reset_connections(self) -> None:
         """Reset all connections, whatever is under way on them; what runs goes on."""
--- a/fordstair/lab/soak/coordinators.py
+++ b/fordstair/lab/soak/coordinators.py
@@ -128,15 +128,6 @@
                 if (told := f"{self.name}: {said}") not in self._record.log_faults:
                     self._record.log_faults.append(told)
 
-    def counters(self) -> dict[str, int]:
-        """Return what its lives have counted, as far as they told it at their ends."""
-        counts: dict[str, int] = {}
-        for line in self._text().splitlines():
-            if " counters " in line:
-                for name, count in re.findall(r"([\w.-]+)=(\d+)", line):
-                    counts[name] = counts.get(name, 0) + int(count)
-        return counts
-
     async def _gone(self) -> None:
         while self._process is not None and self._process.poll() is None:
             await trio.sleep(LOOK_S)
--- a/fordstair/lab/soak/run.py
+++ b/fordstair/lab/soak/run.py
@@ -9,11 +9,11 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import trio
 
-from fordstair.lab.soak.clients import TEAM, Clients
+from fordstair.lab.platform_settings import SETTINGS
+from fordstair.lab.soak.clients import Clients
 from fordstair.lab.soak.coordinators import CoordinatorProcess
 from fordstair.lab.soak.discovery import DRAINING, READY, DiscoveryStandIn
 from fordstair.lab.soak.engines import WatchedEngine
@@ -25,24 +25,6 @@
 BEAT_S = 0.05
 FIRST_PORT = 20_000  # below those that the system hands out by itself
 
-SETTINGS: dict[str, Any] = {
-    "areas": ["hall-a"], "hostTypes": ["std"], "index": 0, "family": "queries",
-    "categories": [
-        {"name": "lookup", "effect": "read_like", "promiseMs": 1200.0, "aimStretch": 1.5, "giveUpMs": 6000.0,
-         "worth": 1.0, "lateWorth": 0.5, "group": "all", "memorySpanMs": 5000.0},
-        {"name": "settlement", "effect": "read_like", "promiseMs": 2000.0, "aimStretch": 2.5,
-         "giveUpMs": 25000.0, "worth": 7.5, "lateWorth": 0.3, "group": "all", "memorySpanMs": 5000.0},
-        {"name": "meter-load", "effect": "non_idempotent", "promiseMs": 3000.0, "aimStretch": 3.0,
-         "giveUpMs": 20000.0, "worth": 4.0, "lateWorth": 0.6, "group": "all", "memorySpanMs": 5000.0}],
-    "projects": [{"name": TEAM, "quotaPerS": 1000.0}],
-    "extra": {"cpuOfKind": [8], "kindMemoryMb": [24576.0], "largestShare": 0.4, "priorities": True,
-              "loads": [False, False, True], "parallelism": [1, 4, 2], "tellsEveryMs": 500.0},
-    "limits": {"mayCancel": True, "sendCap": 4, "retryAfter": True, "maxRetryAfterMs": 1000.0,
-               "connectTimeoutMs": 250.0, "connIdleMs": 30000.0, "probes": False},
-    "obligations": {"coldFrom": 0.32, "coldMs": 15000.0, "fallMultiple": 2.5, "fallMs": 1000.0},
-    "report": {"fields": ["util", "inflight"], "source": "piggyback"}, "discovery": "push"}
-
-
 @dataclass(frozen=True, slots=True)
 class Plan:
     """How large a soak is."""
@@ -63,7 +45,6 @@
     faults: list[Fault]
     record: SoakRecord
     violations: list[Violation]
-    counters: Counter[str]
 
     @property
     def answers(self) -> Counter[str]:
@@ -122,11 +103,9 @@
                 with trio.CancelScope(shield=True):
                     await self._end_all()
             nursery.cancel_scope.cancel()
-        counters = Counter[str]()
         for each in self.coordinators.values():
             each.read_log()
-            counters.update(each.counters())
-        return Report(self.plan, faults, self.record, Oracle(self.record).violations(), counters)
+        return Report(self.plan, faults, self.record, Oracle(self.record).violations())
 
     async def _start_coordinators(self, names: list[str]) -> None:
         settings = SETTINGS | {"instances": len(names)}
--- a/fordstair/net/clients/listener.py
+++ b/fordstair/net/clients/listener.py
@@ -6,7 +6,6 @@
 
 import trio
 
-from fordstair.core.clock import monotonic_now
 from fordstair.core.counters import Counters
 from fordstair.core.deadlines import Deadlines
 from fordstair.core.events import Events
@@ -61,7 +60,7 @@
     def _note_failure(self, error: OSError) -> None:
         self._counters.add("accept.failures")
         if self._failing_since_ms is None:
-            self._failing_since_ms = monotonic_now()
+            self._failing_since_ms = self._deadlines.clock()
             log.warning("accept.fails", why=error)
 
     def _waited_ms(self) -> float:
@@ -69,7 +68,7 @@
         waited_ms = self._poll_watch.waited_ms()
         if self._failing_since_ms is None:
             return waited_ms
-        waited_ms = max(waited_ms, monotonic_now() - self._failing_since_ms)
+        waited_ms = max(waited_ms, self._deadlines.clock() - self._failing_since_ms)
         if not self._sock.is_readable():  # the last of those that came meanwhile
             self._failing_since_ms = None
         return waited_ms
--- a/fordstair/net/clients/odata_model.py
+++ b/fordstair/net/clients/odata_model.py
@@ -84,7 +84,7 @@
 
 
 class _Where(AstToSqlVisitor):
-    """AdmissionQueue a filter into SQL; it knows the set's own columns and nothing else."""
+    """Turns a filter into SQL; it knows the set's own columns and nothing else."""
 
     def __init__(self, entity_set: EntitySet) -> None:
         super().__init__()
--- a/fordstair/net/engines/call.py
+++ b/fordstair/net/engines/call.py
@@ -142,8 +142,7 @@
         try:
             if self.ended or not self.posted_ms or not self.path:
                 return self.heard or not self.posted_ms or self._prompt
-            until_ms = self.deadlines.clock() + DROP_MS
-            with trio.CancelScope(shield=True), self.deadlines.limit(until_ms) as limit:
+            with trio.CancelScope(shield=True), self.deadlines.limit_for(DROP_MS) as limit:
                 await self.deadlines.sleep(self.posted_ms + OVERTAKE_MS - self.deadlines.clock())
                 await self.side_call("DELETE", self.path)
                 if connection is not None:  # with its query gone the engine has nothing to wait for either
