--- /dev/null
+++ b/tests/decisions/recording.py
@@ -0,0 +1,274 @@
+"""A seeded driver of the decision module, and the digest of what the module answers."""
+
+from __future__ import annotations
+
+import hashlib
+import heapq
+import math
+import struct
+from random import Random
+
+from cairnhoist.interface import (
+    Action,
+    AttemptEnded,
+    AttemptNote,
+    Cancel,
+    ClientGone,
+    EngineEntry,
+    EngineState,
+    Event,
+    Fail,
+    LimitSet,
+    ListKind,
+    MembersChanged,
+    NoteKind,
+    Probe,
+    ProbeEnded,
+    Refuse,
+    RequestArrived,
+    Send,
+    SetTerms,
+    SetTimer,
+    Settings,
+    Status,
+    StreamStarted,
+    TimerFired,
+    Watch,
+    Withdrawn,
+)
+from cairnhoist.logic import Gateway
+from cairnhoist.wire import parse_settings
+from tests.decisions.recorded_sites import SETTINGS_DOCUMENTS
+
+EVENTS = 24_000
+EVENTS_PER_DIGEST = 1_000
+ENGINE_COUNT = 10
+CALM_ARRIVALS_PER_S = 55.0
+BUSY_ARRIVALS_PER_S = 320.0
+PHASE_MS = 4_000.0
+LIST_CHANGE_MS = 900.0
+BAD_ENGINE_SHARE = 0.2
+
+# An outcome's statuses with their weights: at a sound engine, and at a faulty one.
+SOUND_STATUSES = ((Status.OK, 94.0), (Status.ERROR, 1.0), (Status.FULL, 1.5), (Status.TIMEOUT, 0.5),
+                  (Status.CONNECT_FAILED, 1.0), (Status.RESET, 1.0), (Status.CANCELLED, 0.5),
+                  (Status.MOOT, 0.5))
+FAULTY_STATUSES = ((Status.OK, 40.0), (Status.ERROR, 20.0), (Status.FULL, 10.0), (Status.TIMEOUT, 8.0),
+                   (Status.CONNECT_FAILED, 10.0), (Status.RESET, 10.0), (Status.CANCELLED, 1.0),
+                   (Status.MOOT, 1.0))
+
+
+def encode(action: Action) -> bytes:
+    """Return an action's type and every number in it; reasons are texts and left out."""
+    match action:
+        case Send(request, engine, limit_ms, begin_by):
+            return struct.pack(">BIdd", 1, request, limit_ms, begin_by) + engine.encode()
+        case Refuse(request, retry_after_ms):
+            return struct.pack(">BId", 2, request, retry_after_ms)
+        case Fail(request):
+            return struct.pack(">BI", 3, request)
+        case Cancel(request, attempt):
+            return struct.pack(">BII", 4, request, attempt)
+        case SetTimer(token, delay_ms):
+            return struct.pack(">BQd", 5, token, delay_ms)
+        case Probe(engine):
+            return struct.pack(">B", 6) + engine.encode()
+        case Watch(on):
+            return struct.pack(">BB", 11, on)
+        case SetTerms(request, memory_mb, priority):
+            return struct.pack(">BIdB", 13, request, memory_mb, priority)
+    raise AssertionError(f"the decision module answered {action!r}, which no recorded run has")
+
+
+class RecordedRun:
+    """Plays clients, engines and discovery to one gateway, all drawn from one seed."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self.settings = settings
+        self.random = Random(seed)
+        self.gateway = Gateway(settings, seed)
+        self.now = 1_000.0
+        self.event_count = 0
+        self.digests: list[str] = []
+        self._digest = hashlib.sha256()
+        self._due: list[tuple[float, int, Event | str]] = []
+        self._due_count = 0
+        self._last_request = 0
+        self._attempt_counts: dict[int, int] = {}
+        self._outstanding: dict[tuple[int, int], tuple[str, float]] = {}
+        self._engines: dict[str, EngineEntry] = {}
+        self._engine_count = 0
+
+    def play(self, events: int) -> list[str]:
+        """Feed that many events; return the digest after each thousand."""
+        for _ in range(ENGINE_COUNT):
+            self._add_engine(started_ms=0.0)
+        self._feed(MembersChanged(ListKind.CACHED, tuple(self._engines.values())[:4]))
+        self._feed(MembersChanged(ListKind.FULL, tuple(self._engines.values())))
+        self._schedule(0.0, "arrive")
+        self._schedule(LIST_CHANGE_MS, "change list")
+        while self.event_count < events:
+            at, _, event = heapq.heappop(self._due)
+            self.now = max(self.now, at)
+            if event == "arrive":
+                self._arrive()
+            elif event == "change list":
+                self._change_list()
+            elif not isinstance(event, str):
+                self._deliver(event)
+        return self.digests
+
+    def _schedule(self, delay_ms: float, event: Event | str) -> None:
+        self._due_count += 1
+        heapq.heappush(self._due, (self.now + delay_ms, self._due_count, event))
+
+    def _feed(self, event: Event) -> None:
+        actions = self.gateway.handle(self.now, event)
+        self.event_count += 1
+        for action in actions:
+            self._digest.update(encode(action))
+            self._carry_out(action)
+        self._digest.update(b"|")
+        if self.event_count % EVENTS_PER_DIGEST == 0:
+            self.digests.append(self._digest.hexdigest()[:16])
+
+    def _deliver(self, event: Event) -> None:
+        if isinstance(event, AttemptEnded):
+            if self._outstanding.pop((event.request, event.attempt), None) is None:
+                return  # it was cancelled meanwhile
+        elif isinstance(event, AttemptNote) and (event.request, event.attempt) not in self._outstanding:
+            return
+        self._feed(event)
+
+    def _arrive(self) -> None:
+        busy = int(self.now / PHASE_MS) % 2 == 1
+        rate = BUSY_ARRIVALS_PER_S if busy else CALM_ARRIVALS_PER_S
+        self._schedule(self.random.expovariate(rate) * 1000.0, "arrive")
+        self._last_request += 1
+        request = self._last_request
+        classes = self.settings.classes
+        index = self.random.choices(range(len(classes)), [8.0, 3.0, 2.0, 1.0][:len(classes)])[0]
+        cost_ms = self.random.lognormvariate(5.5 + index, 0.8) if self.random.random() < 0.7 else 0.0
+        memory_mb = self.random.uniform(10.0, 2_000.0) if self.random.random() < 0.5 else 0.0
+        odd = self.random.random()
+        if odd < 0.005:
+            cost_ms = math.nan
+        elif odd < 0.01:
+            memory_mb = -1.0
+        budget_ms = classes[index].give_up_ms * self.random.choice((0.1, 0.5, 1.0))
+        self._feed(RequestArrived(
+            request, index, budget_ms, self.random.randrange(max(1, len(self.settings.tenants))),
+            cost_ms, memory_mb, float(self.random.randrange(12)), self.random.randrange(1, 7)))
+        fate = self.random.random()
+        if fate < 0.03:
+            self._schedule(self.random.uniform(1.0, 2_000.0), ClientGone(request))
+        elif fate < 0.04:
+            self._schedule(self.random.uniform(1.0, 2_000.0), Withdrawn(request))
+
+    def _carry_out(self, action: Action) -> None:
+        match action:
+            case Send(request, engine):
+                self._send(request, engine)
+            case Cancel(request, attempt):
+                if (request, attempt) in self._outstanding and self.random.random() < 0.9:
+                    engine, sent_at = self._outstanding[request, attempt]
+                    delay_ms = self.random.uniform(0.5, 20.0)
+                    self._schedule(delay_ms, self._ended(request, attempt, engine, Status.CANCELLED,
+                                                         self.now - sent_at + delay_ms))
+            case SetTimer(token, delay_ms):
+                self._schedule(delay_ms, TimerFired(token))
+            case Probe(engine):
+                status = Status.OK if self.random.random() < 0.9 else Status.TIMEOUT
+                delay_ms = self.random.uniform(0.5, 40.0)
+                self._schedule(delay_ms, ProbeEnded(engine, status, delay_ms, self._report()))
+            case _:
+                pass
+
+    def _send(self, request: int, engine: str) -> None:
+        attempt = self._attempt_counts.get(request, 0)
+        self._attempt_counts[request] = attempt + 1
+        self._outstanding[request, attempt] = (engine, self.now)
+        faulty = int(engine.rpartition(":")[2]) % 5 == int(self.now / PHASE_MS) % 5
+        statuses = FAULTY_STATUSES if faulty else SOUND_STATUSES
+        status = self.random.choices([s for s, _ in statuses], [w for _, w in statuses])[0]
+        latency_ms = self.random.lognormvariate(5.0, 1.0) * (4.0 if faulty else 1.0)
+        if status in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT):
+            latency_ms = self.random.uniform(0.5, 250.0)
+        elif status is Status.OK and self.random.random() < 0.02:
+            latency_ms *= 40.0  # an engine that hangs, or a bad plan
+        self._schedule(latency_ms, self._ended(request, attempt, engine, status, latency_ms))
+        if self.random.random() < 0.15:
+            kind = self.random.choice(tuple(NoteKind))
+            value = self.random.choice((0.01, 0.3, 0.9, math.nan))
+            note_ms = latency_ms * self.random.uniform(0.1, 0.9)
+            self._schedule(note_ms, AttemptNote(request, attempt, engine, kind, value))
+        elif self.random.random() < 0.02:
+            self._schedule(latency_ms * 0.5, StreamStarted(request, attempt, engine, latency_ms * 0.5))
+
+    def _ended(self, request: int, attempt: int, engine: str, status: Status,
+               latency_ms: float) -> AttemptEnded:
+        served = status is Status.OK
+        return AttemptEnded(
+            request, attempt, engine, status, latency_ms,
+            complete=served or self.random.random() < 0.02,
+            work_ms=latency_ms * self.random.uniform(0.3, 1.0) if self.random.random() < 0.6 else 0.0,
+            memory_mb=self.random.uniform(10.0, 1_500.0) if self.random.random() < 0.4 else 0.0,
+            report=self._report(),
+            loose=not served and self.random.random() < 0.05,
+            late=status is Status.CONNECT_FAILED and self.random.random() < 0.5)
+
+    def _report(self) -> tuple[float, ...]:
+        draw = self.random.random()
+        if draw < 0.1:
+            return ()
+        values = [self.random.choice((0.0, 0.05, self.random.random())), float(self.random.randrange(60))]
+        if draw < 0.12:
+            values[self.random.randrange(2)] = math.nan
+        return tuple(values)
+
+    def _add_engine(self, started_ms: float) -> EngineEntry:
+        self._engine_count += 1
+        number = self._engine_count
+        kinds = max(1, len(self.settings.cores_by_kind))
+        entry = EngineEntry(f"10.0.0.{number % 250}:{8000 + number}", EngineState.READY, number % 2,
+                            number % 3, number % kinds, started_ms, 1.0 + number % 2)
+        self._engines[entry.engine] = entry
+        return entry
+
+    def _change_list(self) -> None:
+        self._schedule(self.random.expovariate(1.0 / LIST_CHANGE_MS), "change list")
+        draw = self.random.random()
+        if draw < 0.1:
+            self._feed(MembersChanged(ListKind.FAILED))
+        elif draw < 0.25:
+            self._feed(MembersChanged(ListKind.FULL, tuple(self._engines.values())))
+        elif draw < 0.35:
+            threads = self.random.choice((None, None, None, 6, 30))
+            self._feed(LimitSet(self.random.randrange(len(self.settings.classes)), threads))
+        elif draw < 0.45:
+            self._feed(ProbeEnded(self.random.choice([*self._engines, "10.9.9.9:1"]),
+                                  Status.CONNECT_FAILED, 250.0))
+        else:
+            self._replace_engine()
+
+    def _replace_engine(self) -> None:
+        old = self._engines[self.random.choice(list(self._engines))]
+        draw = self.random.random()
+        if draw < 0.4 and len(self._engines) < ENGINE_COUNT + 3:  # one that joins, cold
+            self._feed(MembersChanged(ListKind.DELTA, (self._add_engine(self.now),)))
+        elif draw < 0.65:  # its process has started anew
+            entry = EngineEntry(old.engine, EngineState.READY, old.zone, old.cell, old.kind, self.now,
+                                old.weight)
+            self._engines[old.engine] = entry
+            self._feed(MembersChanged(ListKind.DELTA, (entry,)))
+        elif len(self._engines) > ENGINE_COUNT // 2:
+            state = EngineState.GONE if draw < 0.8 else EngineState.DRAINING
+            entry = EngineEntry(old.engine, state, old.zone, old.cell, old.kind, old.started_ms,
+                                old.weight)
+            del self._engines[old.engine]
+            self._feed(MembersChanged(ListKind.DELTA, (entry,)))
+
+
+def record(site: str, seed: int, events: int = EVENTS) -> list[str]:
+    """Return the digests of one site's recorded run."""
+    return RecordedRun(parse_settings(SETTINGS_DOCUMENTS[site]), seed).play(events)
