--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -36,20 +36,43 @@
     """Return the site's settings for the module."""
     classes = [
         {"name": "lookup", "promise_ms": 1200.0, "aim_stretch": 1.5, "give_up_ms": 6000.0},
-        {"name": "settlement", "promise_ms": 2000.0, "aim_stretch": 2.5, "give_up_ms": 25000.0, "worth": 7.5,
-         "late_worth": 0.3, "threads": 4},
-        {"name": "meter-load", "effect": "unsafe", "load": True, "promise_ms": 3000.0, "aim_stretch": 3.0,
-         "give_up_ms": 20000.0, "worth": 4.0, "late_worth": 0.6, "threads": 2}]
+        {
+            "name": "settlement",
+            "promise_ms": 2000.0,
+            "aim_stretch": 2.5,
+            "give_up_ms": 25000.0,
+            "worth": 7.5,
+            "late_worth": 0.3,
+            "threads": 4,
+        },
+        {
+            "name": "meter-load",
+            "effect": "unsafe",
+            "load": True,
+            "promise_ms": 3000.0,
+            "aim_stretch": 3.0,
+            "give_up_ms": 20000.0,
+            "worth": 4.0,
+            "late_worth": 0.6,
+            "threads": 2,
+        },
+    ]
     engines = [{"id": f"e-{n}", "address": f"127.0.0.1:{7000 + n}", "cores": CORES} for n in range(ENGINES)]
     teams = [{"name": name, "share": share} for name, share in zip(TEAMS, SHARES, strict=True)]
-    return site_settings(read({"site": {"name": "bench"}, "class": classes, "team": teams, "engine": engines},
-                              whole=True))
+    return site_settings(
+        read({"site": {"name": "bench"}, "class": classes, "team": teams, "engine": engines}, whole=True)
+    )
 
 
 def play(arrivals: list[Arrival], seed: int, scheduled: bool) -> tuple[World, list[Record]]:
     """Play a close; return the world at its end and what became of each request."""
-    scheduler = Scheduler(dict(enumerate(SHARES)), CORES * ENGINES * THREADS_A_CORE,
-                          burst_ms=BURST_MS, debt_ms=DEBT_MS) if scheduled else None
+    scheduler = (
+        Scheduler(
+            dict(enumerate(SHARES)), CORES * ENGINES * THREADS_A_CORE, burst_ms=BURST_MS, debt_ms=DEBT_MS
+        )
+        if scheduled
+        else None
+    )
     world = World(told(), {f"e-{n}": Machine(CORES) for n in range(ENGINES)}, seed, scheduler)
     return world, world.run(arrivals)
 
@@ -98,11 +121,16 @@
 
 def waits_within(records: list[Record], spans: tuple[tuple[float, float], ...] = ()) -> tuple[float, int]:
     """Return the part of released requests whose wait was within 20% or 50 ms of the estimate."""
-    asked = [record for record in records if record.likely_ms == record.likely_ms
-             and record.released_ms == record.released_ms and (not spans or any(
-                 start * 1000.0 <= record.arrival.at_ms < end * 1000.0 for start, end in spans))]
-    good = sum(abs(record.released_ms - record.likely_ms) <= max(50.0, 0.2 * record.released_ms)
-               for record in asked)
+    asked = [
+        record
+        for record in records
+        if record.likely_ms == record.likely_ms
+        and record.released_ms == record.released_ms
+        and (not spans or any(start * 1000.0 <= record.arrival.at_ms < end * 1000.0 for start, end in spans))
+    ]
+    good = sum(
+        abs(record.released_ms - record.likely_ms) <= max(50.0, 0.2 * record.released_ms) for record in asked
+    )
     return (good / len(asked) if asked else 1.0), len(asked)
 
 
@@ -112,7 +140,7 @@
     came, older = dict[int, int](), dict[int, int]()
     most, number = 0.0, 0
     for turn in range(2 * waiting):
-        for team in ((0, 0, 1) if turn % 3 else (0, 0, 2)):
+        for team in (0, 0, 1) if turn % 3 else (0, 0, 2):
             number += 1
             older[number], came[number] = len(scheduler.queues), scheduler.releases
             scheduler.arrive(Told(number, team, (number * seed) % 3, 1, 50.0, 1e15), float(turn))
@@ -155,21 +183,35 @@
     share, counted = waits_within(after)
     jump, counted_jump = waits_within(after, jumps)
     costs = {waiting: cost_of_one(waiting) for waiting in (100, 1_000, 10_000, 100_000)}
-    by_team = {name: [round(sum(r.how == "served" for r in records if r.team == team)
-                            / max(1, sum(r.team == team for r in records)), 3) for records in (before, after)]
-               for team, name in enumerate(TEAMS)}
+    by_team = {
+        name: [
+            round(
+                sum(r.how == "served" for r in records if r.team == team)
+                / max(1, sum(r.team == team for r in records)),
+                3,
+            )
+            for records in (before, after)
+        ]
+        for team, name in enumerate(TEAMS)
+    }
     return {
-        "teams_within": round(within, 3), "wait_within_20pct": round(share, 3),
+        "teams_within": round(within, 3),
+        "wait_within_20pct": round(share, 3),
         "wait_within_20pct_after_jump": round(jump, 3),
         "longest_wait_over_bound": round(longest_over_bound(1_000, seed), 3),
         "worth_ratio": round(worth(after, settings) / max(1e-9, worth(before, settings)), 3),
         "us_per_request": {str(n): round(us, 1) for n, (us, _) in costs.items()},
         "bytes_per_waiting": {str(n): round(size) for n, (_, size) in costs.items() if size},
-        "served_part_without_with": by_team, "windows": windows, "waits": counted, "waits_jump": counted_jump,
-        "priority_changes": world.changes, "requests": len(arrivals),
+        "served_part_without_with": by_team,
+        "windows": windows,
+        "waits": counted,
+        "waits_jump": counted_jump,
+        "priority_changes": world.changes,
+        "requests": len(arrivals),
         "reasons": dict(Counter(r.reason for r in after if r.how != "served").most_common(6)),
         "reasons_without": dict(Counter(r.reason for r in before if r.how != "served").most_common(6)),
-        "answered_once": all(record.how for record in (*before, *after))}
+        "answered_once": all(record.how for record in (*before, *after)),
+    }
 
 
 def main() -> None:
--- a/benchmarks/console_cost.py
+++ b/benchmarks/console_cost.py
@@ -46,8 +46,9 @@
         for count, stop in ((following, False), (stopped, True)):
             if not count:
                 continue
-            process = subprocess.Popen([sys.executable, "-m", "benchmarks.followers", door, str(count)],
-                                       stdout=subprocess.PIPE)
+            process = subprocess.Popen(
+                [sys.executable, "-m", "benchmarks.followers", door, str(count)], stdout=subprocess.PIPE
+            )
             stack.callback(process.wait)
             stack.callback(process.kill)
             if process.stdout is None or process.stdout.readline() != b"following\n":
@@ -88,9 +89,18 @@
     for number in range(calls):
         start = trio.current_time()
         body = b"/* work=0 rows=1 */ SELECT a FROM t_1.lines"
-        request = h11.Request(method="POST", target="/o", headers=[
-            ("Host", "x"), ("X-Txn", f"{salt:08x}{number:08x}"), ("X-Lane", "lookup"), ("X-Limit-Ms", "6000"),
-            ("X-Urgency", "1"), ("Content-Length", str(len(body)))])
+        request = h11.Request(
+            method="POST",
+            target="/o",
+            headers=[
+                ("Host", "x"),
+                ("X-Txn", f"{salt:08x}{number:08x}"),
+                ("X-Lane", "lookup"),
+                ("X-Limit-Ms", "6000"),
+                ("X-Urgency", "1"),
+                ("Content-Length", str(len(body))),
+            ],
+        )
         out = (http.send(request) or b"") + (http.send(h11.Data(data=body)) or b"")
         await stream.send_all(out + (http.send(h11.EndOfMessage()) or b""))
         while not isinstance(event := http.next_event(), h11.EndOfMessage):
@@ -123,14 +133,21 @@
                 served, cpu = served + count, cpu + used
                 _, _, through = await closed_loop(running, 1.0, 1)
                 alone = await direct(engines[0], 300, 7_000 + turn)
-                added.append(tuple(
-                    (through.get_value_at_percentile(p) - alone.get_value_at_percentile(p)) / 1000.0
-                    for p in (50.0, 99.0)))
+                added.append(
+                    tuple(
+                        (through.get_value_at_percentile(p) - alone.get_value_at_percentile(p)) / 1000.0
+                        for p in (50.0, 99.0)
+                    )
+                )
     return figures(totals, served / cpu if cpu else 0.0, added, rounds)
 
 
-def figures(totals: dict[str, list[tuple[Tally, float]]], per_core: float,
-            added: list[tuple[float, float]], rounds: int) -> dict[str, Any]:
+def figures(
+    totals: dict[str, list[tuple[Tally, float]]],
+    per_core: float,
+    added: list[tuple[float, float]],
+    rounds: int,
+) -> dict[str, Any]:
     """Return the object that is printed."""
     merged, cpu = dict[str, Any](), dict[str, float]()
     for mode, slices in totals.items():
@@ -141,20 +158,31 @@
     counts = [t.counts for slices in totals.values() for t, _ in slices]
 
     def ratio(mode: str, percentile: float) -> float:
-        return round(float(merged[mode].get_value_at_percentile(percentile))
-                     / float(merged["0"].get_value_at_percentile(percentile)), 3)
+        return round(
+            float(merged[mode].get_value_at_percentile(percentile))
+            / float(merged["0"].get_value_at_percentile(percentile)),
+            3,
+        )
 
     return {
-        "p99_ratio_1": ratio("1", 99.0), "p99_ratio_8": ratio("8", 99.0),
-        "p99_ratio_stopped": ratio("stopped", 99.0), "p50_ratio_8": ratio("8", 50.0),
-        "cpu_ratio_8": round(cpu["8"] / cpu["0"], 3), "cpu_ratio_1": round(cpu["1"] / cpu["0"], 3),
-        "cpu_us_per_lookup": round(cpu["0"] * 1e6), "lookups_per_s_core": round(per_core),
+        "p99_ratio_1": ratio("1", 99.0),
+        "p99_ratio_8": ratio("8", 99.0),
+        "p99_ratio_stopped": ratio("stopped", 99.0),
+        "p50_ratio_8": ratio("8", 50.0),
+        "cpu_ratio_8": round(cpu["8"] / cpu["0"], 3),
+        "cpu_ratio_1": round(cpu["1"] / cpu["0"], 3),
+        "cpu_us_per_lookup": round(cpu["0"] * 1e6),
+        "lookups_per_s_core": round(per_core),
         "added_ms_p50": round(statistics.median(each[0] for each in added), 3),
         "added_ms_p99": round(statistics.median(each[1] for each in added), 3),
-        "p99_ms": {mode: round(each.get_value_at_percentile(99.0) / 1000.0, 3)
-                   for mode, each in merged.items()},
-        "asked": sum(c["asked"] for c in counts), "served": sum(c["served"] for c in counts),
-        "rounds": rounds, "rate_per_s": RATE_PER_S}
+        "p99_ms": {
+            mode: round(each.get_value_at_percentile(99.0) / 1000.0, 3) for mode, each in merged.items()
+        },
+        "asked": sum(c["asked"] for c in counts),
+        "served": sum(c["served"] for c in counts),
+        "rounds": rounds,
+        "rate_per_s": RATE_PER_S,
+    }
 
 
 def main() -> None:
--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -31,8 +31,9 @@
 def plan(count: int, floor_part: float = 0.2) -> Plan:
     """Return a plan whose wholes grow with the fleet: some 6 threads and 20 requests a second a member."""
     wholes = (Whole("threads", 6 * count + 34, "karri-energy", quantum=4), Whole("rate", 20 * MILLI * count))
-    return Plan("bench", wholes, tuple(f"m{n}" for n in range(LISTED)), TERM_MS, floor_part=floor_part,
-                size=count)
+    return Plan(
+        "bench", wholes, tuple(f"m{n}" for n in range(LISTED)), TERM_MS, floor_part=floor_part, size=count
+    )
 
 
 def steady(count: int, seed: int, skewed: bool, seconds: int) -> dict[str, Any]:
@@ -50,7 +51,8 @@
         for n in range(count):
             wants[f"m{n}"] = tuple(
                 round(each * weights[n] * rng.uniform(0.7, 1.3) / whole.quantum) * whole.quantum
-                for each, whole in zip(mean, fleet.plan.wholes, strict=True))
+                for each, whole in zip(mean, fleet.plan.wholes, strict=True)
+            )
 
     waver()
     fleet.demand = lambda name: wants[name]
@@ -61,9 +63,12 @@
             waver()
         fleet.run(1_000)
         used.append((fleet.used(0), fleet.used(1)))
-    return {"used_threads": round(statistics.mean(each[0] for each in used), 3),
-            "used_rate": round(statistics.mean(each[1] for each in used), 3),
-            "over": fleet.audit.over(), "peak": round(max(fleet.audit.peaks()), 4)}
+    return {
+        "used_threads": round(statistics.mean(each[0] for each in used), 3),
+        "used_rate": round(statistics.mean(each[1] for each in used), 3),
+        "over": fleet.audit.over(),
+        "peak": round(max(fleet.audit.peaks()), 4),
+    }
 
 
 def moves(count: int, seed: int) -> dict[str, Any]:
@@ -108,8 +113,11 @@
         fleet.run(50)
     told["next_leader_s"] = round((fleet.now - began) / 1_000.0, 2)
     hot.clear()
-    mover = next(name for name in fleet.members if name not in fleet.plan.members and name != "late") \
-        if count > LISTED else next(name for name in fleet.members if name not in ("late", fleet.leader))
+    mover = (
+        next(name for name in fleet.members if name not in fleet.plan.members and name != "late")
+        if count > LISTED
+        else next(name for name in fleet.members if name not in ("late", fleet.leader))
+    )
     hot.add(mover)
     until(mover)
     told["after_leaders_death_s"] = round((fleet.now - began) / 1_000.0, 2)
@@ -130,7 +138,7 @@
             for name in some:
                 fleet.start(name)
         elif act < 0.4:
-            for name in [name for name in names if name in fleet.members][:count // 2]:
+            for name in [name for name in names if name in fleet.members][: count // 2]:
                 fleet.network.pause(name, 1.5 * TERM_MS)
         elif act < 0.6:
             side = set(rng.sample(names, rng.randint(1, count - 1)))
@@ -145,8 +153,11 @@
         fleet.network.delay_ms = rng.choice(((0.2, 2.0), (50.0, 700.0), (0.2, 3_000.0)))
         wants[rng.choice(names)] = rng.randrange(100), rng.randrange(100_000)
         fleet.run(rng.choice((300.0, 2_000.0, 8_000.0)))
-    return {"spans": sum(map(len, fleet.audit.spans.values())), "over": fleet.audit.over(),
-            "peak": round(max(fleet.audit.peaks()), 4)}
+    return {
+        "spans": sum(map(len, fleet.audit.spans.values())),
+        "over": fleet.audit.over(),
+        "peak": round(max(fleet.audit.peaks()), 4),
+    }
 
 
 async def programs(seconds: float, seed: int) -> dict[str, Any]:
@@ -158,14 +169,18 @@
             tallies, held = await fleet.traffic(rates, seconds, 1_600.0)
             audit = fleet.audit()
     # as it began and ended, less was asked for
-    busy = held[round(2.0 / LOOK_S):round((seconds - 1.0) / LOOK_S)]
-    return {"seconds": seconds, "first_share_s": round(first, 2),
-            "threads_held_most": round(max(held) / THREADS, 3),
-            "threads_held_mean": round(statistics.mean(busy) / THREADS, 3),
-            "served": {name: tally.counts["served"] for name, tally in sorted(tallies.items())},
-            "asked": {name: tally.counts["asked"] for name, tally in sorted(tallies.items())},
-            "lost": sum(tally.counts["lost"] for tally in tallies.values()),
-            "over": audit.over(), "peak": round(max(audit.peaks()), 4)}
+    busy = held[round(2.0 / LOOK_S) : round((seconds - 1.0) / LOOK_S)]
+    return {
+        "seconds": seconds,
+        "first_share_s": round(first, 2),
+        "threads_held_most": round(max(held) / THREADS, 3),
+        "threads_held_mean": round(statistics.mean(busy) / THREADS, 3),
+        "served": {name: tally.counts["served"] for name, tally in sorted(tallies.items())},
+        "asked": {name: tally.counts["asked"] for name, tally in sorted(tallies.items())},
+        "lost": sum(tally.counts["lost"] for tally in tallies.values()),
+        "over": audit.over(),
+        "peak": round(max(audit.peaks()), 4),
+    }
 
 
 def measure(quick: bool, seed: int) -> dict[str, Any]:
@@ -174,9 +189,12 @@
     for count in (5, 40) if quick else (5, 40, 200):
         began = time.monotonic()
         seconds, steps = (10, 15) if quick else (30, 40)
-        told[str(count)] = {"even": steady(count, seed, False, seconds),
-                            "skewed": steady(count, seed, True, seconds), "moves": moves(count, seed),
-                            "faults": faults(count, seed, steps)}
+        told[str(count)] = {
+            "even": steady(count, seed, False, seconds),
+            "skewed": steady(count, seed, True, seconds),
+            "moves": moves(count, seed),
+            "faults": faults(count, seed, steps),
+        }
         took = time.monotonic() - began
         print(f"{count} members, {took:.0f} s: {json.dumps(told[str(count)])}", flush=True)
     told["programs"] = trio.run(programs, 8.0 if quick else 30.0, seed)
--- a/benchmarks/fleet_service.py
+++ b/benchmarks/fleet_service.py
@@ -37,20 +37,33 @@
 def plan(count: int) -> Plan:
     """Return a budget in threads for each team: its share of what the engines hold."""
     threads = CORES * ENGINES_EACH * count * THREADS_A_CORE
-    wholes = tuple(Whole("threads", int(threads * share), team, quantum=4)
-                   for share, team in zip(SHARES, TEAMS, strict=True))
+    wholes = tuple(
+        Whole("threads", int(threads * share), team, quantum=4)
+        for share, team in zip(SHARES, TEAMS, strict=True)
+    )
     return Plan("bench", wholes, tuple(f"m{n}" for n in range(min(LISTED, count))), TERM_MS, size=count)
 
 
-def run(count: int, seconds: float, seed: int, *, fleet: bool,
-        script: Callable[[Site], object] = lambda site: None) -> tuple[Site, list[Record]]:
+def run(
+    count: int,
+    seconds: float,
+    seed: int,
+    *,
+    fleet: bool,
+    script: Callable[[Site], object] = lambda site: None,
+) -> tuple[Site, list[Record]]:
     """Play one site; return it and what became of all requests."""
     weights = [5.0 if n % 10 == 0 else 1.0 for n in range(count)]
-    traffic = [generate(Shape(seconds=seconds, rate_per_s=RATE_EACH * count * weight / sum(weights)),
-                        seed * 1_000 + n) for n, weight in enumerate(weights)]
+    traffic = [
+        generate(
+            Shape(seconds=seconds, rate_per_s=RATE_EACH * count * weight / sum(weights)), seed * 1_000 + n
+        )
+        for n, weight in enumerate(weights)
+    ]
     servers = [Server(f"e-{n}", Machine(CORES)) for n in range(ENGINES_EACH * count)]
-    site = Site(told(), servers, count, seed, Queueing(dict(enumerate(SHARES))),
-                plan(count) if fleet else None)
+    site = Site(
+        told(), servers, count, seed, Queueing(dict(enumerate(SHARES))), plan(count) if fleet else None
+    )
     records = play(partial(site.play, traffic, WARM_MS, script), seed)
     return site, [record for mine in records for record in mine]
 
@@ -61,17 +74,25 @@
     wholes = [whole.units for whole in plan(count).wholes]
     share, counted = waits_within(records)
     return {
-        "in_aim": {team: round(statistics.mean(in_aim(record, site.settings) for record in rows), 3)
-                   for team, rows in mine.items()},
-        "out": {team: round(max(held.get(n, 0) for _, held in site.held) / wholes[n], 3)
-                for n, team in enumerate(TEAMS)},
-        "waits": round(share, 3), "waits_told": counted, "requests": len(records),
+        "in_aim": {
+            team: round(statistics.mean(in_aim(record, site.settings) for record in rows), 3)
+            for team, rows in mine.items()
+        },
+        "out": {
+            team: round(max(held.get(n, 0) for _, held in site.held) / wholes[n], 3)
+            for n, team in enumerate(TEAMS)
+        },
+        "waits": round(share, 3),
+        "waits_told": counted,
+        "requests": len(records),
         "unanswered": sum(not record.how for record in records),
-        "over": site.fleet.audit.over() if site.fleet is not None else 0}
+        "over": site.fleet.audit.over() if site.fleet is not None else 0,
+    }
 
 
 def lapse(count: int, seconds: float, seed: int) -> dict[str, Any]:
     """Let nobody hear anybody for two terms, a third into the traffic."""
+
     def script(site: Site) -> None:
         fleet = site.fleet
         assert fleet is not None
@@ -87,23 +108,27 @@
 
 def measure(quick: bool, seed: int) -> dict[str, Any]:
     """Return all figures."""
-    plays = [(5, 15.0, [seed])] if quick else [
-        (5, 45.0, [seed, seed + 1, seed + 2]), (40, 12.0, [seed])]
+    plays = [(5, 15.0, [seed])] if quick else [(5, 45.0, [seed, seed + 1, seed + 2]), (40, 12.0, [seed])]
     found: dict[str, Any] = {}
     for count, seconds, seeds in plays:
         for one in seeds:
             began = time.monotonic()
-            row = {how: figures(*run(count, seconds, one, fleet=fleet), count)
-                   for how, fleet in (("queues", False), ("fleet", True))}
+            row = {
+                how: figures(*run(count, seconds, one, fleet=fleet), count)
+                for how, fleet in (("queues", False), ("fleet", True))
+            }
             found[f"{count}/{one}"] = row
-            print(f"{count} coordinators, seed {one}, {time.monotonic() - began:.0f} s: {json.dumps(row)}",
-                  flush=True)
+            print(
+                f"{count} coordinators, seed {one}, {time.monotonic() - began:.0f} s: {json.dumps(row)}",
+                flush=True,
+            )
     found["lapse"] = lapse(5, 15.0 if quick else 45.0, seed)
     parts = [row for key, row in found.items() if key != "lapse"]
     small = [part["fleet"]["in_aim"][team] for part in parts for team in TEAMS[1:]]
     found["in_aim_within_budget"] = round(statistics.mean(small), 3)
-    found["in_aim_within_budget_queues"] = round(statistics.mean(
-        part["queues"]["in_aim"][team] for part in parts for team in TEAMS[1:]), 3)
+    found["in_aim_within_budget_queues"] = round(
+        statistics.mean(part["queues"]["in_aim"][team] for part in parts for team in TEAMS[1:]), 3
+    )
     found["waits_within_20pct"] = round(statistics.mean(part["fleet"]["waits"] for part in parts), 3)
     found["over"] = sum(part["fleet"]["over"] for part in parts) + found["lapse"]["over"]
     return found
--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -35,8 +35,14 @@
 
 def site_settings(coordinators: int) -> Settings:
     """Return the settings of one of so many coordinators."""
-    return replace(told(), instances=coordinators, cold_from=COLD_FROM, cold_ms=COLD_MS,
-                   fall_multiple=FALL_MULTIPLE, fall_ms=FALL_MS)
+    return replace(
+        told(),
+        instances=coordinators,
+        cold_from=COLD_FROM,
+        cold_ms=COLD_MS,
+        fall_multiple=FALL_MULTIPLE,
+        fall_ms=FALL_MS,
+    )
 
 
 def script(site: Site) -> None:
@@ -91,26 +97,36 @@
     for server in site.servers.values():
         loads.update(server.loads)
     return {
-        "before": part(0.0, DARK_MS), "first_4s": part(DARK_MS, DARK_MS + LISTED_MS),
-        "dark": part(DARK_MS, BACK_MS), "after": part(BACK_MS, seconds * 1e3),
+        "before": part(0.0, DARK_MS),
+        "first_4s": part(DARK_MS, DARK_MS + LISTED_MS),
+        "dark": part(DARK_MS, BACK_MS),
+        "after": part(BACK_MS, seconds * 1e3),
         "worst_5s": min(part(*span) for span in spans),
         "failed": sum(record.how == "failed" for record in records),
         "refused_dark": round(statistics.mean(record.how == "refused" for record in dark), 3),
         "connect_failed": sum(each.get(f"outcome.{Status.CONNECT_FAILED.value}", 0) for each in outcomes),
-        "cold_peak": round(cold_peak(site), 2), "loads": len(loads),
+        "cold_peak": round(cold_peak(site), 2),
+        "loads": len(loads),
         "loads_run_twice": sum(count > 1 for count in loads.values()),
-        "unanswered": sum(not record.how for record in records), "requests": len(records)}
+        "unanswered": sum(not record.how for record in records),
+        "requests": len(records),
+    }
 
 
-def run(coordinators: int, engines: int, seconds: float, seed: int, *,
-        halls: bool) -> tuple[Site, list[Record]]:
+def run(
+    coordinators: int, engines: int, seconds: float, seed: int, *, halls: bool
+) -> tuple[Site, list[Record]]:
     """Play one site; return it and all records."""
     work = sum(part * ms for part, ms in zip(Shape().mix, Shape().work_ms, strict=True))
     rate = PART * CORES * engines * 1e3 / work / coordinators
-    traffic = [generate(Shape(seconds=seconds, rate_per_s=rate, shares=(0.73, 0.16, 0.11)), seed * 1_000 + n)
-               for n in range(coordinators)]
-    servers = [Server(f"e-{n}", Machine(CORES, cold_part=COLD_FROM, warm_ms=COLD_MS), zone=n % HALLS)
-               for n in range(engines)]
+    traffic = [
+        generate(Shape(seconds=seconds, rate_per_s=rate, shares=(0.73, 0.16, 0.11)), seed * 1_000 + n)
+        for n in range(coordinators)
+    ]
+    servers = [
+        Server(f"e-{n}", Machine(CORES, cold_part=COLD_FROM, warm_ms=COLD_MS), zone=n % HALLS)
+        for n in range(engines)
+    ]
     site = Site(site_settings(coordinators), servers, coordinators, seed, halls=halls)
     records = play(partial(site.play, traffic, 1_000.0, script), seed)
     return site, [record for mine in records for record in mine]
@@ -120,8 +136,10 @@
     """Return all figures."""
     coordinators, engines, seconds = (6, 9, 30.0) if quick else (40, 60, 40.0)
     began = time.monotonic()
-    found = {how: figures(*run(coordinators, engines, seconds, seed, halls=halls), seconds)
-             for how, halls in (("present", False), ("halls", True))}
+    found = {
+        how: figures(*run(coordinators, engines, seconds, seed, halls=halls), seconds)
+        for how, halls in (("present", False), ("halls", True))
+    }
     print(f"{coordinators} coordinators, {engines} engines: {time.monotonic() - began:.0f} s", flush=True)
     return found
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -52,12 +52,21 @@
     if not values:
         return {"n": 0}
     cuts = statistics.quantiles(values, n=100, method="inclusive") if len(values) > 1 else values * 99
-    return {"n": len(values), "median_s": round(statistics.median(values) / 1000.0, 2),
-            "p99_s": round(cuts[98] / 1000.0, 2)}
-
-
-def detection(members: int, kills: int, together: int, start: Callable[[Network, int], list[str]],
-              spaced_ms: float, seed: int) -> dict[str, Any]:
+    return {
+        "n": len(values),
+        "median_s": round(statistics.median(values) / 1000.0, 2),
+        "p99_s": round(cuts[98] / 1000.0, 2),
+    }
+
+
+def detection(
+    members: int,
+    kills: int,
+    together: int,
+    start: Callable[[Network, int], list[str]],
+    spaced_ms: float,
+    seed: int,
+) -> dict[str, Any]:
     """Kill members one after the other; return the times until the first and until all others know."""
     first, everybody = list[float](), list[float]()
     for run in range(max(1, kills // together)):
@@ -72,9 +81,14 @@
         network.run(network.now + 2.0 * spaced_ms)
         for name, at in died.items():
             # Heartbeats know members by their addresses.
-            told = {seen.observer: seen.at - at for seen in reversed(network.seen) if seen.at >= at
-                    and seen.change.state == DEAD and seen.change.name.split(":")[0] == name
-                    and seen.observer in network.nodes}
+            told = {
+                seen.observer: seen.at - at
+                for seen in reversed(network.seen)
+                if seen.at >= at
+                and seen.change.state == DEAD
+                and seen.change.name.split(":")[0] == name
+                and seen.observer in network.nodes
+            }
             if told:
                 first.append(min(told.values()))
             if len(told) == members - len(died):
@@ -82,14 +96,18 @@
     return {"first": quantiles(first), "all": quantiles(everybody)}
 
 
-def false_deaths(members: int, seconds: float, loss: float, start: Callable[[Network, int], list[str]],
-                 seed: int) -> tuple[float, Counter[str]]:
+def false_deaths(
+    members: int, seconds: float, loss: float, start: Callable[[Network, int], list[str]], seed: int
+) -> tuple[float, Counter[str]]:
     """Return how often a healthy member was held for dead, per member-hour, and the counts of all members."""
     network = Network(seed, loss=loss)
     start(network, seed)
     network.run(seconds * 1000.0)
-    died = {(seen.change.name, seen.change.incarnation, int(seen.at / 60_000.0))
-            for seen in network.seen if seen.change.state == DEAD}
+    died = {
+        (seen.change.name, seen.change.incarnation, int(seen.at / 60_000.0))
+        for seen in network.seen
+        if seen.change.state == DEAD
+    }
     counts: Counter[str] = Counter()
     for node in network.nodes.values():
         counts.update(node.counts)
@@ -105,7 +123,7 @@
         for node in network.nodes.values():
             assert isinstance(node, Swim)
             node.awareness = Awareness(0)
-    slow = addresses[:max(1, members // 10)]
+    slow = addresses[: max(1, members // 10)]
 
     def stall(address: str) -> None:
         network.pause(address, 1_500.0)
@@ -121,6 +139,7 @@
 
 def measure(size: Size, seed: int) -> dict[str, Any]:
     """Return the figures of one size."""
+
     def swim(network: Network, seed: int) -> list[str]:
         return swim_fleet(network, size.members, FLEET, seed)
 
@@ -128,8 +147,10 @@
     rate, counts = false_deaths(size.members, size.lossy_s, 0.0, swim, seed)
     member_s = size.members * size.lossy_s
     load = counts["sent"] / member_s
-    told["swim"] |= {"messages_per_member_s": round(load, 2),
-                     "bytes_per_member_s": round(counts["sent_bytes"] / member_s, 1)}
+    told["swim"] |= {
+        "messages_per_member_s": round(load, 2),
+        "bytes_per_member_s": round(counts["sent_bytes"] / member_s, 1),
+    }
     rates = {0.0: rate}
     for loss in LOSSES[1:]:
         rates[loss], lossy = false_deaths(size.members, size.lossy_s, loss, swim, seed)
@@ -158,7 +179,8 @@
     told |= detection(size.members, kills, together, start, (missed + 2.0) * period_ms, seed)
     seconds = max(size.lossy_s, 10.0 * period_ms / 1000.0)
     told["false_deaths_per_member_hour"] = {
-        str(loss): round(false_deaths(size.members, seconds, loss, start, seed)[0], 3) for loss in LOSSES}
+        str(loss): round(false_deaths(size.members, seconds, loss, start, seed)[0], 3) for loss in LOSSES
+    }
     return told
 
 
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -37,10 +37,17 @@
             ids = await (kills if kind == "kills" else partitions)(one, points)
             copies = await one.settle_down(ids)
     how = [each.how for each in one.operations if not each.final]
-    return {"points": points, "ids": len(ids), "ran": sum(one.runs[id] for id in ids),
-            "operations": len(one.operations), "ok": how.count("ok"), "fail": how.count("fail"),
-            "unknown": how.count("unknown"), "copied": sum(len(told) > 1 for told in copies.values()),
-            "broken": check(one.operations, one.runs, copies)}
+    return {
+        "points": points,
+        "ids": len(ids),
+        "ran": sum(one.runs[id] for id in ids),
+        "operations": len(one.operations),
+        "ok": how.count("ok"),
+        "fail": how.count("fail"),
+        "unknown": how.count("unknown"),
+        "copied": sum(len(told) > 1 for told in copies.values()),
+        "broken": check(one.operations, one.runs, copies),
+    }
 
 
 async def histories(kind: str, points: int, members: int, seed: int) -> dict[str, Any]:
@@ -66,9 +73,24 @@
     holders = {f"m{n}": f"127.0.0.1:{port}" for n, port in enumerate(ports)}
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="rep")))
-        ran = [await stack.enter_async_context(running(
-            Ledger("bench", name, holders, ("127.0.0.1", ports[n]), str(folder / name), exchange_ms=300.0,
-                   bytes_per_s=20e6, entries_most=300_000), n)) for n, name in enumerate(holders)]
+        ran = [
+            await stack.enter_async_context(
+                running(
+                    Ledger(
+                        "bench",
+                        name,
+                        holders,
+                        ("127.0.0.1", ports[n]),
+                        str(folder / name),
+                        exchange_ms=300.0,
+                        bytes_per_s=20e6,
+                        entries_most=300_000,
+                    ),
+                    n,
+                )
+            )
+            for n, name in enumerate(holders)
+        ]
         while any(each.holder.doubted for each in ran):
             await trio.sleep(0.05)
         yield ran
@@ -98,12 +120,15 @@
         changes = 2 * len(took) * min(3, count)
         files = sum(each.disk.size_bytes for each in members)
         links = sum(each.sent_bytes for each in members)
-    return {"claims_per_s": round(len(took) / seconds), "p50_ms": round(1e3 * statistics.median(took), 2),
-            "p99_ms": round(1e3 * statistics.quantiles(took, n=100)[98], 2),
-            "changes_per_commit": round(changes / commits, 1),
-            "record_bytes_per_change": round(written / changes),
-            "file_bytes_per_record_byte": round(files / written, 2),
-            "link_bytes_per_claim": round(links / len(took))}
+    return {
+        "claims_per_s": round(len(took) / seconds),
+        "p50_ms": round(1e3 * statistics.median(took), 2),
+        "p99_ms": round(1e3 * statistics.quantiles(took, n=100)[98], 2),
+        "changes_per_commit": round(changes / commits, 1),
+        "record_bytes_per_change": round(written / changes),
+        "file_bytes_per_record_byte": round(files / written, 2),
+        "link_bytes_per_claim": round(links / len(took)),
+    }
 
 
 async def programs(gap: int, seed: int) -> dict[str, Any]:
@@ -134,8 +159,13 @@
                 await one.start(name)
             with trio.fail_after(120.0):
                 took = await one.caught_up("m2", gap)
-    return {"gap": gap, "catch_up_s": round(took, 2), "cut_loads": loads, "converged_s": round(converged, 2),
-            "disk_bytes_per_load": round(written / loads)}
+    return {
+        "gap": gap,
+        "catch_up_s": round(took, 2),
+        "cut_loads": loads,
+        "converged_s": round(converged, 2),
+        "disk_bytes_per_load": round(written / loads),
+    }
 
 
 async def measure(quick: bool, seed: int) -> dict[str, Any]:
--- a/cairnhoist/interface.py
+++ b/cairnhoist/interface.py
@@ -103,8 +103,16 @@
     waits_for_loads: bool = False
 
     def __post_init__(self) -> None:
-        _check(f"classes.{self.name}", self, "promise_ms", "aim_stretch", "give_up_ms", "worth",
-               "late_worth", "memory_span_ms")
+        _check(
+            f"classes.{self.name}",
+            self,
+            "promise_ms",
+            "aim_stretch",
+            "give_up_ms",
+            "worth",
+            "late_worth",
+            "memory_span_ms",
+        )
         if self.threads < 1:
             raise ValueError(f"classes.{self.name}.threads: must be at least 1, not {self.threads}")
 
@@ -168,9 +176,20 @@
     fall_ms: float = 1000.0
 
     def __post_init__(self) -> None:
-        _check("settings", self, "largest_grant_share", "notes_every_ms", "ask_within_ms",
-               "max_retry_after_ms", "over_share_worth", "order_settle_ms", "cold_from", "cold_ms",
-               "fall_multiple", "fall_ms")
+        _check(
+            "settings",
+            self,
+            "largest_grant_share",
+            "notes_every_ms",
+            "ask_within_ms",
+            "max_retry_after_ms",
+            "over_share_worth",
+            "order_settle_ms",
+            "cold_from",
+            "cold_ms",
+            "fall_multiple",
+            "fall_ms",
+        )
         for name in ("instances", "max_attempts"):
             if getattr(self, name) < 1:
                 raise ValueError(f"settings.{name}: must be at least 1")
@@ -308,8 +327,19 @@
     payload: bytes
 
 
-Event: TypeAlias = (MembersChanged | RequestArrived | StreamStarted | AttemptEnded | AttemptNote
-                    | ProbeEnded | ClientGone | Withdrawn | TimerFired | LimitSet | PeerMessage)
+Event: TypeAlias = (
+    MembersChanged
+    | RequestArrived
+    | StreamStarted
+    | AttemptEnded
+    | AttemptNote
+    | ProbeEnded
+    | ClientGone
+    | Withdrawn
+    | TimerFired
+    | LimitSet
+    | PeerMessage
+)
 
 
 @dataclass(slots=True, frozen=True)
@@ -405,6 +435,7 @@
     """Ask discovery for the whole list once."""
 
 
-Action: TypeAlias = (Send | Refuse | Fail | Cancel | SetTerms | SetTimer | Probe | Disconnect | Post
-                     | Log | Watch | Fetch)
+Action: TypeAlias = (
+    Send | Refuse | Fail | Cancel | SetTerms | SetTimer | Probe | Disconnect | Post | Log | Watch | Fetch
+)
 Actions: TypeAlias = list[Action]
--- a/cairnhoist/logic.py
+++ b/cairnhoist/logic.py
@@ -7,9 +7,35 @@
 from zlib import crc32
 
 from cairnhoist.interface import (
-    Action, AttemptBudget, AttemptEnded, AttemptNote, Cancel, ClientGone, Discovery, Effect, EngineId,
-    EngineState, Event, Fail, LimitSet, ListKind, MembersChanged, NoteKind, Probe, ProbeEnded, Refuse,
-    RequestArrived, Scope, Send, SetTerms, Settings, SetTimer, Status, StreamStarted, TimerFired, Watch,
+    Action,
+    AttemptBudget,
+    AttemptEnded,
+    AttemptNote,
+    Cancel,
+    ClientGone,
+    Discovery,
+    Effect,
+    EngineId,
+    EngineState,
+    Event,
+    Fail,
+    LimitSet,
+    ListKind,
+    MembersChanged,
+    NoteKind,
+    Probe,
+    ProbeEnded,
+    Refuse,
+    RequestArrived,
+    Scope,
+    Send,
+    SetTerms,
+    Settings,
+    SetTimer,
+    Status,
+    StreamStarted,
+    TimerFired,
+    Watch,
     Withdrawn,
 )
 from cairnhoist.repeats import may_have_run, must_not_repeat, window_end
@@ -131,10 +157,17 @@
         self.salt = self.random.getrandbits(32)
         self.probe_credit, self.now, self.token, self.actions = 0.0, 0.0, 0, list[Action]()
         self.handlers: dict[type, Callable[[Any], None]] = {
-            RequestArrived: self.on_request, AttemptEnded: self.on_outcome, AttemptNote: self.on_note,
-            ProbeEnded: self.on_report, TimerFired: self.on_timer, MembersChanged: self.on_members,
-            ClientGone: self.on_over, StreamStarted: self.on_over, Withdrawn: self.on_withdrawn,
-            LimitSet: self.on_limit}
+            RequestArrived: self.on_request,
+            AttemptEnded: self.on_outcome,
+            AttemptNote: self.on_note,
+            ProbeEnded: self.on_report,
+            TimerFired: self.on_timer,
+            MembersChanged: self.on_members,
+            ClientGone: self.on_over,
+            StreamStarted: self.on_over,
+            Withdrawn: self.on_withdrawn,
+            LimitSet: self.on_limit,
+        }
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event at its time; return the actions to carry out, in order."""
@@ -280,9 +313,10 @@
             blocked = r.group in e.held and (r.spec.is_load or r.spec.waits_for_loads)
             weights.append(w * (OWN_GAIN if self.preferred(e) else 1.0) * (HELD_FACTOR if blocked else 1.0))
         warm = sum(w for w, warmth in zip(weights, warmths, strict=True) if warmth >= 1.0)
-        weights = [w if warmth >= 1.0 else
-                   min(w, self.cold_part(r, e, warmth, cores, not warm) * (warm or 1.0))
-                   for e, w, warmth in zip(engines, weights, warmths, strict=True)]
+        weights = [
+            w if warmth >= 1.0 else min(w, self.cold_part(r, e, warmth, cores, not warm) * (warm or 1.0))
+            for e, w, warmth in zip(engines, weights, warmths, strict=True)
+        ]
         nobody = 0.0 if warm else max(0.0, 1.0 - sum(weights))
         return self.random.choices([*engines, None], [*weights, nobody])[0] if engines else None
 
@@ -470,7 +504,8 @@
             self.move(a)
             self.strike(a.engine, SILENT)
         elif not self.settings.notes_every_ms and (  # where notes come, they tell a bad plan from a long run
-                a.request.spec.waits_for_loads or self.now - a.sent > ROUGH_BAD_PLAN * a.expected):
+            a.request.spec.waits_for_loads or self.now - a.sent > ROUGH_BAD_PLAN * a.expected
+        ):
             self.move(a)
         if not a.cancelled:
             self.set_timer(max(PATIENCE_MIN_MS, a.expected), a)
--- a/cairnhoist/wire.py
+++ b/cairnhoist/wire.py
@@ -60,8 +60,16 @@
 _PROBED = struct.Struct(">Hd4sHB4f")
 _NOTE = struct.Struct(">IBB4sHf")
 _FIRST = struct.Struct(">IB4sHd")
-_STATUS = {0: Status.OK, 13: Status.ERROR, 8: Status.FULL, 4: Status.TIMEOUT, 14: Status.CONNECT_FAILED,
-           10: Status.RESET, 1: Status.CANCELLED, 9: Status.MOOT}
+_STATUS = {
+    0: Status.OK,
+    13: Status.ERROR,
+    8: Status.FULL,
+    4: Status.TIMEOUT,
+    14: Status.CONNECT_FAILED,
+    10: Status.RESET,
+    1: Status.CANCELLED,
+    9: Status.MOOT,
+}
 _EFFECT = {"read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE}
 
 
@@ -103,7 +111,7 @@
         """Yield each event with its instance, in order."""
         if count * EVENT_BYTES > len(body):
             raise WireError(f"batch: {count} records need {count * EVENT_BYTES} bytes, got {len(body)}")
-        tail = body[count * EVENT_BYTES:]
+        tail = body[count * EVENT_BYTES :]
         instance: int | None = None
         for index in range(count):
             at = index * EVENT_BYTES
@@ -126,14 +134,34 @@
         start = at + 1
         if code == 3:
             request, tenant, cost, group, bits, key, klass, budget, memory = _REQUEST.unpack_from(body, start)
-            return RequestArrived(request, klass, budget, tenant, cost if bits & 1 else 0.0, memory, group,
-                                  key, bool(bits & 2), bool(bits & 4))
+            return RequestArrived(
+                request,
+                klass,
+                budget,
+                tenant,
+                cost if bits & 1 else 0.0,
+                memory,
+                group,
+                key,
+                bool(bits & 2),
+                bool(bits & 4),
+            )
         if code == 5:
             request, attempt, addr, port, code, spent, complete, stats, n, *load = _OUTCOME.unpack_from(
-                body, start)
+                body, start
+            )
             ended = _code(_STATUS, code, where, "status")
-            return AttemptEnded(request, attempt, engine_id(addr, port), ended, spent, bool(complete),
-                                float(stats >> 12), float((stats & 4095) * 4), _report(n, load, where))
+            return AttemptEnded(
+                request,
+                attempt,
+                engine_id(addr, port),
+                ended,
+                spent,
+                bool(complete),
+                float(stats >> 12),
+                float((stats & 4095) * 4),
+                _report(n, load, where),
+            )
         if code == 7:
             return TimerFired(struct.unpack_from(">Q", body, start)[0])
         if code == 11:
@@ -142,8 +170,9 @@
             return AttemptNote(request, attempt, engine_id(addr, port), kind, value)
         if code == 8:
             status, spent, addr, port, n, *load = _PROBED.unpack_from(body, start)
-            return ProbeEnded(engine_id(addr, port), _code(_STATUS, status, where, "status"), spent,
-                              _report(n, load, where))
+            return ProbeEnded(
+                engine_id(addr, port), _code(_STATUS, status, where, "status"), spent, _report(n, load, where)
+            )
         if code == 6:
             return ClientGone(struct.unpack_from(">I", body, start)[0])
         if code == 2:
@@ -187,16 +216,18 @@
 def _slice(tail: bytes, offset: int, size: int, where: str) -> bytes:
     if offset + size > len(tail):
         raise WireError(f"{where}: bytes {offset}..{offset + size} lie outside the tail of {len(tail)}")
-    return tail[offset:offset + size]
+    return tail[offset : offset + size]
 
 
 def _entries(tail: bytes, offset: int, lines: int, where: str) -> tuple[EngineEntry, ...]:
     data = _slice(tail, offset, lines * ENTRY_BYTES, where)
     states = {s.value: s for s in EngineState}
     return tuple(
-        EngineEntry(engine_id(addr, port), _code(states, state, where, "readiness"), zone, cell, kind, up,
-                    weight)
-        for zone, cell, addr, port, state, up, weight, kind in _ENTRY.iter_unpack(data))
+        EngineEntry(
+            engine_id(addr, port), _code(states, state, where, "readiness"), zone, cell, kind, up, weight
+        )
+        for zone, cell, addr, port, state, up, weight, kind in _ENTRY.iter_unpack(data)
+    )
 
 
 class _Pairs:
@@ -259,17 +290,20 @@
     pairs = _Pairs(text)
     budget = None
     if "obligations.furtherRatio" in pairs.values or "obligations.budgetFree" in pairs.values:
-        budget = AttemptBudget(free=pairs.number("obligations.budgetFree"),
-                               ratio=pairs.number("obligations.furtherRatio"),
-                               window_ms=pairs.number("obligations.lookBackMs", 5000.0))
+        budget = AttemptBudget(
+            free=pairs.number("obligations.budgetFree"),
+            ratio=pairs.number("obligations.furtherRatio"),
+            window_ms=pairs.number("obligations.lookBackMs", 5000.0),
+        )
     fields = tuple(part for part in pairs.text("report.fields").split(",") if part)
     source = pairs.text("report.source", "silent")
     try:
         return Settings(
             classes=tuple(_class(pairs, i) for i in range(pairs.whole("categories.count", 0))),
-            tenants=tuple(Tenant(pairs.text(f"projects.{i}.name", str(i)),
-                                 pairs.number(f"projects.{i}.quotaPerS"))
-                          for i in range(pairs.whole("projects.count", 0))),
+            tenants=tuple(
+                Tenant(pairs.text(f"projects.{i}.name", str(i)), pairs.number(f"projects.{i}.quotaPerS"))
+                for i in range(pairs.whole("projects.count", 0))
+            ),
             instances=pairs.whole("instances", 1),
             cores_by_kind=pairs.numbers("extra.cpuOfKind"),
             memory_mb_by_kind=pairs.numbers("extra.kindMemoryMb"),
--- a/fordstair/adjust/ledger.py
+++ b/fordstair/adjust/ledger.py
@@ -98,18 +98,30 @@
         self.in_force: immutables.Map[str, Adjustment] = immutables.Map()
         self._touched: dict[str, int] = {}  # by target: the revision that changed it last
 
-    def propose(self, change: Change, who: str, now_ms: float, standing: Standing, *,
-                seen: int | None = None, confirmed: bool = False) -> Ruling:
+    def propose(
+        self,
+        change: Change,
+        who: str,
+        now_ms: float,
+        standing: Standing,
+        *,
+        seen: int | None = None,
+        confirmed: bool = False,
+    ) -> Ruling:
         """Judge a change, and take it in where it is accepted; the caller then carries it out.
 
         ``seen`` is the revision of the picture that the author acted on; None asks for no such check.
         """
         target = _target(change)
         if standing.draining:
-            return Ruling(Verdict.ALREADY if isinstance(change, Drain) else Verdict.REFUSED,
-                          "the program is draining")
-        if isinstance(change, SetAside | BringBack) and change.engine not in standing.listed and not (
-                isinstance(change, BringBack) and target in self.in_force):
+            return Ruling(
+                Verdict.ALREADY if isinstance(change, Drain) else Verdict.REFUSED, "the program is draining"
+            )
+        if (
+            isinstance(change, SetAside | BringBack)
+            and change.engine not in standing.listed
+            and not (isinstance(change, BringBack) and target in self.in_force)
+        ):
             return Ruling(Verdict.UNKNOWN, f"no engine {change.engine!r}")
         if isinstance(change, Limit) and change.klass not in standing.classes:
             return Ruling(Verdict.UNKNOWN, f"no class {change.klass!r}")
@@ -132,8 +144,11 @@
         self._touched[target] = self.revision
         made = Adjustment(target, describe(change), who, now_ms, self.revision)
         lifted = isinstance(change, BringBack) or (isinstance(change, Limit) and change.threads is None)
-        self.in_force = self.in_force.delete(target) if lifted and target in self.in_force else (
-            self.in_force if lifted else self.in_force.set(target, made))
+        self.in_force = (
+            self.in_force.delete(target)
+            if lifted and target in self.in_force
+            else (self.in_force if lifted else self.in_force.set(target, made))
+        )
         if len(self._touched) > 2 * IN_FORCE_MOST:  # what is long past conflicts with nobody
             kept = sorted(self._touched.items(), key=lambda item: item[1])[-IN_FORCE_MOST:]
             self._touched = dict(kept)
@@ -163,8 +178,11 @@
     """Return how a change disturbs service; empty where it does not to speak of."""
     match change:
         case Drain():
-            return f"the program ends; {standing.open} requests are open" if standing.open else \
-                "the program ends"
+            return (
+                f"the program ends; {standing.open} requests are open"
+                if standing.open
+                else "the program ends"
+            )
         case SetAside(engine) if standing.ready <= {engine}:
             return "no other engine is ready: all new requests will be refused"
         case SetAside(engine) if engine in standing.ready and len(standing.ready) <= 2:
--- a/fordstair/budgets/caps.py
+++ b/fordstair/budgets/caps.py
@@ -49,16 +49,27 @@
 class Caps:
     """Whether a request fits into this coordinator's shares; ``shares`` is asked at each look."""
 
-    def __init__(self, wholes: Sequence[Whole], teams: Sequence[str], classes: Sequence[str],
-                 shares: Callable[[float], Sequence[int]], moves_ms: float = 1_000.0) -> None:
+    def __init__(
+        self,
+        wholes: Sequence[Whole],
+        teams: Sequence[str],
+        classes: Sequence[str],
+        shares: Callable[[float], Sequence[int]],
+        moves_ms: float = 1_000.0,
+    ) -> None:
         self.wholes, self.shares, self.moves_ms = tuple(wholes), shares, moves_ms
         self.holds_ms = [HOLD_MS] * len(classes)  # how long a request holds its threads, on average, by class
         self.buckets = [Bucket() for _ in wholes]
         self._held: dict[int, Held] = {}  # by request
         self._of: dict[tuple[int, int], tuple[int, ...]] = {
-            (team, klass): tuple(index for index, whole in enumerate(wholes)
-                                 if whole.team in ("", of_team) and whole.klass in ("", of_class))
-            for team, of_team in enumerate(teams) for klass, of_class in enumerate(classes)}
+            (team, klass): tuple(
+                index
+                for index, whole in enumerate(wholes)
+                if whole.team in ("", of_team) and whole.klass in ("", of_class)
+            )
+            for team, of_team in enumerate(teams)
+            for klass, of_class in enumerate(classes)
+        }
 
     def arrives(self, now: float, team: int, klass: int, threads: int) -> None:
         """Note a request that will want its turn."""
@@ -124,8 +135,10 @@
 
     def needs(self) -> tuple[int, ...]:
         """Return the threads that are out and waited for; a rate is asked for by what comes alone."""
-        return tuple(bucket.threads + bucket.waiting if whole.kind == "threads" else 0
-                     for whole, bucket in zip(self.wholes, self.buckets, strict=True))
+        return tuple(
+            bucket.threads + bucket.waiting if whole.kind == "threads" else 0
+            for whole, bucket in zip(self.wholes, self.buckets, strict=True)
+        )
 
     def uses(self) -> tuple[int, ...]:
         """Return the threads that are out; what a rate lets out is not held."""
@@ -155,8 +168,16 @@
         for index in self._of.get((team, klass), ()):
             bucket, share, whole = self.buckets[index], shares[index], self.wholes[index]
             if whole.kind == "threads":
-                told.append(Cap(share, bucket.threads, bucket.hold_ms, bool(whole.team), bool(whole.klass),
-                                self.moves_ms))
+                told.append(
+                    Cap(
+                        share,
+                        bucket.threads,
+                        bucket.hold_ms,
+                        bool(whole.team),
+                        bool(whole.klass),
+                        self.moves_ms,
+                    )
+                )
                 continue
             short = bucket.waiting + 1 - self._earn(bucket, now, share)
             told.append(Meter(max(0.0, short) * 1_000.0 * MILLI / share if share else self.moves_ms))
--- a/fordstair/budgets/division.py
+++ b/fordstair/budgets/division.py
@@ -10,8 +10,14 @@
 from collections.abc import Mapping, Sequence
 
 
-def divide(whole: int, needs: Mapping[str, int], wants: Mapping[str, int], quantum: int,
-           order: Sequence[str], least: int = 0) -> dict[str, int]:
+def divide(
+    whole: int,
+    needs: Mapping[str, int],
+    wants: Mapping[str, int],
+    quantum: int,
+    order: Sequence[str],
+    least: int = 0,
+) -> dict[str, int]:
     """Return each member's share; they sum to the whole, or to nothing where there are no members.
 
     Shares are quanta: what is out and waits (``needs``) goes before what is expected (``wants``), since a
@@ -38,8 +44,9 @@
     return given
 
 
-def _lend(quanta: int, needs: Mapping[str, int], wants: Mapping[str, int], quantum: int,
-          order: Sequence[str]) -> dict[str, int]:
+def _lend(
+    quanta: int, needs: Mapping[str, int], wants: Mapping[str, int], quantum: int, order: Sequence[str]
+) -> dict[str, int]:
     """Divide quanta: what is needed, then what is wanted beyond that, then what is left to all alike."""
     weights = {name: max(1, wants[name]) for name in order}
     lent = _fill(quanta, {name: _quanta(needs[name], quantum) for name in order}, weights, order)
@@ -56,8 +63,9 @@
     return -(-max(0, units) // quantum)
 
 
-def _fill(quanta: int, needs: Mapping[str, int], weights: Mapping[str, int],
-          order: Sequence[str]) -> dict[str, int]:
+def _fill(
+    quanta: int, needs: Mapping[str, int], weights: Mapping[str, int], order: Sequence[str]
+) -> dict[str, int]:
     """Give to all in proportion to their weights until each has its need or nothing is left."""
     given = dict.fromkeys(order, 0)
     waiting = sorted((name for name in order if needs[name]), key=lambda name: needs[name] / weights[name])
--- a/fordstair/budgets/granter.py
+++ b/fordstair/budgets/granter.py
@@ -69,8 +69,9 @@
                 self.counts["turned_away"] += 1
                 return None
             nothing = (0,) * width
-            client = self.clients[who] = Client(ask.number, nothing, nothing, now, [], nothing, nothing,
-                                                [now] * width)
+            client = self.clients[who] = Client(
+                ask.number, nothing, nothing, now, [], nothing, nothing, [now] * width
+            )
         until_ms = now + self.plan.sure_ms
         # Of all that was granted, only what it has in force can still be: it takes no earlier answer now.
         kept = [lease for lease in client.leases if lease.number == ask.applied]
@@ -90,11 +91,14 @@
         self.counts["grants"] += 1
         return units
 
-    def _units(self, now: float, who: tuple[str, int], client: Client,
-               kept: Sequence[Lease]) -> tuple[int, ...]:
+    def _units(
+        self, now: float, who: tuple[str, int], client: Client, kept: Sequence[Lease]
+    ) -> tuple[int, ...]:
         """What a member is granted: its part of the division, as far as others have given theirs back."""
-        free = [pool - held + own
-                for pool, held, own in zip(self.plan.pools, self.held, client.counted, strict=True)]
+        free = [
+            pool - held + own
+            for pool, held, own in zip(self.plan.pools, self.held, client.counted, strict=True)
+        ]
         if now >= self.learns_until:
             aim: Sequence[int] = self._division(now, who)
         else:  # no more than it surely has: what others were granted is not known yet
@@ -113,9 +117,14 @@
             self._targets = {each: [] for each in self.clients}
             for index, (whole, pool) in enumerate(zip(self.plan.wholes, self.plan.pools, strict=True)):
                 known = {key: self.clients[each] for key, each in names.items()}
-                shares = divide(pool, {key: each.needs[index] for key, each in known.items()},
-                                {key: each.wants[index] for key, each in known.items()},
-                                whole.quantum, self._order(now, index, names), whole.least)
+                shares = divide(
+                    pool,
+                    {key: each.needs[index] for key, each in known.items()},
+                    {key: each.wants[index] for key, each in known.items()},
+                    whole.quantum,
+                    self._order(now, index, names),
+                    whole.least,
+                )
                 for key, share in shares.items():
                     self._targets[names[key]].append(share)
         return self._targets[who]
@@ -136,8 +145,9 @@
 
     def _set(self, client: Client, leases: list[Lease]) -> None:
         """Count what a member may hold: of several leases, any may be in force."""
-        counted = tuple(max((lease.units[index] for lease in leases), default=0)
-                        for index in range(len(self.held)))
+        counted = tuple(
+            max((lease.units[index] for lease in leases), default=0) for index in range(len(self.held))
+        )
         for index, (before, after) in enumerate(zip(client.counted, counted, strict=True)):
             self.held[index] += after - before
         client.leases, client.counted = leases, counted
--- a/fordstair/budgets/holding.py
+++ b/fordstair/budgets/holding.py
@@ -38,21 +38,36 @@
         """Note what could be used now, what is out and waits, and what is out, floors included."""
         self.wants, self.needs, self.uses = (
             tuple(max(0, each - floor) for each, floor in zip(told, self.floor, strict=True))
-            for told in (wants, needs, uses))
+            for told in (wants, needs, uses)
+        )
 
     def ask(self, now: float, incarnation: int, sender: str, *, leaving: bool = False) -> Ask:
         """Return the next question; the answer to an earlier one is not taken any more."""
         if leaving or now >= self.until_ms:
             self.lent, self.applied = (), 0
         self.number, self.asked_ms = self.number + 1, now
-        return Ask(self.plan.digest, sender, incarnation, self.number, self.applied, self.lent, self.uses,
-                   self.needs, self.wants, leaving)
+        return Ask(
+            self.plan.digest,
+            sender,
+            incarnation,
+            self.number,
+            self.applied,
+            self.lent,
+            self.uses,
+            self.needs,
+            self.wants,
+            leaving,
+        )
 
     def granted(self, now: float, number: int, units: Sequence[int]) -> Share | None:
         """Take the answer to the last question; None for any other, or one that has run out on its way."""
         until_ms = self.asked_ms + self.plan.term_ms
-        if number != self.number or number == self.applied or now >= until_ms \
-                or len(units) != len(self.plan.wholes):
+        if (
+            number != self.number
+            or number == self.applied
+            or now >= until_ms
+            or len(units) != len(self.plan.wholes)
+        ):
             return None
         self.lent, self.applied, self.until_ms = tuple(units), number, until_ms
         return Share(now, until_ms, self.lent)
--- a/fordstair/budgets/node.py
+++ b/fordstair/budgets/node.py
@@ -39,8 +39,9 @@
 class Node:
     """A member; ``addresses`` are those of the listed ones, by name."""
 
-    def __init__(self, plan: Plan, name: str, incarnation: int, addresses: Mapping[str, str],
-                 seed: int) -> None:
+    def __init__(
+        self, plan: Plan, name: str, incarnation: int, addresses: Mapping[str, str], seed: int
+    ) -> None:
         self.plan, self.name, self.incarnation = plan, name, incarnation
         self.addresses, self.counts = dict(addresses), Counter[str]()
         self.holding = Holding(plan, name)
@@ -168,8 +169,10 @@
             self.counts["answers_late"] += 1
             return
         self.leader, self._answer_by = message.sender, math.inf
-        self._patience_ms = min(ANSWER_MOST * self.plan.term_ms, max(
-            ASK_LEAST_MS, ANSWER_PART * self.plan.term_ms, 3.0 * (now - self.holding.asked_ms)))
+        self._patience_ms = min(
+            ANSWER_MOST * self.plan.term_ms,
+            max(ASK_LEAST_MS, ANSWER_PART * self.plan.term_ms, 3.0 * (now - self.holding.asked_ms)),
+        )
         if any(new < old for new, old in zip(message.units, before, strict=False)):
             # What was given back is free once the leader hears that it is in force.
             self._ask_at = min(self._ask_at, now + ASK_LEAST_MS)
@@ -193,8 +196,9 @@
         self._votes = {number: at for number, at in self._votes.items() if now - at < self.plan.reign_ms}
         self._votes[self._number] = now
         for voter in self.plan.members:
-            self._send(voter, Vote(self.plan.digest, self.name, self.incarnation, self._number,
-                                   self.candidacy.epoch))
+            self._send(
+                voter, Vote(self.plan.digest, self.name, self.incarnation, self._number, self.candidacy.epoch)
+            )
         self._vote_at = now + self.plan.reign_ms / ASKS_A_TERM * self._random.uniform(0.9, 1.1)
 
     def _depose(self, now: float) -> None:
@@ -256,10 +260,18 @@
                     return
                 ok = self.voter.vote(now, who, epoch)
                 held = self.voter.held(now)
-                self._send(message.sender, Voted(
-                    self.plan.digest, self.name, self.incarnation, number, ok,
-                    epoch if ok else self.voter.epoch,
-                    held.leader[0] if held is not None else None))
+                self._send(
+                    message.sender,
+                    Voted(
+                        self.plan.digest,
+                        self.name,
+                        self.incarnation,
+                        number,
+                        ok,
+                        epoch if ok else self.voter.epoch,
+                        held.leader[0] if held is not None else None,
+                    ),
+                )
                 if held is not None:
                     self._heard_of(held.leader[0])
             case Unvote(epoch=epoch):
@@ -283,14 +295,20 @@
         if not self.leads(now):
             held = self.voter.held(now) if self.voter is not None else None
             leader = held.leader[0] if held is not None and held.leader[0] != self.name else None
-            self._reply(who[0], source, Elsewhere(self.plan.digest, self.name, self.incarnation, ask.number,
-                                                  leader))
+            self._reply(
+                who[0], source, Elsewhere(self.plan.digest, self.name, self.incarnation, ask.number, leader)
+            )
             return
         assert self.granter is not None and self.candidacy is not None
         units = self.granter.ask(now, who, ask)
         if units is not None and not ask.leaving:
-            self._reply(who[0], source, Granted(self.plan.digest, self.name, self.incarnation, ask.number,
-                                                self.candidacy.epoch, units))
+            self._reply(
+                who[0],
+                source,
+                Granted(
+                    self.plan.digest, self.name, self.incarnation, ask.number, self.candidacy.epoch, units
+                ),
+            )
 
     def _settle(self, now: float) -> None:
         """Take in what this member has said to itself."""
--- a/fordstair/budgets/transport.py
+++ b/fordstair/budgets/transport.py
@@ -78,21 +78,50 @@
         """Yield this member's shares, and all others' where it leads."""
         now, node = lease_ms(), self.node
         leads = node.leads(now)
-        told = [(node.name, self.shares(), node.holding.floor, node.uses(), node.wants(),
-                 node.holding.until_ms, True)]
+        told = [
+            (
+                node.name,
+                self.shares(),
+                node.holding.floor,
+                node.uses(),
+                node.wants(),
+                node.holding.until_ms,
+                True,
+            )
+        ]
         if leads and node.granter is not None:
-            told += [(name, tuple(floor + lent for floor, lent in zip(
-                self.plan.floor_of(name), client.granted, strict=True)), self.plan.floor_of(name),
-                (0,) * len(client.granted), client.wants,
-                max((lease.until_ms for lease in client.leases), default=0.0), False)
-                for (name, _), client in node.granter.clients.items() if name != node.name]
+            told += [
+                (
+                    name,
+                    tuple(
+                        floor + lent
+                        for floor, lent in zip(self.plan.floor_of(name), client.granted, strict=True)
+                    ),
+                    self.plan.floor_of(name),
+                    (0,) * len(client.granted),
+                    client.wants,
+                    max((lease.until_ms for lease in client.leases), default=0.0),
+                    False,
+                )
+                for (name, _), client in node.granter.clients.items()
+                if name != node.name
+            ]
         for member, shares, floors, out, wants, until_ms, own in told:
             for index, whole in enumerate(self.plan.wholes):
                 unit = 1.0 if whole.kind == "threads" else float(MILLI)
-                yield Row(member, whole.name, whole.units / unit, shares[index] / unit, floors[index] / unit,
-                          out[index] / unit, wants[index] / unit,
-                          wall_ms + until_ms - now if until_ms > now else 0.0, node.leader, own,
-                          own and leads)
+                yield Row(
+                    member,
+                    whole.name,
+                    whole.units / unit,
+                    shares[index] / unit,
+                    floors[index] / unit,
+                    out[index] / unit,
+                    wants[index] / unit,
+                    wall_ms + until_ms - now if until_ms > now else 0.0,
+                    node.leader,
+                    own,
+                    own and leads,
+                )
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Take part until cancelled; raise OSError where the address or the audit's file cannot be had."""
@@ -104,8 +133,15 @@
             if self._part.audit:
                 self._audit = Path(self._part.audit).open("a", encoding="utf-8")  # noqa: SIM115
             bound = self._sock.getsockname()[:2]
-            log.info("listening", name=self.node.name, front="budgets", host=bound[0], port=bound[1],
-                     wholes=len(self.plan.wholes), listed=self.node.name in self.plan.members)
+            log.info(
+                "listening",
+                name=self.node.name,
+                front="budgets",
+                host=bound[0],
+                port=bound[1],
+                wholes=len(self.plan.wholes),
+                listed=self.node.name in self.plan.members,
+            )
             self.node.start(lease_ms())
             task_status.started()
             try:
@@ -184,9 +220,13 @@
         if self._audit is None or self._audit.tell() > AUDIT_MOST:
             return
         try:
-            told = {"member": self.node.name, "life": self.node.incarnation,
-                    "from_ms": right_ms(share.from_ms), "until_ms": right_ms(share.until_ms),
-                    "lent": share.lent}
+            told = {
+                "member": self.node.name,
+                "life": self.node.incarnation,
+                "from_ms": right_ms(share.from_ms),
+                "until_ms": right_ms(share.until_ms),
+                "lent": share.lent,
+            }
             self._audit.write(ujson.dumps(told) + "\n")
             self._audit.flush()
         except OSError as error:
--- a/fordstair/budgets/whole.py
+++ b/fordstair/budgets/whole.py
@@ -65,14 +65,17 @@
     def floors(self) -> tuple[int, ...]:
         """What each listed member has of each budget at all times: room for some request, or nothing."""
         size = max(self.size, len(self.members))
-        return tuple(int(whole.units * self.floor_part) // size // whole.least * whole.least
-                     for whole in self.wholes)
+        return tuple(
+            int(whole.units * self.floor_part) // size // whole.least * whole.least for whole in self.wholes
+        )
 
     @cached_property
     def pools(self) -> tuple[int, ...]:
         """What is left to lend of each budget."""
-        return tuple(whole.units - floor * len(self.members)
-                     for whole, floor in zip(self.wholes, self.floors, strict=True))
+        return tuple(
+            whole.units - floor * len(self.members)
+            for whole, floor in zip(self.wholes, self.floors, strict=True)
+        )
 
     def floor_of(self, member: str) -> tuple[int, ...]:
         """A member's floors; none for one that is not listed."""
@@ -81,8 +84,17 @@
     @cached_property
     def digest(self) -> int:
         """48 bits that differ between two plans: who has another plan is neither granted nor voted for."""
-        told = repr((self.cluster, self.wholes, sorted(self.members), self.term_ms, self.drift,
-                     self.floor_part, self.size))
+        told = repr(
+            (
+                self.cluster,
+                self.wholes,
+                sorted(self.members),
+                self.term_ms,
+                self.drift,
+                self.floor_part,
+                self.size,
+            )
+        )
         return int.from_bytes(blake2b(told.encode(), digest_size=6).digest(), "big")
 
 
--- a/fordstair/cli/app.py
+++ b/fordstair/cli/app.py
@@ -28,20 +28,38 @@
 
 
 app = typer.Typer(
-    name="fordstair", no_args_is_help=True, pretty_exceptions_enable=False, rich_markup_mode=None,
+    name="fordstair",
+    no_args_is_help=True,
+    pretty_exceptions_enable=False,
+    rich_markup_mode=None,
     help="A coordinator for small sites: start it, watch it, adjust it.",
     epilog="Exit codes: 0 done; 1 not reached, or a run that went wrong; 2 a file or command line that "
-           "cannot be used; 3 an adjustment that the program refused; 4 one that was not confirmed.")
+    "cannot be used; 3 an adjustment that the program refused; 4 one that was not confirmed.",
+)
 
 File = Annotated[Path, typer.Argument(help="The operator's file.", metavar="FILE")]
 Json = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
 Yes = Annotated[bool, typer.Option("--yes", "-y", help="Do not ask where it disturbs service.")]
-Socket = Annotated[str, typer.Option(
-    "--socket", "-s", envvar="FORDSTAIR_SOCKET", metavar="PATH",
-    help="The console's socket; without it, that of --file.")]
-FileOption = Annotated[Path, typer.Option(
-    "--file", "-f", envvar="FORDSTAIR_FILE", metavar="FILE",
-    help="The operator's file that names the socket.")]
+Socket = Annotated[
+    str,
+    typer.Option(
+        "--socket",
+        "-s",
+        envvar="FORDSTAIR_SOCKET",
+        metavar="PATH",
+        help="The console's socket; without it, that of --file.",
+    ),
+]
+FileOption = Annotated[
+    Path,
+    typer.Option(
+        "--file",
+        "-f",
+        envvar="FORDSTAIR_FILE",
+        metavar="FILE",
+        help="The operator's file that names the socket.",
+    ),
+]
 
 
 def end(code: Exit, *lines: str) -> NoReturn:
@@ -92,13 +110,21 @@
     except (ConfigError, ValueError) as error:
         faults = (Fault("", str(error)),)
     if as_json:
-        typer.echo(json.dumps({"file": str(file), "faults": [
-            {"path": fault.path, "reason": fault.reason} for fault in faults]}))
+        typer.echo(
+            json.dumps(
+                {
+                    "file": str(file),
+                    "faults": [{"path": fault.path, "reason": fault.reason} for fault in faults],
+                }
+            )
+        )
     if faults:
         end(Exit.UNUSABLE, *(() if as_json else (fault.line(str(file)) for fault in faults)))
     if not as_json:
-        typer.echo(f"{file}: no fault: {len(told.engines)} engines, {len(told.classes)} classes, "
-                   f"{len(told.teams)} teams")
+        typer.echo(
+            f"{file}: no fault: {len(told.engines)} engines, {len(told.classes)} classes, "
+            f"{len(told.teams)} teams"
+        )
 
 
 @app.command()
@@ -157,9 +183,12 @@
 
 
 @app.command()
-def replay(traffic: Annotated[Path, typer.Argument(metavar="TRAFFIC.jsonl")],
-           against: Annotated[Path, typer.Option("--against", metavar="FILE", help="The operator's file.")],
-           seed: int = 1, as_json: Json = False) -> None:
+def replay(
+    traffic: Annotated[Path, typer.Argument(metavar="TRAFFIC.jsonl")],
+    against: Annotated[Path, typer.Option("--against", metavar="FILE", help="The operator's file.")],
+    seed: int = 1,
+    as_json: Json = False,
+) -> None:
     """Play traffic against a file's classes, teams and engines in virtual time, with budgets and without."""
     from fordstair.lab.replay import compare
     from fordstair.settings.site import load_checked
@@ -180,10 +209,18 @@
 
 @app.command()
 def console(
-    socket: Socket = "", file: FileOption = Path(DEFAULT_FILE),
+    socket: Socket = "",
+    file: FileOption = Path(DEFAULT_FILE),
     once: Annotated[bool, typer.Option("--once", help="Print one look, and leave.")] = False,
-    svg: Annotated[str, typer.Option("--svg", metavar="FILE", hidden=True,
-                                     help="Save a picture of the console after a moment, and leave.")] = "",
+    svg: Annotated[
+        str,
+        typer.Option(
+            "--svg",
+            metavar="FILE",
+            hidden=True,
+            help="Save a picture of the console after a moment, and leave.",
+        ),
+    ] = "",
 ) -> None:
     """Watch and adjust a running program in the terminal."""
     path = door(socket, file)
@@ -241,24 +278,38 @@
 
 
 @app.command("set-aside")
-def set_aside(engine: Annotated[str, typer.Argument(metavar="ENGINE")], socket: Socket = "",
-              file: FileOption = Path(DEFAULT_FILE), yes: Yes = False, as_json: Json = False) -> None:
+def set_aside(
+    engine: Annotated[str, typer.Argument(metavar="ENGINE")],
+    socket: Socket = "",
+    file: FileOption = Path(DEFAULT_FILE),
+    yes: Yes = False,
+    as_json: Json = False,
+) -> None:
     """Send an engine nothing new; what runs there goes on. In force until restart or bring-back."""
     adjust("set-aside", socket, file, yes, as_json, engine=engine)
 
 
 @app.command("bring-back")
-def bring_back(engine: Annotated[str, typer.Argument(metavar="ENGINE")], socket: Socket = "",
-               file: FileOption = Path(DEFAULT_FILE), yes: Yes = False, as_json: Json = False) -> None:
+def bring_back(
+    engine: Annotated[str, typer.Argument(metavar="ENGINE")],
+    socket: Socket = "",
+    file: FileOption = Path(DEFAULT_FILE),
+    yes: Yes = False,
+    as_json: Json = False,
+) -> None:
     """Send an engine work again."""
     adjust("bring-back", socket, file, yes, as_json, engine=engine)
 
 
 @app.command()
-def limit(klass: Annotated[str, typer.Argument(metavar="CLASS")],
-          threads: Annotated[str, typer.Argument(metavar="THREADS", help="A number, or 'none'.")],
-          socket: Socket = "", file: FileOption = Path(DEFAULT_FILE), yes: Yes = False,
-          as_json: Json = False) -> None:
+def limit(
+    klass: Annotated[str, typer.Argument(metavar="CLASS")],
+    threads: Annotated[str, typer.Argument(metavar="THREADS", help="A number, or 'none'.")],
+    socket: Socket = "",
+    file: FileOption = Path(DEFAULT_FILE),
+    yes: Yes = False,
+    as_json: Json = False,
+) -> None:
     """Bound the threads that a class may have out at engines. In force until restart."""
     if threads != "none" and not (threads.isascii() and threads.isdecimal() and len(threads) < 10):
         end(Exit.UNUSABLE, f"THREADS: {threads!r} is neither a number nor 'none'")
@@ -267,8 +318,9 @@
 
 
 @app.command()
-def drain(socket: Socket = "", file: FileOption = Path(DEFAULT_FILE), yes: Yes = False,
-          as_json: Json = False) -> None:
+def drain(
+    socket: Socket = "", file: FileOption = Path(DEFAULT_FILE), yes: Yes = False, as_json: Json = False
+) -> None:
     """Let the program answer what is open, take nothing more, and end."""
     adjust("drain", socket, file, yes, as_json)
 
--- a/fordstair/cli/demo.py
+++ b/fordstair/cli/demo.py
@@ -32,6 +32,7 @@
 
     def headless(self, seconds: float, progress: bool) -> dict[str, Any]:
         """Run for that long; return the figures."""
+
         async def scene() -> None:
             with tempfile.TemporaryDirectory(prefix="fordstair-") as folder:
                 async with appliance(Path(folder), self.engines) as one, trio.open_nursery() as nursery:
@@ -121,9 +122,12 @@
         while True:
             await trio.sleep(1.0)
             counts = self.tally.counts
-            print(f"{trio.current_time() - start:4.0f}/{seconds:.0f} s  asked {counts['asked']}  served "
-                  f"{counts['served']}  refused {counts['refused']}  failed {counts['failed']}",
-                  file=sys.stderr, flush=True)
+            print(
+                f"{trio.current_time() - start:4.0f}/{seconds:.0f} s  asked {counts['asked']}  served "
+                f"{counts['served']}  refused {counts['refused']}  failed {counts['failed']}",
+                file=sys.stderr,
+                flush=True,
+            )
 
 
 def _first(group: BaseExceptionGroup[Any]) -> BaseException:
--- a/fordstair/cli/tables.py
+++ b/fordstair/cli/tables.py
@@ -17,8 +17,9 @@
     """Return a pane's rows as a table."""
     table = Table(title=pane.title, title_justify="left", box=None, pad_edge=False)
     for name in pane.columns:
-        table.add_column(name, justify="right" if name in pane.right else "left",
-                         no_wrap=name != pane.columns[-1])
+        table.add_column(
+            name, justify="right" if name in pane.right else "left", no_wrap=name != pane.columns[-1]
+        )
     for _, cells in lines:
         table.add_row(*cells)
     return table
@@ -39,4 +40,3 @@
     for name, value in values.items():
         table.add_row(name, str(value))
     Console().print(table)
-
--- a/fordstair/config.py
+++ b/fordstair/config.py
@@ -115,13 +115,18 @@
     if channel:
         address(channel, "channel")
     return Config(
-        name=str(told.get("name", "")), listen=address(told.get("listen"), "listen"), seed=seed,
+        name=str(told.get("name", "")),
+        listen=address(told.get("listen"), "listen"),
+        seed=seed,
         sockets=int(_number(limits.get("sockets", 1_024), "limits.sockets", least=64)),
         memory_mb=_number(limits.get("memory_mb", 192), "limits.memory_mb"),
-        channel=channel, cursor=int(_number(known.get("cursor", 0), "known.cursor")), known=events,
+        channel=channel,
+        cursor=int(_number(known.get("cursor", 0), "known.cursor")),
+        known=events,
         settings=parsed,
         connect_timeout_ms=_setting(pairs, "limits.connectTimeoutMs", "250"),
-        idle_ms=_setting(pairs, "limits.connIdleMs", "30000"))
+        idle_ms=_setting(pairs, "limits.connIdleMs", "30000"),
+    )
 
 
 def _object(told: Mapping[str, Any], field: str) -> Mapping[str, Any]:
--- a/fordstair/console/app.py
+++ b/fordstair/console/app.py
@@ -110,7 +110,9 @@
     """Asks before what disturbs service; only ``y`` is a yes."""
 
     BINDINGS: ClassVar[list[BindingType]] = [
-        Binding("y", "answer(True)", "yes"), Binding("n,escape,enter,q", "answer(False)", "no")]
+        Binding("y", "answer(True)", "yes"),
+        Binding("n,escape,enter,q", "answer(False)", "no"),
+    ]
 
     def __init__(self, what: str, why: str) -> None:
         super().__init__()
@@ -118,8 +120,9 @@
 
     def compose(self) -> ComposeResult:
         """Show what is about to be done, and what it does."""
-        yield Static(f"{self.what}\n\n{self.why}\n\ny: do it    n: leave it as it is", id="question",
-                     markup=False)
+        yield Static(
+            f"{self.what}\n\n{self.why}\n\ny: do it    n: leave it as it is", id="question", markup=False
+        )
 
     def action_answer(self, yes: bool) -> None:
         """Close with the answer."""
@@ -172,10 +175,13 @@
     """
     BINDINGS: ClassVar[list[BindingType]] = [
         Binding("question_mark", "help", "help", key_display="?"),
-        Binding("a", "set_aside", "aside"), Binding("b", "bring_back", "back"),
-        Binding("l", "limit", "limit"), Binding("d", "drain", "drain"),
+        Binding("a", "set_aside", "aside"),
+        Binding("b", "bring_back", "back"),
+        Binding("l", "limit", "limit"),
+        Binding("d", "drain", "drain"),
         *(Binding(str(n + 1), f"lower('{pane.name}')", pane.title.lower()) for n, pane in enumerate(LOWER)),
-        Binding("q", "quit", "quit")]
+        Binding("q", "quit", "quit"),
+    ]
     ENABLE_COMMAND_PALETTE = False
 
     def __init__(self, path: str, clock: Callable[[], tuple[float, float]] = clocks) -> None:
--- a/fordstair/console/once.py
+++ b/fordstair/console/once.py
@@ -31,6 +31,7 @@
 
 def save_svg(path: str, to: str, size: tuple[int, int] = (100, 30)) -> None:
     """Save a picture of the console as it looks after a moment."""
+
     async def scene() -> None:
         app = ConsoleApp(path)
         async with app.run_test(size=size) as pilot:
--- a/fordstair/console/panes.py
+++ b/fordstair/console/panes.py
@@ -46,62 +46,125 @@
 
 def state_of(view: EngineView, now_ms: float, stale: bool) -> str:
     """Name an engine's state, with what belongs to it."""
-    text = {"silent": f"silent {age(view.heard_ms, now_ms)}", "warming": f"warming {view.warmth:.0%}",
-            "aside": "set aside"}.get(view.state, view.state)
+    text = {
+        "silent": f"silent {age(view.heard_ms, now_ms)}",
+        "warming": f"warming {view.warmth:.0%}",
+        "aside": "set aside",
+    }.get(view.state, view.state)
     return f"{text}?" if stale else text
 
 
 def _engines(picture: Picture, now_ms: float, stale: bool) -> Rows:
     views: list[EngineView] = picture.rows("engines")
-    return [(view.id, (
-        view.id, state_of(view, now_ms, stale), age(view.changed_ms, now_ms), str(view.out),
-        f"{view.threads}/{view.cores:g}", f"{view.load:.2f}", age(view.report_ms, now_ms),
-        f"{view.trust:.0%}", age(view.heard_ms, now_ms),
-        "" if view.priorities else "no priorities")) for view in views]
+    return [
+        (
+            view.id,
+            (
+                view.id,
+                state_of(view, now_ms, stale),
+                age(view.changed_ms, now_ms),
+                str(view.out),
+                f"{view.threads}/{view.cores:g}",
+                f"{view.load:.2f}",
+                age(view.report_ms, now_ms),
+                f"{view.trust:.0%}",
+                age(view.heard_ms, now_ms),
+                "" if view.priorities else "no priorities",
+            ),
+        )
+        for view in views
+    ]
 
 
 def _classes(picture: Picture, now_ms: float, stale: bool) -> Rows:
-    return [(view.name, (
-        view.name, str(view.open), str(view.out), str(view.threads),
-        "-" if view.limit is None else str(view.limit),
-        age(view.oldest_ms, now_ms) if view.open else "-", str(view.served), str(view.refused),
-        str(view.failed))) for view in picture.rows("classes")]
+    return [
+        (
+            view.name,
+            (
+                view.name,
+                str(view.open),
+                str(view.out),
+                str(view.threads),
+                "-" if view.limit is None else str(view.limit),
+                age(view.oldest_ms, now_ms) if view.open else "-",
+                str(view.served),
+                str(view.refused),
+                str(view.failed),
+            ),
+        )
+        for view in picture.rows("classes")
+    ]
 
 
 def _teams(picture: Picture, now_ms: float, stale: bool) -> Rows:
-    return [(view.name, (view.name, str(view.open), str(view.out), str(view.threads),
-                         age(view.oldest_ms, now_ms) if view.open else "-",
-                         "-" if view.wait_ms is None else span(view.wait_ms)))
-            for view in picture.rows("teams")]
+    return [
+        (
+            view.name,
+            (
+                view.name,
+                str(view.open),
+                str(view.out),
+                str(view.threads),
+                age(view.oldest_ms, now_ms) if view.open else "-",
+                "-" if view.wait_ms is None else span(view.wait_ms),
+            ),
+        )
+        for view in picture.rows("teams")
+    ]
 
 
 def _requests(picture: Picture, now_ms: float, stale: bool) -> Rows:
     views = picture.rows("requests")
-    return [(str(view.id), (
-        view.txn, view.lane, view.team, age(view.taken_ms, now_ms), span(view.deadline_ms - now_ms),
-        str(view.attempts), view.engine or "waits")) for view in views]
+    return [
+        (
+            str(view.id),
+            (
+                view.txn,
+                view.lane,
+                view.team,
+                age(view.taken_ms, now_ms),
+                span(view.deadline_ms - now_ms),
+                str(view.attempts),
+                view.engine or "waits",
+            ),
+        )
+        for view in views
+    ]
 
 
 def _refusals(picture: Picture, now_ms: float, stale: bool) -> Rows:
     views = picture.rows("refusals")
-    return [(f"{view.lane}|{view.reason}", (view.lane, view.reason or "no reason told", str(view.count)))
-            for view in views]
+    return [
+        (f"{view.lane}|{view.reason}", (view.lane, view.reason or "no reason told", str(view.count)))
+        for view in views
+    ]
 
 
 def _adjustments(picture: Picture, now_ms: float, stale: bool) -> Rows:
     views = picture.rows("adjustments")
-    return [(view.target, (view.target, view.what, view.who, age(view.at_ms, now_ms), "until restart"))
-            for view in views]
+    return [
+        (view.target, (view.target, view.what, view.who, age(view.at_ms, now_ms), "until restart"))
+        for view in views
+    ]
 
 
 def _members(picture: Picture, now_ms: float, stale: bool) -> Rows:
-    return [(view.name, (
-        f"{view.name} (here)" if view.own else view.name, f"{view.state}?" if stale else view.state,
-        age(view.since_ms, now_ms), str(view.incarnation),
-        f"{view.accusers} for {span(view.until_ms - now_ms)}" if view.until_ms else "-",
-        view.by if not view.own else "-", view.address,
-        _member_note(view)))
-        for view in picture.rows("members")]
+    return [
+        (
+            view.name,
+            (
+                f"{view.name} (here)" if view.own else view.name,
+                f"{view.state}?" if stale else view.state,
+                age(view.since_ms, now_ms),
+                str(view.incarnation),
+                f"{view.accusers} for {span(view.until_ms - now_ms)}" if view.until_ms else "-",
+                view.by if not view.own else "-",
+                view.address,
+                _member_note(view),
+            ),
+        )
+        for view in picture.rows("members")
+    ]
 
 
 def _member_note(view: MemberView) -> str:
@@ -115,42 +178,82 @@
 
 
 def _shares(picture: Picture, now_ms: float, stale: bool) -> Rows:
-    return [(f"{view.member}|{view.budget}", (
-        view.budget, f"{view.member} (here)" if view.own else view.member, f"{view.share:g}",
-        f"{view.out:g}" if view.own else "-", f"{view.wants:g}", f"{view.floor:g}" if view.own else "-",
-        f"{view.whole:g}", span(view.until_ms - now_ms) if view.until_ms > now_ms else "floor alone",
-        view.leader or "nobody known"))
-        for view in picture.rows("shares")]
+    return [
+        (
+            f"{view.member}|{view.budget}",
+            (
+                view.budget,
+                f"{view.member} (here)" if view.own else view.member,
+                f"{view.share:g}",
+                f"{view.out:g}" if view.own else "-",
+                f"{view.wants:g}",
+                f"{view.floor:g}" if view.own else "-",
+                f"{view.whole:g}",
+                span(view.until_ms - now_ms) if view.until_ms > now_ms else "floor alone",
+                view.leader or "nobody known",
+            ),
+        )
+        for view in picture.rows("shares")
+    ]
 
 
 def _notes(picture: Picture, now_ms: float, stale: bool) -> Rows:
-    return [(str(note.number), (age(note.at_ms, now_ms), note.level, note.text))
-            for note in reversed(picture.notes)]
+    return [
+        (str(note.number), (age(note.at_ms, now_ms), note.level, note.text))
+        for note in reversed(picture.notes)
+    ]
 
 
 def _numbers(*names: str) -> frozenset[str]:
     return frozenset(names)
 
 
-ENGINES = Pane("engines", "Engines", (
-    "engine", "state", "for", "out", "thr/cores", "load", "told", "trust", "heard", "note"), _engines,
-    _numbers("for", "out", "thr/cores", "load", "told", "trust", "heard"))
-CLASSES = Pane("classes", "Classes", (
-    "class", "open", "out", "threads", "limit", "oldest", "served", "refused", "failed"), _classes,
-    _numbers("open", "out", "threads", "limit", "oldest", "served", "refused", "failed"))
-TEAMS = Pane("teams", "Teams", ("team", "open", "out", "threads", "oldest", "wait"), _teams,
-             _numbers("open", "out", "threads", "oldest", "wait"))
-REQUESTS = Pane("requests", "Waiting", ("request", "class", "team", "age", "left", "tries", "engine"),
-                _requests, _numbers("age", "left", "tries"))
+ENGINES = Pane(
+    "engines",
+    "Engines",
+    ("engine", "state", "for", "out", "thr/cores", "load", "told", "trust", "heard", "note"),
+    _engines,
+    _numbers("for", "out", "thr/cores", "load", "told", "trust", "heard"),
+)
+CLASSES = Pane(
+    "classes",
+    "Classes",
+    ("class", "open", "out", "threads", "limit", "oldest", "served", "refused", "failed"),
+    _classes,
+    _numbers("open", "out", "threads", "limit", "oldest", "served", "refused", "failed"),
+)
+TEAMS = Pane(
+    "teams",
+    "Teams",
+    ("team", "open", "out", "threads", "oldest", "wait"),
+    _teams,
+    _numbers("open", "out", "threads", "oldest", "wait"),
+)
+REQUESTS = Pane(
+    "requests",
+    "Waiting",
+    ("request", "class", "team", "age", "left", "tries", "engine"),
+    _requests,
+    _numbers("age", "left", "tries"),
+)
 REFUSALS = Pane("refusals", "Refusals", ("class", "reason", "count"), _refusals, _numbers("count"))
-ADJUSTMENTS = Pane("adjustments", "In force", ("what", "is", "by", "ago", "lasts"), _adjustments,
-                   _numbers("ago"))
-MEMBERS = Pane("members", "Fleet", (
-    "member", "state", "for", "incarnation", "accusers", "by", "address", "note"), _members,
-    _numbers("for", "incarnation"))
-SHARES = Pane("shares", "Shares", (
-    "budget", "member", "share", "out", "wants", "floor", "whole", "lease", "granted by"), _shares,
-    _numbers("share", "out", "wants", "floor", "whole", "lease"))
+ADJUSTMENTS = Pane(
+    "adjustments", "In force", ("what", "is", "by", "ago", "lasts"), _adjustments, _numbers("ago")
+)
+MEMBERS = Pane(
+    "members",
+    "Fleet",
+    ("member", "state", "for", "incarnation", "accusers", "by", "address", "note"),
+    _members,
+    _numbers("for", "incarnation"),
+)
+SHARES = Pane(
+    "shares",
+    "Shares",
+    ("budget", "member", "share", "out", "wants", "floor", "whole", "lease", "granted by"),
+    _shares,
+    _numbers("share", "out", "wants", "floor", "whole", "lease"),
+)
 LOG = Pane("log", "Log", ("ago", "level", "event"), _notes, _numbers("ago"))
 PANES = (ENGINES, CLASSES, TEAMS, REQUESTS, REFUSALS, ADJUSTMENTS, MEMBERS, SHARES, LOG)
 
@@ -161,8 +264,10 @@
     if not picture.number:
         return f"STALE {stale}"
     waits = site.open - site.out
-    text = (f"{site.name}  up {age(site.started_ms, now_ms)}  open {site.open}  waiting {waits}"
-            f"  picture {picture.number}, {age(picture.at_ms, now_ms)} old")
+    text = (
+        f"{site.name}  up {age(site.started_ms, now_ms)}  open {site.open}  waiting {waits}"
+        f"  picture {picture.number}, {age(picture.at_ms, now_ms)} old"
+    )
     if site.draining:
         text = f"DRAINING  {text}"
     return f"STALE: {stale}  {text}" if stale else f"LIVE  {text}"
--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -24,8 +24,14 @@
 class AdmissionQueue:
     """Puts a scheduler before one coordinator's module."""
 
-    def __init__(self, coordinator: Coordinator, scheduler: Scheduler, threads_a_core: float,
-                 caps: Caps | None = None, seed: int = 1) -> None:
+    def __init__(
+        self,
+        coordinator: Coordinator,
+        scheduler: Scheduler,
+        threads_a_core: float,
+        caps: Caps | None = None,
+        seed: int = 1,
+    ) -> None:
         self.coordinator, self.scheduler, self.threads_a_core = coordinator, scheduler, threads_a_core
         self.caps, self.places = caps, Places(seed)  # this coordinator's part of a fleet's budgets, if any
         self._lives: dict[int, LiveRequest] = {}
@@ -42,9 +48,18 @@
         work_ms = gateway.cache.forecast(told.klass, told.group, told.cost_ms)
         self._resize()
         caps = () if self.caps is None else self.caps.binding(now, told.tenant, told.klass)
-        admission = self.scheduler.arrive(Told(
-            live.id, told.tenant, told.klass, spec.threads, work_ms,
-            last_start(spec, work_ms, now, live.deadline_ms), caps), now)
+        admission = self.scheduler.arrive(
+            Told(
+                live.id,
+                told.tenant,
+                told.klass,
+                spec.threads,
+                work_ms,
+                last_start(spec, work_ms, now, live.deadline_ms),
+                caps,
+            ),
+            now,
+        )
         if self.caps is not None:
             self.caps.arrives(now, told.tenant, told.klass, spec.threads)
         if admission.refused is not None:
@@ -106,7 +121,8 @@
     def _room(self, item: Item) -> Room:
         gateway = self.coordinator.gateway
         if self.caps is not None and not self.caps.fits(
-                self.coordinator.deadlines.clock(), item.team, item.klass, item.threads):
+            self.coordinator.deadlines.clock(), item.team, item.klass, item.threads
+        ):
             return Room.BUDGET_FULL
         if gateway.has_room(self.coordinator.arrival(self._lives[item.id])):
             return Room.FITS
@@ -115,8 +131,12 @@
     def _refuse(self, live: LiveRequest, why: Refused, later_ms: float) -> None:
         """Answer at once, with the time from which there is room: nothing of it ever ran."""
         settings = self.coordinator.settings
-        later = self.places.next(self.coordinator.deadlines.clock(), max(LATER_LEAST_MS, later_ms),
-                                 self.scheduler.turns_a_ms, settings.max_retry_after_ms)
+        later = self.places.next(
+            self.coordinator.deadlines.clock(),
+            max(LATER_LEAST_MS, later_ms),
+            self.scheduler.turns_a_ms,
+            settings.max_retry_after_ms,
+        )
         self.coordinator.refuse(live, later if settings.retry_advice else 0.0, why.value)
 
     def _resize(self) -> None:
@@ -144,8 +164,11 @@
         """Lower and raise what runs, as budgets and those that wait want it."""
         if not self.coordinator.settings.priorities:
             return
-        live = {each.id: each for each in self.coordinator.live.values()
-                if each.call is not None and not each.over}
+        live = {
+            each.id: each
+            for each in self.coordinator.live.values()
+            if each.call is not None and not each.over
+        }
         waiting, groups = set[int](), dict[float, set[int]]()
         for each in self._lives.values():
             waiting.add(each.query.tenant)
@@ -153,7 +176,8 @@
         accounts = self.scheduler.budgets.accounts
         within = {team for team in accounts if self.scheduler.budgets.within(team)}
         for id, lowered in self.preemption.decide(
-                now, [self._runs(each, now) for each in live.values()], within, waiting, groups):
+            now, [self._runs(each, now) for each in live.values()], within, waiting, groups
+        ):
             self.coordinator.lower(live[id], lowered)
 
     def _runs(self, live: LiveRequest, now: float) -> Runs:
@@ -162,8 +186,14 @@
         attempt = coordinator.gateway.attempts.get((live.id, live.attempts - 1))
         left_ms = attempt.sent + attempt.expected - now if attempt is not None else 0.0
         engine = coordinator.engines.get(live.engine)
-        return Runs(live.id, query.tenant, query.group, coordinator.settings.classes[query.klass].is_load,
-                    left_ms, engine is not None and engine.protocol != "odata")
+        return Runs(
+            live.id,
+            query.tenant,
+            query.group,
+            coordinator.settings.classes[query.klass].is_load,
+            left_ms,
+            engine is not None and engine.protocol != "odata",
+        )
 
     def outlook(self, team: int) -> tuple[int, float]:
         """Return how many requests of a team wait, and how long one of the first class would, in ms."""
--- a/fordstair/core/clock.py
+++ b/fordstair/core/clock.py
@@ -37,8 +37,9 @@
 class AnchoredClock:
     """Relates Unix time to monotonic time by one look at both clocks, so that later steps change nothing."""
 
-    def __init__(self, monotonic: Callable[[], float] = monotonic_now,
-                 unix: Callable[[], UnixMs] = unix_now) -> None:
+    def __init__(
+        self, monotonic: Callable[[], float] = monotonic_now, unix: Callable[[], UnixMs] = unix_now
+    ) -> None:
         self._monotonic = monotonic
         self._offset_ms = unix().value - monotonic()
 
@@ -58,8 +59,9 @@
 class WallClock:
     """Tells moments of the monotonic clock in the wall clock's time of now, for people; follows its steps."""
 
-    def __init__(self, monotonic: Callable[[], float] = monotonic_now,
-                 unix: Callable[[], UnixMs] = unix_now) -> None:
+    def __init__(
+        self, monotonic: Callable[[], float] = monotonic_now, unix: Callable[[], UnixMs] = unix_now
+    ) -> None:
         self._monotonic, self._unix = monotonic, unix
         self._offset_ms = self._measure()
 
--- a/fordstair/core/coordinator.py
+++ b/fordstair/core/coordinator.py
@@ -58,8 +58,14 @@
 class Coordinator:
     """Feeds the module with events and carries out its actions."""
 
-    def __init__(self, settings: Settings, seed: int, transports: Mapping[str, Transport],
-                 deadlines: Deadlines, counters: Counters) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        seed: int,
+        transports: Mapping[str, Transport],
+        deadlines: Deadlines,
+        counters: Counters,
+    ) -> None:
         self.settings, self.transports = settings, transports
         self.deadlines, self.counters, self.invariants = deadlines, counters, Invariants(counters)
         self.gateway = Gateway(settings, seed)
@@ -91,8 +97,9 @@
         now = self.deadlines.clock()
         spec = self.settings.classes[query.klass]
         left_ms = max(0.0, query.limit_ms - TRANSIT_MS - query.waited_ms)
-        live = LiveRequest(self._last_id, query, reply, now, now + left_ms,
-                    SendGuard(spec.effect, spec.memory_span_ms))
+        live = LiveRequest(
+            self._last_id, query, reply, now, now + left_ms, SendGuard(spec.effect, spec.memory_span_ms)
+        )
         self.live[live.id] = live
         self._txns.add(query.txn.lower())
         self.counters.add(f"taken.{query.lane}")
@@ -198,18 +205,28 @@
         if outcome.status is Status.OK:
             self.answer(live, "served", partial(live.reply.served, outcome.pages))
         return AttemptEnded(
-            live.id, number, order.engine, outcome.status, took_ms, complete=live.over, report=outcome.report,
-            loose=outcome.loose, late=outcome.late)
+            live.id,
+            number,
+            order.engine,
+            outcome.status,
+            took_ms,
+            complete=live.over,
+            report=outcome.report,
+            loose=outcome.loose,
+            late=outcome.late,
+        )
 
     def _call(self, live: LiveRequest, engine: Engine, order: Send, limit_ms: float) -> Call:
         # The transport asks the guard right before bytes go out: an engine may have begun to drain while a
         # connection came up, and the request may have been given up meanwhile.
         may_go = partial(self._may_go, live, engine, order)
         return self.transports[engine.protocol].call(
-            Errand(live.query, engine, live.urgency, limit_ms, may_go))
+            Errand(live.query, engine, live.urgency, limit_ms, may_go)
+        )
 
-    async def _follow(self, live: LiveRequest, order: Send, number: int, call: Call,
-                      outcome: AttemptOutcome) -> None:
+    async def _follow(
+        self, live: LiveRequest, order: Send, number: int, call: Call, outcome: AttemptOutcome
+    ) -> None:
         """Ask for an attempt until it has ended, and put down how."""
         try:
             news = await call.start()
@@ -246,11 +263,18 @@
             self.zone_watch.sent(live.id)
         if number:
             self.counters.add(f"repeated.{live.query.lane}")
-            log.info("attempt.repeated", txn=live.query.txn, lane=live.query.lane, attempt=number,
-                     engine=order.engine, left_ms=round(live.deadline_ms - self.deadlines.clock()))
-
-    def _note_end(self, live: LiveRequest, order: Send, number: int, outcome: AttemptOutcome,
-                  took_ms: float) -> None:
+            log.info(
+                "attempt.repeated",
+                txn=live.query.txn,
+                lane=live.query.lane,
+                attempt=number,
+                engine=order.engine,
+                left_ms=round(live.deadline_ms - self.deadlines.clock()),
+            )
+
+    def _note_end(
+        self, live: LiveRequest, order: Send, number: int, outcome: AttemptOutcome, took_ms: float
+    ) -> None:
         status = outcome.status
         live.held_ms += took_ms * self.settings.classes[live.query.klass].threads
         self.counters.add(f"outcome.{status.value}")
@@ -259,16 +283,31 @@
             if status is Status.OK:
                 self.zone_watch.heard(live.id, order.engine)
         if status is not Status.OK:
-            log.info("attempt.ended", txn=live.query.txn, lane=live.query.lane, attempt=number,
-                     engine=order.engine, status=status.value, unrun=status.proves_unrun,
-                     loose=outcome.loose, after_ms=round(took_ms), why=outcome.why)
+            log.info(
+                "attempt.ended",
+                txn=live.query.txn,
+                lane=live.query.lane,
+                attempt=number,
+                engine=order.engine,
+                status=status.value,
+                unrun=status.proves_unrun,
+                loose=outcome.loose,
+                after_ms=round(took_ms),
+                why=outcome.why,
+            )
 
     def arrival(self, live: LiveRequest) -> RequestArrived:
         """Return the request as the module is told it now, with the time that it has left."""
         query = live.query
         return RequestArrived(
-            live.id, query.klass, live.deadline_ms - self.deadlines.clock(), query.tenant, query.cost_ms,
-            query.memory_mb, query.group)
+            live.id,
+            query.klass,
+            live.deadline_ms - self.deadlines.clock(),
+            query.tenant,
+            query.cost_ms,
+            query.memory_mb,
+            query.group,
+        )
 
     def tell(self, event: Event) -> None:
         """Hand the module an event and carry out what it answers, in order."""
@@ -284,8 +323,13 @@
                         self.refuse(live, later, reason)
                 case Fail(request, reason):
                     if (live := self.live.get(request)) is not None:
-                        log.info("request.failed", txn=live.query.txn, lane=live.query.lane, why=reason,
-                                 attempts=live.attempts)
+                        log.info(
+                            "request.failed",
+                            txn=live.query.txn,
+                            lane=live.query.lane,
+                            why=reason,
+                            attempts=live.attempts,
+                        )
                         self.answer(live, "failed", partial(live.reply.failed, reason or "given up"))
                 case Cancel(request, attempt):
                     live = self.live.get(request)
@@ -311,7 +355,9 @@
             engine.aside = engine.entry.engine in self.aside
             old = self.engines.get(engine.entry.engine)
             if old is not None and (old.address, old.entry.started_ms) == (
-                    engine.address, engine.entry.started_ms):
+                engine.address,
+                engine.entry.started_ms,
+            ):
                 old.entry = engine.entry
             else:
                 if old is not None:
@@ -364,8 +410,9 @@
     def _retire(self, engine: Engine) -> None:
         """No POST meant for this process may reach another that took its address."""
         entry = engine.entry
-        engine.entry = EngineEntry(entry.engine, EngineState.GONE, entry.zone, entry.cell, entry.kind,
-                                   entry.started_ms, entry.weight)
+        engine.entry = EngineEntry(
+            entry.engine, EngineState.GONE, entry.zone, entry.cell, entry.kind, entry.started_ms, entry.weight
+        )
         self._forget(engine)
 
     def _forget(self, engine: Engine) -> None:
@@ -376,8 +423,9 @@
     def refuse(self, live: LiveRequest, later_ms: float, reason: str) -> None:
         """Give the final answer that a retry is harmless, and count why."""
         self.refusals[live.query.lane, reason] += not live.over
-        log.debug("request.refused", txn=live.query.txn, lane=live.query.lane, why=reason,
-                  attempts=live.attempts)
+        log.debug(
+            "request.refused", txn=live.query.txn, lane=live.query.lane, why=reason, attempts=live.attempts
+        )
         self.answer(live, "refused", partial(live.reply.refused, later_ms))
 
     def answer(self, live: LiveRequest, how: str, answer: Callable[[], None]) -> None:
--- a/fordstair/core/counters.py
+++ b/fordstair/core/counters.py
@@ -26,6 +26,9 @@
 
     def snapshot(self) -> dict[str, int]:
         """Return all counts, by name in order."""
-        others = {f"{area}.{name}": count for area, counts in self._others.items()
-                  for name, count in counts().items()}
+        others = {
+            f"{area}.{name}": count
+            for area, counts in self._others.items()
+            for name, count in counts().items()
+        }
         return dict(sorted((self._counts | others).items()))
--- a/fordstair/core/ports.py
+++ b/fordstair/core/ports.py
@@ -79,8 +79,15 @@
 class AttemptFailed(Exception):
     """An attempt has ended without its result; the status says what that proves."""
 
-    def __init__(self, status: Status, why: str, report: tuple[float, ...] = (), *,
-                 reached: bool = True, late: bool = False) -> None:
+    def __init__(
+        self,
+        status: Status,
+        why: str,
+        report: tuple[float, ...] = (),
+        *,
+        reached: bool = True,
+        late: bool = False,
+    ) -> None:
         super().__init__(why)
         self.status, self.report = status, report
         self.reached = reached  # whether anything there has answered at all
--- a/fordstair/core/zone_watch.py
+++ b/fordstair/core/zone_watch.py
@@ -29,8 +29,11 @@
         """The list of engines has changed."""
         engines = self.coordinator.engines
         starts = {name: engine.entry.started_ms for name, engine in engines.items()}
-        self.zones.listed(self._now(), {name: engine.entry.zone for name, engine in engines.items()},
-                          [name for name, at in starts.items() if at > self._starts.get(name, at)])
+        self.zones.listed(
+            self._now(),
+            {name: engine.entry.zone for name, engine in engines.items()},
+            [name for name, at in starts.items() if at > self._starts.get(name, at)],
+        )
         self._starts = starts
         for name, engine in engines.items():
             engine.avoided = self.zones.avoids(name)
@@ -82,8 +85,11 @@
                 turned.append(engine)
         for zone in {engine.entry.zone for engine in turned}:
             avoided = any(engine.avoided for engine in turned if engine.entry.zone == zone)
-            log.warning("hall.avoided" if avoided else "hall.tried", hall=zone,
-                        engines=sum(engine.entry.zone == zone for engine in turned))
+            log.warning(
+                "hall.avoided" if avoided else "hall.tried",
+                hall=zone,
+                engines=sum(engine.entry.zone == zone for engine in turned),
+            )
             self.coordinator.counters.add("halls.avoided" if avoided else "halls.tried")
         if turned:
             self.coordinator.tell(MembersChanged(ListKind.DELTA, tuple(engine.told for engine in turned)))
--- a/fordstair/feed/observe.py
+++ b/fordstair/feed/observe.py
@@ -46,9 +46,16 @@
 class Observer:
     """Keeps the latest picture, and makes the next one from it."""
 
-    def __init__(self, name: str, coordinator: Coordinator, ledger: Ledger, wall_clock: WallClock,
-                 membership: Membership | None = None, shared: Service | None = None,
-                 budgets: FleetBudgets | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        coordinator: Coordinator,
+        ledger: Ledger,
+        wall_clock: WallClock,
+        membership: Membership | None = None,
+        shared: Service | None = None,
+        budgets: FleetBudgets | None = None,
+    ) -> None:
         self.membership, self.shared, self.budgets = membership, shared, budgets
         self.name, self.coordinator, self.ledger = name, coordinator, ledger
         self.wall_clock, self.watchers = wall_clock, 0
@@ -65,17 +72,29 @@
         """Make the picture of this moment of the monotonic clock, numbered after the one before."""
         live = [each for each in self.coordinator.live.values() if not each.over]
         rows: dict[str, dict[str, Any]] = {
-            "engines": self._engines(now), "classes": self._classes(live), "teams": self._teams(live),
-            "requests": self._requests(live), "refusals": self._refusals(),
-            "adjustments": self._adjustments(), "members": self._members(),
-            "shares": self._shares(now)}
+            "engines": self._engines(now),
+            "classes": self._classes(live),
+            "teams": self._teams(live),
+            "requests": self._requests(live),
+            "refusals": self._refusals(),
+            "adjustments": self._adjustments(),
+            "members": self._members(),
+            "shares": self._shares(now),
+        }
         tables = self.picture.tables
         for name, table in rows.items():
             kept = renewed(tables[name], table)
             if kept is not tables[name]:
                 tables = tables.set(name, kept)
-        site = SiteView(self.name, self._unix(self._started_ms), self.coordinator.draining, len(live),
-                        sum(each.call is not None for each in live), self.ledger.revision, self.watchers)
+        site = SiteView(
+            self.name,
+            self._unix(self._started_ms),
+            self.coordinator.draining,
+            len(live),
+            sum(each.call is not None for each in live),
+            self.ledger.revision,
+            self.watchers,
+        )
         self.picture = Picture(self.picture.number + 1, self._unix(now), site, tables, tuple(self.notes))
         return self.picture
 
@@ -99,10 +118,22 @@
         seen.errors, seen.pace = copy(known.errors), copy(known.pace)
         trust, warmth = gateway.marks(seen), gateway.warmth(seen)
         return EngineView(
-            name, engine_state(engine, trust, warmth, seen.strikes, now - seen.heard_at), engine.address,
-            engine.protocol, entry.zone, seen.cores, seen.count, seen.threads, round(gateway.load(seen), 2),
-            round(trust, 3), round(warmth, 2), round(seen.strikes, 2), self._unix(seen.heard_at),
-            self._unix(seen.report_at), priorities=engine.protocol != "odata")
+            name,
+            engine_state(engine, trust, warmth, seen.strikes, now - seen.heard_at),
+            engine.address,
+            engine.protocol,
+            entry.zone,
+            seen.cores,
+            seen.count,
+            seen.threads,
+            round(gateway.load(seen), 2),
+            round(trust, 3),
+            round(warmth, 2),
+            round(seen.strikes, 2),
+            self._unix(seen.heard_at),
+            self._unix(seen.report_at),
+            priorities=engine.protocol != "odata",
+        )
 
     def _classes(self, live: list[LiveRequest]) -> dict[str, ClassView]:
         counters, gateway = self.coordinator.counters, self.coordinator.gateway
@@ -111,10 +142,21 @@
             mine = [each for each in live if each.query.klass == k]
             out = sum(each.call is not None for each in mine)
             served, refused, failed = (
-                counters[f"answered.{how}.{spec.name}"] for how in ("served", "refused", "failed"))
+                counters[f"answered.{how}.{spec.name}"] for how in ("served", "refused", "failed")
+            )
             views[spec.name] = ClassView(
-                spec.name, k, len(mine), out, out * spec.threads, gateway.limits.get(k),
-                counters[f"taken.{spec.name}"], served, refused, failed, self._oldest(mine))
+                spec.name,
+                k,
+                len(mine),
+                out,
+                out * spec.threads,
+                gateway.limits.get(k),
+                counters[f"taken.{spec.name}"],
+                served,
+                refused,
+                failed,
+                self._oldest(mine),
+            )
         return views
 
     def _teams(self, live: list[LiveRequest]) -> dict[str, TeamView]:
@@ -122,11 +164,18 @@
         for each in live if by_team else ():
             by_team[each.query.tenant].append(each)
         classes = self.coordinator.settings.classes
-        return {tenant.name: TeamView(
-            tenant.name, t, len(by_team[t]), sum(each.call is not None for each in by_team[t]),
-            sum(classes[each.query.klass].threads for each in by_team[t] if each.call is not None),
-            self._oldest(by_team[t]), *self._outlook(t))
-            for t, tenant in enumerate(self.coordinator.settings.tenants)}
+        return {
+            tenant.name: TeamView(
+                tenant.name,
+                t,
+                len(by_team[t]),
+                sum(each.call is not None for each in by_team[t]),
+                sum(classes[each.query.klass].threads for each in by_team[t] if each.call is not None),
+                self._oldest(by_team[t]),
+                *self._outlook(t),
+            )
+            for t, tenant in enumerate(self.coordinator.settings.tenants)
+        }
 
     def _oldest(self, live: list[LiveRequest]) -> float:
         return round(self._unix(live[0].taken_ms), 1) if live else 0.0
@@ -139,14 +188,25 @@
 
     def _requests(self, live: list[LiveRequest]) -> dict[str, RequestView]:
         teams = [tenant.name for tenant in self.coordinator.settings.tenants] or [""]
-        return {str(each.id): RequestView(  # taken in order: the first are the oldest
-            each.id, each.query.txn, each.query.lane, teams[each.query.tenant],
-            round(self._unix(each.taken_ms), 1), round(self._unix(each.deadline_ms), 1), each.attempts,
-            each.engine if each.call is not None else "") for each in islice(live, REQUESTS_MOST)}
+        return {
+            str(each.id): RequestView(  # taken in order: the first are the oldest
+                each.id,
+                each.query.txn,
+                each.query.lane,
+                teams[each.query.tenant],
+                round(self._unix(each.taken_ms), 1),
+                round(self._unix(each.deadline_ms), 1),
+                each.attempts,
+                each.engine if each.call is not None else "",
+            )
+            for each in islice(live, REQUESTS_MOST)
+        }
 
     def _refusals(self) -> dict[str, RefusalView]:
-        return {f"{lane}|{reason}": RefusalView(lane, reason, count)
-                for (lane, reason), count in self.coordinator.refusals.items()}
+        return {
+            f"{lane}|{reason}": RefusalView(lane, reason, count)
+            for (lane, reason), count in self.coordinator.refusals.items()
+        }
 
     def _members(self) -> dict[str, MemberView]:
         if self.membership is None or (swim := self.membership.swim) is None:
@@ -154,21 +214,34 @@
         from fordstair.membership.messages import STATES
 
         me, shared = swim.update, self.shared
-        views = {me.name: MemberView(
-            me.name, me.address, "mute" if swim.mute else STATES[me.state], me.incarnation,
-            self._unix(self._started_ms),
-            own=True, health=swim.awareness.score,
-            entries=len(shared.holder.entries) if shared is not None else 0,
-            store_bytes=shared.disk.size_bytes if shared is not None else 0,
-            doubted=shared.holder.doubted or shared.writer.broken if shared is not None else "")}
+        views = {
+            me.name: MemberView(
+                me.name,
+                me.address,
+                "mute" if swim.mute else STATES[me.state],
+                me.incarnation,
+                self._unix(self._started_ms),
+                own=True,
+                health=swim.awareness.score,
+                entries=len(shared.holder.entries) if shared is not None else 0,
+                store_bytes=shared.disk.size_bytes if shared is not None else 0,
+                doubted=shared.holder.doubted or shared.writer.broken if shared is not None else "",
+            )
+        }
         for each in swim.members.values():
             doubt = each.suspicion
             views[each.name] = MemberView(
-                each.name, each.address, STATES[each.state], each.incarnation, self._unix(each.since),
+                each.name,
+                each.address,
+                STATES[each.state],
+                each.incarnation,
+                self._unix(each.since),
                 each.by,
                 len(doubt.accusers) if doubt is not None else 0,
-                self._unix(doubt.until) if doubt is not None else 0.0, each.cut_off,
-                behind=shared.behind.get(each.name) if shared is not None else None)
+                self._unix(doubt.until) if doubt is not None else 0.0,
+                each.cut_off,
+                behind=shared.behind.get(each.name) if shared is not None else None,
+            )
         return views
 
     def _shares(self, now: float) -> dict[str, ShareView]:
@@ -178,8 +251,10 @@
         return {f"{each.member}|{each.budget}": ShareView(**each._asdict()) for each in rows}
 
     def _adjustments(self) -> dict[str, AdjustmentView]:
-        return {target: AdjustmentView(target, each.what, each.who, each.at_ms, each.revision)
-                for target, each in self.ledger.in_force.items()}
+        return {
+            target: AdjustmentView(target, each.what, each.who, each.at_ms, each.revision)
+            for target, each in self.ledger.in_force.items()
+        }
 
 
 def engine_state(engine: Engine, trust: float, warmth: float, strikes: float, unheard_ms: float) -> State:
--- a/fordstair/feed/picture.py
+++ b/fordstair/feed/picture.py
@@ -158,17 +158,28 @@
 
 
 TABLES: dict[str, type[Struct]] = {
-    "engines": EngineView, "classes": ClassView, "teams": TeamView, "requests": RequestView,
-    "refusals": RefusalView, "adjustments": AdjustmentView, "members": MemberView,
-    "shares": ShareView}
+    "engines": EngineView,
+    "classes": ClassView,
+    "teams": TeamView,
+    "requests": RequestView,
+    "refusals": RefusalView,
+    "adjustments": AdjustmentView,
+    "members": MemberView,
+    "shares": ShareView,
+}
 
 
 # The order in which a table is shown: a persistent map has none of its own.
 _ORDER: dict[str, Callable[[Any], Any]] = {
-    "engines": lambda row: row.id, "classes": lambda row: row.place, "teams": lambda row: row.place,
-    "requests": lambda row: row.id, "refusals": lambda row: (-row.count, row.lane, row.reason),
-    "adjustments": lambda row: row.revision, "members": lambda row: (not row.own, row.name),
-    "shares": lambda row: (row.budget, not row.own, row.member)}
+    "engines": lambda row: row.id,
+    "classes": lambda row: row.place,
+    "teams": lambda row: row.place,
+    "requests": lambda row: row.id,
+    "refusals": lambda row: (-row.count, row.lane, row.reason),
+    "adjustments": lambda row: row.revision,
+    "members": lambda row: (not row.own, row.name),
+    "shares": lambda row: (row.budget, not row.own, row.member),
+}
 
 
 class Picture(Struct, frozen=True):
@@ -178,7 +189,8 @@
     at_ms: float = 0.0
     site: SiteView = SiteView()
     tables: immutables.Map[str, immutables.Map[str, Any]] = immutables.Map(
-        {name: immutables.Map() for name in TABLES})
+        {name: immutables.Map() for name in TABLES}
+    )
     notes: tuple[NoteView, ...] = ()
 
     def table(self, name: str) -> immutables.Map[str, Any]:
@@ -238,8 +250,15 @@
         if keys := [key for key in before if key not in after]:
             gone[name] = keys
     last = old.notes[-1].number if old.notes else 0
-    return Frame(new.number, old.number, new.at_ms, new.site if new.site != old.site else None, gone=gone,
-                 notes=[note for note in new.notes if note.number > last], **changed)
+    return Frame(
+        new.number,
+        old.number,
+        new.at_ms,
+        new.site if new.site != old.site else None,
+        gone=gone,
+        notes=[note for note in new.notes if note.number > last],
+        **changed,
+    )
 
 
 def follow(picture: Picture, frame: Frame, notes_most: int = 200) -> Picture:
--- a/fordstair/lab/appliance.py
+++ b/fordstair/lab/appliance.py
@@ -49,8 +49,12 @@
         file, log, door = folder / "appliance.toml", folder / "log", folder / "console.sock"
         file.write_text(operator_file(engines, door) + more)
         with log.open("wb") as opened:
-            process = subprocess.Popen([sys.executable, "-m", "fordstair.cli", "serve", str(file)],
-                                       stdout=subprocess.DEVNULL, stderr=opened, stdin=subprocess.DEVNULL)
+            process = subprocess.Popen(
+                [sys.executable, "-m", "fordstair.cli", "serve", str(file)],
+                stdout=subprocess.DEVNULL,
+                stderr=opened,
+                stdin=subprocess.DEVNULL,
+            )
         try:
             yield Appliance(process, file, log, str(door), await ports_of(process, log, 2))
         finally:
@@ -106,8 +110,11 @@
 
 def operator_file(engines: Sequence[StandIn], socket: Path) -> str:
     """Return an operator's file for stand-in engines."""
-    listed = "".join(f'[[engine]]\nid = "{engine.name}"\naddress = "{engine.address}"\n'
-                     f'cores = {engine.machine.cores}\nhall = "{engine.hall}"\n' for engine in engines)
+    listed = "".join(
+        f'[[engine]]\nid = "{engine.name}"\naddress = "{engine.address}"\n'
+        f'cores = {engine.machine.cores}\nhall = "{engine.hall}"\n'
+        for engine in engines
+    )
     halls = ", ".join(f'"{hall}"' for hall in sorted({"hall-a", *(engine.hall for engine in engines)}))
     return _FILE.format(engines=listed, socket=socket, halls=halls)
 
--- a/fordstair/lab/audit.py
+++ b/fordstair/lab/audit.py
@@ -56,8 +56,10 @@
 
     def over(self) -> int:
         """Return at how many moments a sum passed its whole."""
-        return sum(any(held > whole.units for held, whole in zip(sums, self.plan.wholes, strict=True))
-                   for _, sums in self.sums())
+        return sum(
+            any(held > whole.units for held, whole in zip(sums, self.plan.wholes, strict=True))
+            for _, sums in self.sums()
+        )
 
 
 def of_files(plan: Plan, paths: Iterable[Path]) -> Audit:
--- a/fordstair/lab/billing_close.py
+++ b/fordstair/lab/billing_close.py
@@ -53,10 +53,19 @@
             return arrivals
         k = random.choices(range(3), shape.mix)[0]
         team = random.choices(range(3), shape.shares)[0]
-        work = shape.work_ms[k] * random.lognormvariate(-shape.tail**2 / 2.0, shape.tail)
+        work = shape.work_ms[k] * random.lognormvariate(-(shape.tail**2) / 2.0, shape.tail)
         told = work * random.lognormvariate(0.0, shape.estimate)
-        arrivals.append(Arrival(round(now * 1000.0, 3), TEAMS[team], CLASSES[k], round(work, 2),
-                                round(told, 2), shape.limits_ms[k], int(random.random()**2 * shape.groups)))
+        arrivals.append(
+            Arrival(
+                round(now * 1000.0, 3),
+                TEAMS[team],
+                CLASSES[k],
+                round(work, 2),
+                round(told, 2),
+                shape.limits_ms[k],
+                int(random.random() ** 2 * shape.groups),
+            )
+        )
 
 
 def write(path: Path, arrivals: Iterable[Arrival]) -> None:
--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -33,8 +33,16 @@
 class Members:
     """Running members by name; ``listed`` of them may lead and have floors."""
 
-    def __init__(self, folder: Path, nursery: trio.Nursery, count: int, listed: int, seed: int,
-                 term_ms: float, drift: float) -> None:
+    def __init__(
+        self,
+        folder: Path,
+        nursery: trio.Nursery,
+        count: int,
+        listed: int,
+        seed: int,
+        term_ms: float,
+        drift: float,
+    ) -> None:
         self.folder, self.nursery, self.seed = folder, nursery, seed
         self.relay = Relay(nursery, seed)
         self.engine = StandIn("e-1", Machine(512.0), sessions=8_192)
@@ -44,9 +52,14 @@
         self.ports: dict[str, dict[str, int]] = {}
         self.starts: dict[str, int] = {}
         # as the program makes it of the file below: a settlement takes 4 threads
-        self.plan = Plan("trial", (Whole("threads", THREADS, KARRI, "", 4),
-                                   Whole("rate", int(RATE * MILLI), KARRI)),
-                         tuple(self.names[:listed]), term_ms, drift, floor_part=FLOOR_PART)
+        self.plan = Plan(
+            "trial",
+            (Whole("threads", THREADS, KARRI, "", 4), Whole("rate", int(RATE * MILLI), KARRI)),
+            tuple(self.names[:listed]),
+            term_ms,
+            drift,
+            floor_part=FLOOR_PART,
+        )
 
     async def open_fronts(self) -> None:
         """Choose the addresses of all."""
@@ -59,19 +72,24 @@
         file, log = self.folder / f"{name}.toml", self.folder / f"{name}.{life}.log"
         listed = ", ".join(f'{other} = "{self.fronts[other]}"' for other in self.plan.members)
         file.write_text(
-            operator_file([self.engine], self.folder / f"{name}.sock") + '[budgets]\nthreads_a_core = 4.0\n'
+            operator_file([self.engine], self.folder / f"{name}.sock") + "[budgets]\nthreads_a_core = 4.0\n"
             f'[fleet]\ncluster = "trial"\nmember = "{name}"\nlisten = "127.0.0.1:0"\n'
             f'[fleet.budgets]\nlisten = "127.0.0.1:0"\nmembers = {{ {listed} }}\n'
-            f'term_ms = {self.plan.term_ms}\ndrift = {self.plan.drift}\nfloor_part = {FLOOR_PART}\n'
+            f"term_ms = {self.plan.term_ms}\ndrift = {self.plan.drift}\nfloor_part = {FLOOR_PART}\n"
             f'audit = "{self.folder / name}.{life}.audit"\n'
             f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nthreads = {THREADS}\n'
-            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nrequests_per_s = {RATE}\n')
-        program = ["-m", "fordstair"] if clock_rate == 1.0 else [
-            "-m", "fordstair.lab.skewed", str(clock_rate)]
+            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nrequests_per_s = {RATE}\n'
+        )
+        program = (
+            ["-m", "fordstair"] if clock_rate == 1.0 else ["-m", "fordstair.lab.skewed", str(clock_rate)]
+        )
         with log.open("wb") as opened:
             self.processes[name] = process = subprocess.Popen(
-                [sys.executable, *program, "--operator", str(file)], stdout=subprocess.DEVNULL, stderr=opened,
-                stdin=subprocess.DEVNULL)
+                [sys.executable, *program, "--operator", str(file)],
+                stdout=subprocess.DEVNULL,
+                stderr=opened,
+                stdin=subprocess.DEVNULL,
+            )
         self.ports[name] = await ports_of(process, log, FRONTS)
         self.relay.behind(name, f"127.0.0.1:{self.ports[name]['budgets']}")
 
@@ -139,8 +157,13 @@
                 await trio.sleep(0.05)
         return trio.current_time() - began
 
-    async def traffic(self, rates: dict[str, float], seconds: float, work_ms: float = 400.0,
-                      lookups: dict[str, float] | None = None) -> tuple[dict[str, Tally], list[int]]:
+    async def traffic(
+        self,
+        rates: dict[str, float],
+        seconds: float,
+        work_ms: float = 400.0,
+        lookups: dict[str, float] | None = None,
+    ) -> tuple[dict[str, Tally], list[int]]:
         """Send settlements, and lookups, of one team through members, at rates a second.
 
         Return what became of them, and how many threads they held at the engine, each LOOK_S.
@@ -177,8 +200,15 @@
 
 
 @asynccontextmanager
-async def members(folder: Path, count: int = 5, listed: int = 5, seed: int = 1, *, term_ms: float = 2_500.0,
-                  drift: float = 0.01) -> AsyncIterator[Members]:
+async def members(
+    folder: Path,
+    count: int = 5,
+    listed: int = 5,
+    seed: int = 1,
+    *,
+    term_ms: float = 2_500.0,
+    drift: float = 0.01,
+) -> AsyncIterator[Members]:
     """That many members, running; their shares come once a leader has learned."""
     async with trio.open_nursery() as nursery:
         all_of = Members(folder, nursery, count, listed, seed, term_ms, drift)
--- a/fordstair/lab/engine.py
+++ b/fordstair/lab/engine.py
@@ -47,8 +47,14 @@
 class StandIn:
     """One engine. Faults are plain attributes and methods, to be used while it serves."""
 
-    def __init__(self, name: str, machine: Machine, sessions: int = 64,
-                 clock: Callable[[], float] = monotonic_now, hall: str = "hall-a") -> None:
+    def __init__(
+        self,
+        name: str,
+        machine: Machine,
+        sessions: int = 64,
+        clock: Callable[[], float] = monotonic_now,
+        hall: str = "hall-a",
+    ) -> None:
         self.name, self.machine, self.sessions, self.clock, self.hall = name, machine, sessions, clock, hall
         self.silent = self.draining = self.full = False
         self.address = ""
@@ -106,8 +112,9 @@
         self._advance()
         return list(self.runs)
 
-    async def serve(self, port: int = 0,
-                    task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
+    async def serve(
+        self, port: int = 0, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED
+    ) -> None:
         """Listen until cancelled; the status is the address."""
         async with trio.open_nursery() as nursery:
             listeners = await nursery.start(partial(trio.serve_tcp, self._serve, port, host="127.0.0.1"))
--- a/fordstair/lab/fault_shim.py
+++ b/fordstair/lab/fault_shim.py
@@ -68,8 +68,9 @@
         true_init, true_accept = kind.__init__, kind.accept
         true_recv, true_send = kind.recv, kind.send
 
-        def opened(sock: Any, family: int = -1, type: int = -1, proto: int = -1,
-                   fileno: int | None = None) -> None:
+        def opened(
+            sock: Any, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None
+        ) -> None:
             if fileno is None:  # else it is there already, as from accept()
                 self._fail("open")
             true_init(sock, family, type, proto, fileno)
@@ -78,7 +79,7 @@
             return bytes(true_recv(sock, self._shorten("recv", size), *flags))
 
         def sent(sock: Any, data: bytes, *flags: int) -> int:
-            return int(true_send(sock, memoryview(data)[:self._shorten("send", len(data))], *flags))
+            return int(true_send(sock, memoryview(data)[: self._shorten("send", len(data))], *flags))
 
         kind.__init__ = opened
         kind.accept = self._failing("accept", true_accept)
--- a/fordstair/lab/gossip.py
+++ b/fordstair/lab/gossip.py
@@ -101,8 +101,11 @@
 
     def views(self) -> dict[str, dict[str, int]]:
         """Return each running SWIM member's state of each other member."""
-        return {name: {other: member.state for other, member in node.members.items()}
-                for name, node in self.nodes.items() if isinstance(node, Swim)}
+        return {
+            name: {other: member.state for other, member in node.members.items()}
+            for name, node in self.nodes.items()
+            if isinstance(node, Swim)
+        }
 
     def _resume(self, name: str) -> None:
         for datagram, source in self._stalled.pop(name, []):
@@ -142,8 +145,10 @@
         for to, datagram in node.outgoing():
             if self.random.random() < self.loss or self.cut(name, to):
                 continue
-            self.at(self.now + self.random.uniform(*self.delay_ms),
-                    lambda to=to, datagram=datagram: self._deliver(to, datagram, name))  # type: ignore[misc]
+            self.at(
+                self.now + self.random.uniform(*self.delay_ms),
+                lambda to=to, datagram=datagram: self._deliver(to, datagram, name),
+            )  # type: ignore[misc]
         self.seen += [Seen(self.now, name, change) for change in node.changes()]
         due = node.next_due
         if due is not None and self._wakes.get(name) != due - START:
@@ -213,8 +218,9 @@
     return [f"m-{number:04d}:1" for number in range(count)]
 
 
-def swim_fleet(network: Network, count: int, fleet: Fleet, seed: int, *,
-               kind: type[Swim] = Swim) -> list[str]:
+def swim_fleet(
+    network: Network, count: int, fleet: Fleet, seed: int, *, kind: type[Swim] = Swim
+) -> list[str]:
     """Start that many SWIM members who know each other already; return their addresses."""
     addresses = names_of(count)
     known = [Update(address[:-2], address, 1, ALIVE, address[:-2]) for address in addresses]
--- a/fordstair/lab/history.py
+++ b/fordstair/lab/history.py
@@ -26,8 +26,9 @@
     final: bool = False  # asked after all faults had stopped
 
 
-def check(operations: Iterable[Operation], runs: Mapping[str, int],
-          copies: Mapping[str, Mapping[str, bytes]]) -> list[str]:
+def check(
+    operations: Iterable[Operation], runs: Mapping[str, int], copies: Mapping[str, Mapping[str, bytes]]
+) -> list[str]:
     """Return what was broken; empty where every promise was kept.
 
     ``runs`` counts how often engines began the load of an id; ``copies`` holds, by id, each holder's outcome.
--- a/fordstair/lab/ledger_trial.py
+++ b/fordstair/lab/ledger_trial.py
@@ -48,8 +48,10 @@
         self.engine.on_start = self._began
         self.names = [f"m{number}" for number in range(count)]
         # a host of its own for each, and for each trial that runs beside this one
-        self.hosts = {name: f"127.{10 + seed % 200}.{1 + seed // 200 % 200}.{number + 1}"
-                      for number, name in enumerate(self.names)}
+        self.hosts = {
+            name: f"127.{10 + seed % 200}.{1 + seed // 200 % 200}.{number + 1}"
+            for number, name in enumerate(self.names)
+        }
         self.fronts: dict[str, str] = {}
         self.own: dict[str, str] = {}
         self.ledgers: dict[str, str] = {}
@@ -87,11 +89,15 @@
             f'advertise = "{self.fronts[name]}"\nseeds = [{seeds}]\nprobe_ms = 300\ntimeout_ms = 100\n'
             f'sync_ms = 2000\n[fleet.ledger]\nlisten = "{self.own[name]}"\n'
             f'store = "{self.folder / name}.ledger"\nholders = {{ {holders} }}\n'
-            f'exchange_ms = 500\n{self.more}\n')
+            f"exchange_ms = 500\n{self.more}\n"
+        )
         with log.open("wb") as opened:
             self.processes[name] = process = subprocess.Popen(
-                [sys.executable, "-m", "fordstair", "--operator", str(file)], stdout=subprocess.DEVNULL,
-                stderr=opened, stdin=subprocess.DEVNULL)
+                [sys.executable, "-m", "fordstair", "--operator", str(file)],
+                stdout=subprocess.DEVNULL,
+                stderr=opened,
+                stdin=subprocess.DEVNULL,
+            )
         self.ports[name] = await ports_of(process, log, FRONTS)
         self.relay.behind(name, f"{self.hosts[name]}:{self.ports[name]['fleet']}")
 
@@ -107,16 +113,20 @@
 
     def clear_disk(self, name: str) -> None:
         """Let its files grow again."""
-        resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE,
-                         (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
+        resource.prlimit(
+            self.processes[name].pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
+        )
 
     def flip_bit(self, name: str, id: str) -> None:
         """Flip one bit in what an ended member's file holds of a load, and see that its checksum tells."""
         path = self.folder / f"{name}.ledger"
         disk = Disk(str(path))
         disk.open()  # and with its close the log is in the table
-        key, value = next((record.key, record.value) for record in disk.read(0.0)
-                          if isinstance(record, Record) and record.key.endswith(f"|{id}".encode()))
+        key, value = next(
+            (record.key, record.value)
+            for record in disk.read(0.0)
+            if isinstance(record, Record) and record.key.endswith(f"|{id}".encode())
+        )
         disk.close()
         assert value is not None
         held = path.read_bytes()
@@ -138,15 +148,19 @@
         """Put settled loads into an ended member's store, as if it had heard of them."""
         disk, now = Disk(str(self.folder / f"{name}.ledger")), int(unix_now().value)
         disk.open()
-        entries = {f"pindan-retail|before-{number}": Entry(f"before:1:{number}", now, b"x" * 200)
-                   for number in range(count)}
+        entries = {
+            f"pindan-retail|before-{number}": Entry(f"before:1:{number}", now, b"x" * 200)
+            for number in range(count)
+        }
         disk.write(of_entry(key, entry) for key, entry in entries.items())
         disk.close()
 
     def written_bytes(self) -> int:
         """Return what the running members had their disks write so far, by the kernel's count."""
-        return sum(int(Path(f"/proc/{process.pid}/io").read_text().partition("\nwrite_bytes: ")[2].split()[0])
-                   for process in self.processes.values())
+        return sum(
+            int(Path(f"/proc/{process.pid}/io").read_text().partition("\nwrite_bytes: ")[2].split()[0])
+            for process in self.processes.values()
+        )
 
     async def members(self, name: str) -> dict[str, dict[str, Any]]:
         """Return what a member shows of all members on its console's door."""
@@ -192,8 +206,10 @@
 
     async def _post(self, name: str, id: str) -> int:
         body = msgspec.json.encode({"meter": id, "started": "2026-12-01", "kwh": 1.5})
-        head = (f"POST /odata/Readings HTTP/1.1\r\nHost: trial\r\nContent-Type: application/json\r\n"
-                f"Repeatability-Request-ID: {id}\r\nContent-Length: {len(body)}\r\nConnection: close\r\n\r\n")
+        head = (
+            f"POST /odata/Readings HTTP/1.1\r\nHost: trial\r\nContent-Type: application/json\r\n"
+            f"Repeatability-Request-ID: {id}\r\nContent-Length: {len(body)}\r\nConnection: close\r\n\r\n"
+        )
         async with await trio.open_tcp_stream("127.0.0.1", self.ports[name]["odata"]) as stream:
             await stream.send_all(head.encode() + body)
             got = b""
@@ -236,9 +252,11 @@
     disk = Disk(path)
     disk.open()
     try:
-        return {record.key.decode(): msgspec.msgpack.decode(record.value, type=Entry)
-                for record in disk.read(0.0)
-                if isinstance(record, Record) and record.kind == CLAIM and record.value is not None}
+        return {
+            record.key.decode(): msgspec.msgpack.decode(record.value, type=Entry)
+            for record in disk.read(0.0)
+            if isinstance(record, Record) and record.kind == CLAIM and record.value is not None
+        }
     finally:
         disk.close()
 
@@ -272,8 +290,18 @@
         victims = rng.sample(one.names, 2 if rng.random() < 0.2 else 1)
         one.relay.heal()
         if rng.random() < 0.5:  # on a network that is late, loses datagrams and resets connections
-            one.relay.put("*", "*", Faults(drop=0.1, delay_ms=20.0 * rng.random(), jitter_ms=20.0,
-                                           duplicate=0.1, reorder=0.1, reset=0.05))
+            one.relay.put(
+                "*",
+                "*",
+                Faults(
+                    drop=0.1,
+                    delay_ms=20.0 * rng.random(),
+                    jitter_ms=20.0,
+                    duplicate=0.1,
+                    reorder=0.1,
+                    reset=0.05,
+                ),
+            )
         async with trio.open_nursery() as nursery:
             for name in rng.sample(one.names, rng.randint(1, len(one.names))):
                 nursery.start_soon(_after, rng.random() * 0.01, one.load, name, id)
--- a/fordstair/lab/machine.py
+++ b/fordstair/lab/machine.py
@@ -93,8 +93,11 @@
                 self.now_ms = now_ms
                 break
             self._share_out()
-            step = min(STEP_MS, now_ms - self.now_ms, *(
-                (job.work_ms - job.done_ms) / job.rate for job in self.jobs.values() if job.rate > 0.0))
+            step = min(
+                STEP_MS,
+                now_ms - self.now_ms,
+                *((job.work_ms - job.done_ms) / job.rate for job in self.jobs.values() if job.rate > 0.0),
+            )
             step = max(step, 1e-6)
             self.now_ms += step
             for job in list(self.jobs.values()):
@@ -109,8 +112,9 @@
         if not self.jobs:
             return math.inf
         self._share_out()
-        return self.now_ms + min(max(0.0, job.work_ms - job.done_ms) / max(1e-9, job.rate)
-                                 for job in self.jobs.values())
+        return self.now_ms + min(
+            max(0.0, job.work_ms - job.done_ms) / max(1e-9, job.rate) for job in self.jobs.values()
+        )
 
     def _share_out(self) -> None:
         """Give each job its share of the cores; no job can use more than its threads."""
@@ -118,11 +122,15 @@
         part = self.warmth() / self.slowness  # what one thread does of one core's work
         while open_jobs:
             weight = sum(SHARES[job.priority] * job.threads for job in open_jobs)
-            capped = [job for job in open_jobs
-                      if left * SHARES[job.priority] * job.threads / weight >= job.threads * part]
+            capped = [
+                job
+                for job in open_jobs
+                if left * SHARES[job.priority] * job.threads / weight >= job.threads * part
+            ]
             for job in capped or open_jobs:
-                job.rate = job.threads * part if capped else \
-                    left * SHARES[job.priority] * job.threads / weight
+                job.rate = (
+                    job.threads * part if capped else left * SHARES[job.priority] * job.threads / weight
+                )
             if not capped:
                 return
             left = max(0.0, left - sum(job.rate for job in capped))
--- a/fordstair/lab/odata_traffic.py
+++ b/fordstair/lab/odata_traffic.py
@@ -17,8 +17,9 @@
 class ODataTraffic:
     """Asks for entities by key."""
 
-    def __init__(self, host: str, port: int, rate_per_s: float, seed: int,
-                 path: str = "/odata/Accounts") -> None:
+    def __init__(
+        self, host: str, port: int, rate_per_s: float, seed: int, path: str = "/odata/Accounts"
+    ) -> None:
         self.host, self.port, self.rate, self.random, self.path = host, port, rate_per_s, Random(seed), path
         self.tally = Tally()
         self._idle: list[tuple[trio.SocketStream, h11.Connection]] = []
@@ -41,11 +42,17 @@
         stream: trio.SocketStream | None = None
         with trio.move_on_after(WAIT_S + GRACE_S):
             try:
-                stream, http = self._idle.pop() if self._idle else (
-                    await trio.open_tcp_stream(self.host, self.port), h11.Connection(h11.CLIENT))
+                stream, http = (
+                    self._idle.pop()
+                    if self._idle
+                    else (await trio.open_tcp_stream(self.host, self.port), h11.Connection(h11.CLIENT))
+                )
                 status = await self._exchange(stream, http, key)
-                if http.our_state is h11.DONE and http.their_state is h11.DONE and \
-                        len(self._idle) < IDLE_MOST:
+                if (
+                    http.our_state is h11.DONE
+                    and http.their_state is h11.DONE
+                    and len(self._idle) < IDLE_MOST
+                ):
                     http.start_next_cycle()
                     self._idle.append((stream, http))
                     stream = None
@@ -57,8 +64,16 @@
         self.tally.note(KIND, what or ("failed" if status else "lost"), trio.current_time() - due_s)
 
     async def _exchange(self, stream: trio.SocketStream, http: h11.Connection, key: int) -> int:
-        out = http.send(h11.Request(method="GET", target=f"{self.path}('{key}')", headers=[
-            ("Host", "demo"), ("Prefer", f"wait={WAIT_S}")])) or b""
+        out = (
+            http.send(
+                h11.Request(
+                    method="GET",
+                    target=f"{self.path}('{key}')",
+                    headers=[("Host", "demo"), ("Prefer", f"wait={WAIT_S}")],
+                )
+            )
+            or b""
+        )
         await stream.send_all(out + (http.send(h11.EndOfMessage()) or b""))
         status = 0
         while True:
--- a/fordstair/lab/relay.py
+++ b/fordstair/lab/relay.py
@@ -151,9 +151,14 @@
         """Open a TCP front for a process that listens at ``own`` and connects from ``host``."""
         self._hosts[host] = name
         listeners = await trio.open_tcp_listeners(0, host=self.host)
-        self._nursery.start_soon(partial(
-            trio.serve_listeners, partial(self._connect, name, own), listeners,
-            handler_nursery=self._nursery))
+        self._nursery.start_soon(
+            partial(
+                trio.serve_listeners,
+                partial(self._connect, name, own),
+                listeners,
+                handler_nursery=self._nursery,
+            )
+        )
         port = listeners[0].socket.getsockname()[1]
         return f"{self.host}:{port}"
 
@@ -175,8 +180,14 @@
         while self.faults(source, to).cut:
             await self._changed.wait()
 
-    async def _pump(self, source: str, to: str, reader: trio.SocketStream, writer: trio.SocketStream,
-                    scope: trio.CancelScope) -> None:
+    async def _pump(
+        self,
+        source: str,
+        to: str,
+        reader: trio.SocketStream,
+        writer: trio.SocketStream,
+        scope: trio.CancelScope,
+    ) -> None:
         """Pass bytes on, late as told and never out of order; a cut holds them back."""
         last = -math.inf
         try:
--- a/fordstair/lab/replay.py
+++ b/fordstair/lab/replay.py
@@ -22,21 +22,30 @@
     known = ({each.name for each in told.classes}, {each.name for each in told.tenants})
     for number, arrival in enumerate(arrivals, 1):
         if arrival.lane not in known[0] or arrival.team not in known[1]:
-            raise ValueError(f"{path}: line {number}: the file knows no class {arrival.lane!r} of a team "
-                             f"{arrival.team!r}")
+            raise ValueError(
+                f"{path}: line {number}: the file knows no class {arrival.lane!r} of a team "
+                f"{arrival.team!r}"
+            )
     plain = play(file, told, arrivals, seed, None)
     budgets = file.budgets or BudgetsTable()
     cores = sum(each.cores for each in file.engines)
     scheduler = Scheduler(
-        {number: team.share for number, team in enumerate(file.teams)}, cores * budgets.threads_a_core,
-        waiting_most=budgets.waiting_most, burst_ms=budgets.burst_ms, debt_ms=budgets.debt_ms)
-    return {f"{how} {name}": figures
-            for how, records in (("without", plain), ("with", play(file, told, arrivals, seed, scheduler)))
-            for name, figures in tables(records, told).items()}
+        {number: team.share for number, team in enumerate(file.teams)},
+        cores * budgets.threads_a_core,
+        waiting_most=budgets.waiting_most,
+        burst_ms=budgets.burst_ms,
+        debt_ms=budgets.debt_ms,
+    )
+    return {
+        f"{how} {name}": figures
+        for how, records in (("without", plain), ("with", play(file, told, arrivals, seed, scheduler)))
+        for name, figures in tables(records, told).items()
+    }
 
 
-def play(file: File, told: Settings, arrivals: list[Arrival], seed: int,
-         scheduler: Scheduler | None) -> list[Record]:
+def play(
+    file: File, told: Settings, arrivals: list[Arrival], seed: int, scheduler: Scheduler | None
+) -> list[Record]:
     """Play the traffic once."""
     machines = {each.id: Machine(each.cores) for each in file.engines}
     return World(told, machines, seed, scheduler).run(arrivals)
@@ -64,14 +73,19 @@
 
 def tables(records: list[Record], told: Settings) -> dict[str, dict[str, Any]]:
     """Return the figures of each team, and of all."""
-    groups = {tenant.name: [each for each in records if each.team == team]
-              for team, tenant in enumerate(told.tenants)}
+    groups = {
+        tenant.name: [each for each in records if each.team == team]
+        for team, tenant in enumerate(told.tenants)
+    }
     shown = dict[str, dict[str, Any]]()
     for name, group in {**groups, "all": records}.items():
         how = Counter(each.how for each in group)
         waits = sorted(each.released_ms for each in group if not math.isnan(each.released_ms))
-        shown[name] = {"asked": len(group), **{end: how[end] for end in ("served", "refused", "failed")},
-                       "worth": round(worth(group, told), 1),
-                       "wait_p50_ms": round(waits[len(waits) // 2]) if waits else 0,
-                       "wait_p99_ms": round(waits[len(waits) * 99 // 100]) if waits else 0}
+        shown[name] = {
+            "asked": len(group),
+            **{end: how[end] for end in ("served", "refused", "failed")},
+            "worth": round(worth(group, told), 1),
+            "wait_p50_ms": round(waits[len(waits) // 2]) if waits else 0,
+            "wait_p99_ms": round(waits[len(waits) * 99 // 100]) if waits else 0,
+        }
     return shown
--- a/fordstair/lab/shares.py
+++ b/fordstair/lab/shares.py
@@ -95,8 +95,13 @@
         if name in self.members:
             self.kill(name)
         self._lives += 1
-        node = Node(self.plan, name, self._lives, {each: each for each in self.plan.members},
-                    self.random.randrange(2**32))
+        node = Node(
+            self.plan,
+            name,
+            self._lives,
+            {each: each for each in self.plan.members},
+            self.random.randrange(2**32),
+        )
         node.wants, node.needs = lambda: self.demand(name), lambda: self.needs(name)
         node.uses = lambda: self.uses(name)
         drift = self.plan.drift
@@ -153,5 +158,7 @@
 
     def used(self, index: int = 0) -> float:
         """Return the part of a whole that members have and could use."""
-        return sum(min(share[index], self.demand(name)[index])
-                   for name, share in self.shares().items()) / self.plan.wholes[index].units
+        return (
+            sum(min(share[index], self.demand(name)[index]) for name, share in self.shares().items())
+            / self.plan.wholes[index].units
+        )
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -119,8 +119,10 @@
         """Return the load report as it stood up to REPORT_MS ago."""
         now = now_ms()
         if now - self._report_ms >= REPORT_MS:
-            self._report, self._report_ms = {
-                "util": round(self.machine.util, 2), "inflight": float(len(self.runs))}, now
+            self._report, self._report_ms = (
+                {"util": round(self.machine.util, 2), "inflight": float(len(self.runs))},
+                now,
+            )
         return self._report
 
     def _advance(self, now: float) -> None:
@@ -276,8 +278,7 @@
             told = site.queueing
             scheduler = Watched(dict(told.shares), 1.0, burst_ms=told.burst_ms, debt_ms=told.debt_ms)
             scheduler.records = self.records
-            self.admission_queue = AdmissionQueue(
-                self.coordinator, scheduler, told.threads_a_core, seed=seed)
+            self.admission_queue = AdmissionQueue(self.coordinator, scheduler, told.threads_a_core, seed=seed)
             self.coordinator.admission_queue = self.admission_queue
 
     def share(self, fleet: Fleet) -> Caps:
@@ -285,9 +286,12 @@
         queue, settings = self.admission_queue, self.settings
         assert queue is not None, "budgets of a fleet need queues"
         queue.caps = Caps(
-            fleet.plan.wholes, [each.name for each in settings.tenants],
-            [each.name for each in settings.classes], lambda now: fleet.share_of(self.name),
-            fleet.plan.term_ms / ASKS_A_TERM)
+            fleet.plan.wholes,
+            [each.name for each in settings.tenants],
+            [each.name for each in settings.classes],
+            lambda now: fleet.share_of(self.name),
+            fleet.plan.term_ms / ASKS_A_TERM,
+        )
         return queue.caps
 
     def call(self, errand: Errand) -> Attempt:
@@ -302,25 +306,46 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.deadlines.run)
             await nursery.start(self.coordinator.run)
-            self.coordinator.members(ListKind.FULL, [
-                Engine(server.entry, name) for name, server in self.site.servers.items()])
+            self.coordinator.members(
+                ListKind.FULL, [Engine(server.entry, name) for name, server in self.site.servers.items()]
+            )
             await trio.sleep_forever()
 
     def take(self, arrival: Arrival, record: Record) -> None:
         """Let a client send its request now."""
         txn = f"{self.name}-{len(self.work_ms)}"
         self.work_ms[txn] = arrival.work_ms
-        live = self.coordinator.take(Query(
-            txn, arrival.lane, record.klass, record.team, arrival.limit_ms, b"", float(arrival.group),
-            arrival.told_ms, 16.0), Client(record, now_ms()))
+        live = self.coordinator.take(
+            Query(
+                txn,
+                arrival.lane,
+                record.klass,
+                record.team,
+                arrival.limit_ms,
+                b"",
+                float(arrival.group),
+                arrival.told_ms,
+                16.0,
+            ),
+            Client(record, now_ms()),
+        )
         self.records[live.id] = record
 
 
 class Site:
     """Engines and coordinators, by name; ``plan`` gives them budgets of the whole fleet."""
 
-    def __init__(self, settings: Settings, servers: Iterable[Server], coordinators: int, seed: int,
-                 queueing: Queueing | None = None, plan: Plan | None = None, *, halls: bool = False) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        servers: Iterable[Server],
+        coordinators: int,
+        seed: int,
+        queueing: Queueing | None = None,
+        plan: Plan | None = None,
+        *,
+        halls: bool = False,
+    ) -> None:
         self.settings, self.queueing, self.seed, self.halls = settings, queueing, seed, halls
         self.servers = {server.entry.engine: server for server in servers}
         self.desks = [Desk(self, f"m{number}", seed * 1_009 + number) for number in range(coordinators)]
@@ -333,8 +358,12 @@
             fleet.uses = lambda name: caps[name].uses()
         self.held = list[tuple[float, dict[int, int]]]()  # threads at engines by team, each LOOK_MS
 
-    async def play(self, traffic: Sequence[Iterable[Arrival]], warm_ms: float = 0.0,
-                   script: Callable[[Site], object] = lambda site: None) -> list[list[Record]]:
+    async def play(
+        self,
+        traffic: Sequence[Iterable[Arrival]],
+        warm_ms: float = 0.0,
+        script: Callable[[Site], object] = lambda site: None,
+    ) -> list[list[Record]]:
         """Send each coordinator its traffic, after ``warm_ms``; return what became of it, by coordinator."""
         records: list[list[Record]] = [[] for _ in self.desks]
         async with trio.open_nursery() as nursery:
@@ -359,6 +388,7 @@
         """Let the register tell all coordinators of engines as they are, each after a delay of its own."""
         told = [self.servers[name].entry for name in names]
         for desk in self.desks:
+
             def tell(desk: Desk = desk) -> None:
                 desk.coordinator.members(kind, [Engine(entry, entry.engine) for entry in told])
 
--- a/fordstair/lab/soak/clients.py
+++ b/fordstair/lab/soak/clients.py
@@ -33,8 +33,14 @@
 class Clients:
     """All clients of one coordinator."""
 
-    def __init__(self, coordinator: CoordinatorProcess, record: SoakRecord, seed: int, rate_per_s: float,
-                 start_s: float) -> None:
+    def __init__(
+        self,
+        coordinator: CoordinatorProcess,
+        record: SoakRecord,
+        seed: int,
+        rate_per_s: float,
+        start_s: float,
+    ) -> None:
         self._coordinator, self._record, self._rate = coordinator, record, rate_per_s
         self._random, self._start_s = Random(seed), start_s
         self._connections: list[Connection] = []
@@ -65,8 +71,13 @@
         self._number += 1
         txn = f"{self._salt:08x}{self._number:08x}"
         work_ms = self._random.expovariate(1.0 / work_ms)
-        fields = {"txn": txn, "limit": str(int(limit_s * 1e3)), "team": TEAM, "cpu": f"{work_ms + 1.0:.1f}",
-                  "need_mb": "16"}
+        fields = {
+            "txn": txn,
+            "limit": str(int(limit_s * 1e3)),
+            "team": TEAM,
+            "cpu": f"{work_ms + 1.0:.1f}",
+            "need_mb": "16",
+        }
         body = b"/* work=%.1f rows=2 */ SELECT a FROM t_%d.lines" % (work_ms, self._number % 5)
         async with connection.lock:
             connection.last += 1
--- a/fordstair/lab/soak/coordinators.py
+++ b/fordstair/lab/soak/coordinators.py
@@ -24,14 +24,16 @@
 # Each run has a loopback host of its own: a coordinator that is down keeps its port from everybody else.
 HOST = f"127.{1 + os.getpid() % 200}.{1 + os.getpid() // 200 % 200}.1"
 _LOG_FAULT = re.compile(
-    r"Traceback|invariant\.violated|(request|client|deadline|module|channel|priority)\.broke")
+    r"Traceback|invariant\.violated|(request|client|deadline|module|channel|priority)\.broke"
+)
 
 
 class CoordinatorProcess:
     """A name, an address, and the process that has them now."""
 
-    def __init__(self, name: str, port: int, folder: Path, settings: dict[str, Any],
-                 record: SoakRecord) -> None:
+    def __init__(
+        self, name: str, port: int, folder: Path, settings: dict[str, Any], record: SoakRecord
+    ) -> None:
         self.name, self.port = name, port
         self.ready = False  # whether clients may come
         self._follows = False  # whether the shim is in place and follows its signal
@@ -50,8 +52,12 @@
         before, self._wanted, self._follows = self._text().count("front=listens"), False, False
         with self._log.open("ab") as log:
             self._process = subprocess.Popen(
-                [sys.executable, "-m", "fordstair.lab.fault_shim"], env=environ, stdin=subprocess.DEVNULL,
-                stdout=subprocess.DEVNULL, stderr=log)
+                [sys.executable, "-m", "fordstair.lab.fault_shim"],
+                env=environ,
+                stdin=subprocess.DEVNULL,
+                stdout=subprocess.DEVNULL,
+                stderr=log,
+            )
         with trio.move_on_after(READY_S):
             while self._text().count("front=listens") == before and self._process.poll() is None:
                 await trio.sleep(LOOK_S)
@@ -59,9 +65,15 @@
 
     def write_config(self, known: dict[str, Any], channel: str) -> None:
         """Write what it is told, for a start or a reload."""
-        told = {"name": self.name, "listen": f"{HOST}:{self.port}", "seed": f"{self.port:x}",
-                "channel": channel, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                "known": known, "settings": self._settings}
+        told = {
+            "name": self.name,
+            "listen": f"{HOST}:{self.port}",
+            "seed": f"{self.port:x}",
+            "channel": channel,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+            "known": known,
+            "settings": self._settings,
+        }
         self._config.write_text(ujson.dumps(told))
 
     def reload(self) -> None:
@@ -124,7 +136,7 @@
         lines = self._text().splitlines()
         for number, line in enumerate(lines):
             if _LOG_FAULT.search(line):
-                said = " / ".join(lines[max(0, number - 1):number + 1])
+                said = " / ".join(lines[max(0, number - 1) : number + 1])
                 if (told := f"{self.name}: {said}") not in self._record.log_faults:
                     self._record.log_faults.append(told)
 
--- a/fordstair/lab/soak/discovery.py
+++ b/fordstair/lab/soak/discovery.py
@@ -62,17 +62,28 @@
 
     def known(self) -> dict[str, Any]:
         """Return what a coordinator that starts now is told in its configuration."""
-        servers = [{"id": name, "addr": address, "zone": "hall-a", "kind": "std", "cell": 0, "weight": 1,
-                    "state": _STATES[self.states[name]], "started_ms": self.started_ms[name]}
-                   for name, address in self.engines.items()]
+        servers = [
+            {
+                "id": name,
+                "addr": address,
+                "zone": "hall-a",
+                "kind": "std",
+                "cell": 0,
+                "weight": 1,
+                "state": _STATES[self.states[name]],
+                "started_ms": self.started_ms[name],
+            }
+            for name, address in self.engines.items()
+        ]
         nodes = {"version": self.number, "full": True, "servers": servers}
         return {"cursor": self.number, "cmds": [{"cursor": self.number, "nodes": nodes}]}
 
     def _record(self, name: str) -> bytes:
         host, _, port = self.engines[name].rpartition(":")
         address = bytes(int(part) for part in host.split("."))
-        return RECORD.pack(int(name[2:], 16), address, int(port), self.states[name], 0, 0, 0, 1_000,
-                           self.started_ms[name])
+        return RECORD.pack(
+            int(name[2:], 16), address, int(port), self.states[name], 0, 0, 0, 1_000, self.started_ms[name]
+        )
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         self._streams.add(stream)
--- a/fordstair/lab/soak/oracle.py
+++ b/fordstair/lab/soak/oracle.py
@@ -19,8 +19,14 @@
 MEASURE_SLACK_S = 0.05  # this program sees bytes a little later than they come
 DISCOVERY_KINDS = (FaultKind.SILENCE_DISCOVERY, FaultKind.RESET_DISCOVERY)
 # What a coordinator was doing in these keeps it from hearing of a drain in time.
-DEAF_KINDS = (FaultKind.PAUSE, FaultKind.FAIL_CALL, FaultKind.SHORTEN_CALL, FaultKind.RELOAD, FaultKind.KILL,
-              FaultKind.TERMINATE)
+DEAF_KINDS = (
+    FaultKind.PAUSE,
+    FaultKind.FAIL_CALL,
+    FaultKind.SHORTEN_CALL,
+    FaultKind.RELOAD,
+    FaultKind.KILL,
+    FaultKind.TERMINATE,
+)
 DEAF_FOR_S = 7.0  # afterwards what discovery tells counts as told, whether it arrived or not
 
 
@@ -49,8 +55,15 @@
 
     def violations(self) -> list[Violation]:
         """Return every broken rule, in order of time."""
-        found = [*self._duplicates(), *self._parallel(), *self._answers(), *self._attempts_of_nobody(),
-                 *self._limits(), *self._drains(), *self._crashes()]
+        found = [
+            *self._duplicates(),
+            *self._parallel(),
+            *self._answers(),
+            *self._attempts_of_nobody(),
+            *self._limits(),
+            *self._drains(),
+            *self._crashes(),
+        ]
         return sorted(found, key=lambda each: each.at_s)
 
     def _duplicates(self) -> Iterator[Violation]:
@@ -63,8 +76,9 @@
 
     def _parallel(self) -> Iterator[Violation]:
         for txn, attempts in self.attempts.items():
-            runs = sorted((each for each in attempts if each.started_s < math.inf),
-                          key=lambda each: each.started_s)
+            runs = sorted(
+                (each for each in attempts if each.started_s < math.inf), key=lambda each: each.started_s
+            )
             for one, other in zip(runs, runs[1:], strict=False):
                 if other.started_s + self.slack_s < one.ended_s:
                     where = f"{txn} at {other.engine} beside {one.engine}"
@@ -95,13 +109,17 @@
 
     def _lost_by_a_kill(self, request: RequestRecord) -> bool:
         until_s = request.answers[0][0] if request.answers else request.sent_s + request.limit_s + 1.0
-        return any(span.overlap(request.sent_s - 0.05, until_s) > 0.0
-                   for span in self.record.held(FaultKind.KILL, request.coordinator))
+        return any(
+            span.overlap(request.sent_s - 0.05, until_s) > 0.0
+            for span in self.record.held(FaultKind.KILL, request.coordinator)
+        )
 
     def _crossed_an_end(self, request: RequestRecord) -> bool:
         """Whether it came as a planned end closed its connection, or after the last one was accepted."""
-        ending = any(span.from_s <= request.closed_s <= span.to_s + 1.0
-                     for span in self.record.held(FaultKind.TERMINATE, request.coordinator))
+        ending = any(
+            span.from_s <= request.closed_s <= span.to_s + 1.0
+            for span in self.record.held(FaultKind.TERMINATE, request.coordinator)
+        )
         return ending and request.closed_s - request.sent_s < CROSSING_S + self.slack_s
 
     def _attempts_of_nobody(self) -> Iterator[Violation]:
@@ -112,8 +130,11 @@
                 continue
             begun_s = attempt.read_s - self._paused(request, request.gone_s, attempt.read_s)
             if begun_s > request.gone_s + GONE_SLACK_S + self.slack_s:
-                yield Violation("begun for nobody", attempt.read_s,
-                                f"{attempt.txn} of {request.coordinator} gone at {request.gone_s:.3f}")
+                yield Violation(
+                    "begun for nobody",
+                    attempt.read_s,
+                    f"{attempt.txn} of {request.coordinator} gone at {request.gone_s:.3f}",
+                )
 
     def _limits(self) -> Iterator[Violation]:
         for attempt in self.record.attempts:
@@ -132,8 +153,10 @@
             for drain in self.record.drains:
                 told_s = drain.told.from_s
                 told_s += DEAF_FOR_S if self._deaf(request.coordinator, told_s, attempt.read_s) else 0.0
-                if drain.engine == attempt.engine and told_s + DRAIN_SLACK_S + self.slack_s < attempt.read_s \
-                        < drain.told.to_s:
+                if (
+                    drain.engine == attempt.engine
+                    and told_s + DRAIN_SLACK_S + self.slack_s < attempt.read_s < drain.told.to_s
+                ):
                     what = f"{attempt.txn} of {request.coordinator} to {attempt.engine}, told {told_s:.3f}"
                     yield Violation("drain", attempt.read_s, what)
 
--- a/fordstair/lab/soak/plan.py
+++ b/fordstair/lab/soak/plan.py
@@ -96,8 +96,9 @@
         return f"{self.at_s:.2f} for {self.lasts_s:.2f}: {self.kind.value} {self.name}{more}"
 
 
-def draw_faults(seed: int, seconds: float, per_second: float, coordinators: Sequence[str],
-                engines: Sequence[str]) -> list[Fault]:
+def draw_faults(
+    seed: int, seconds: float, per_second: float, coordinators: Sequence[str], engines: Sequence[str]
+) -> list[Fault]:
     """Draw the faults of a run, in order of time; they overlap freely."""
     random, faults, at_s = Random(seed), list[Fault](), 0.5
     kinds, weights = list(RECIPES), [recipe.weight for recipe in RECIPES.values()]
--- a/fordstair/lab/soak/records.py
+++ b/fordstair/lab/soak/records.py
@@ -87,5 +87,6 @@
 
     def held(self, kind: FaultKind, name: str | None = None) -> list[Span]:
         """Return when faults of a kind held, everywhere or at one place."""
-        return [each.held for each in self.injected
-                if each.fault.kind is kind and name in (None, each.fault.name)]
+        return [
+            each.held for each in self.injected if each.fault.kind is kind and name in (None, each.fault.name)
+        ]
--- a/fordstair/lab/soak/run.py
+++ b/fordstair/lab/soak/run.py
@@ -25,6 +25,7 @@
 BEAT_S = 0.05
 FIRST_PORT = 20_000  # below those that the system hands out by itself
 
+
 @dataclass(frozen=True, slots=True)
 class Plan:
     """How large a soak is."""
@@ -53,9 +54,11 @@
 
     def __str__(self) -> str:
         kinds = Counter(each.fault.kind.value for each in self.record.injected)
-        lines = [f"seed {self.plan.seed}: {len(self.record.requests)} requests {dict(self.answers)}, "
-                 f"{len(self.record.attempts)} attempts, worst lag {self.record.worst_lag_s * 1e3:.0f} ms",
-                 f"  faults {dict(kinds)}"]
+        lines = [
+            f"seed {self.plan.seed}: {len(self.record.requests)} requests {dict(self.answers)}, "
+            f"{len(self.record.attempts)} attempts, worst lag {self.record.worst_lag_s * 1e3:.0f} ms",
+            f"  faults {dict(kinds)}",
+        ]
         if self.violations:
             lines += [f"  fault {fault}" for fault in self.faults]
             lines += [f"  VIOLATION {violation}" for violation in self.violations]
@@ -125,8 +128,13 @@
         """Send traffic and inject faults; return once the last request has ended."""
         async with trio.open_nursery() as nursery:
             for number, coordinator in enumerate(self.coordinators.values()):
-                clients = Clients(coordinator, self.record, self.plan.seed * 1_000 + number,
-                                  self.plan.rate_per_s, self.start_s)
+                clients = Clients(
+                    coordinator,
+                    self.record,
+                    self.plan.seed * 1_000 + number,
+                    self.plan.rate_per_s,
+                    self.start_s,
+                )
                 nursery.start_soon(clients.run, self.plan.seconds)
             for fault in faults:
                 nursery.start_soon(self._inject, fault)
@@ -154,11 +162,17 @@
         entry = InjectedFault(fault, Span(self.now_s(), math.inf))
         self.record.injected.append(entry)
         on_target: dict[FaultKind, Callable[[Fault], Awaitable[None]]] = {
-            FaultKind.STEP_CLOCK: self._shim_fault, FaultKind.FAIL_CALL: self._shim_fault,
-            FaultKind.SHORTEN_CALL: self._shim_fault, FaultKind.PAUSE: self._pause,
-            FaultKind.KILL: self._kill, FaultKind.TERMINATE: self._terminate, FaultKind.RELOAD: self._reload,
-            FaultKind.DRAIN: self._drain, FaultKind.SILENCE_DISCOVERY: self._silence_discovery,
-            FaultKind.RESET_DISCOVERY: self._reset_discovery}
+            FaultKind.STEP_CLOCK: self._shim_fault,
+            FaultKind.FAIL_CALL: self._shim_fault,
+            FaultKind.SHORTEN_CALL: self._shim_fault,
+            FaultKind.PAUSE: self._pause,
+            FaultKind.KILL: self._kill,
+            FaultKind.TERMINATE: self._terminate,
+            FaultKind.RELOAD: self._reload,
+            FaultKind.DRAIN: self._drain,
+            FaultKind.SILENCE_DISCOVERY: self._silence_discovery,
+            FaultKind.RESET_DISCOVERY: self._reset_discovery,
+        }
         await on_target.get(fault.kind, self._engine_fault)(fault)
         entry.held = Span(entry.held.from_s, self.now_s())
 
--- a/fordstair/lab/traffic.py
+++ b/fordstair/lab/traffic.py
@@ -55,8 +55,11 @@
     def summary(self) -> dict[str, float]:
         """Return the figures of a run; latencies in ms."""
         named = ("asked", "served", "refused", "failed", "lost", "answered_twice")
-        return {**{name: self.counts[name] for name in named},
-                "p50_ms": self.at(50.0), "p99_ms": self.at(99.0)}
+        return {
+            **{name: self.counts[name] for name in named},
+            "p50_ms": self.at(50.0),
+            "p99_ms": self.at(99.0),
+        }
 
     def at(self, percentile: float) -> float:
         """Return a percentile of the served ones' latency, in ms."""
@@ -138,8 +141,13 @@
         self._number += 1
         line.open[line.last] = _Asked(kind, due_s)
         work = self.random.expovariate(1.0 / kind.work_ms) if kind.work_ms > 0.0 else 0.0
-        fields = {"txn": f"{self._salt:08x}{self._number:08x}", "limit": str(int(kind.limit_ms)),
-                  "team": kind.team, "cpu": f"{max(1.0, work):.1f}", "need_mb": "16"}
+        fields = {
+            "txn": f"{self._salt:08x}{self._number:08x}",
+            "limit": str(int(kind.limit_ms)),
+            "team": kind.team,
+            "cpu": f"{max(1.0, work):.1f}",
+            "need_mb": "16",
+        }
         body = b"/* work=%.1f rows=%d */ SELECT a FROM t_%d.lines" % (work, kind.rows, kind.group)
         data = msgpack.packb([0, line.last, kind.lane, [fields, body]])
         try:
@@ -179,14 +187,18 @@
         line.open.clear()
 
 
-def mixed(rate_per_s: float, teams: Sequence[str] = ("karri-energy", "saltbush-power", "pindan-retail"),
-          ) -> list[Kind]:
+def mixed(
+    rate_per_s: float,
+    teams: Sequence[str] = ("karri-energy", "saltbush-power", "pindan-retail"),
+) -> list[Kind]:
     """Return light traffic in the Office's proportions, over its classes and teams."""
     shares = (0.73, 0.16, 0.11)
     kinds = list[Kind]()
     for team, share in zip(teams, shares, strict=False):
         rate = rate_per_s * share
-        kinds += [Kind("lookup", team, rate * 0.79, 40.0, 6_000.0, 2, 1),
-                  Kind("settlement", team, rate * 0.15, 600.0, 10_000.0, 60, 2),
-                  Kind("meter-load", team, rate * 0.06, 300.0, 10_000.0, 1, 3)]
+        kinds += [
+            Kind("lookup", team, rate * 0.79, 40.0, 6_000.0, 2, 1),
+            Kind("settlement", team, rate * 0.15, 600.0, 10_000.0, 60, 2),
+            Kind("meter-load", team, rate * 0.06, 300.0, 10_000.0, 1, 3),
+        ]
     return kinds
--- a/fordstair/lab/virtual.py
+++ b/fordstair/lab/virtual.py
@@ -78,8 +78,14 @@
 class World:
     """One run."""
 
-    def __init__(self, settings: Settings, machines: dict[str, Machine], seed: int,
-                 scheduler: Scheduler | None = None, slow: Callable[[float], float] = lambda _: 1.0) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        machines: dict[str, Machine],
+        seed: int,
+        scheduler: Scheduler | None = None,
+        slow: Callable[[float], float] = lambda _: 1.0,
+    ) -> None:
         self.settings, self.machines, self.scheduler, self.slow = settings, machines, scheduler, slow
         self.gateway = Gateway(settings, seed)
         self.now, self._number = FULL_FROM, 0
@@ -148,8 +154,9 @@
     def _arrive(self, id: int, record: Record) -> None:
         self.open[id] = record
         arrival, spec = record.arrival, self.settings.classes[record.klass]
-        event = RequestArrived(id, record.klass, arrival.limit_ms, record.team, arrival.told_ms, 16.0,
-                               float(arrival.group))
+        event = RequestArrived(
+            id, record.klass, arrival.limit_ms, record.team, arrival.told_ms, 16.0, float(arrival.group)
+        )
         self._arrived[id] = event
         if self.scheduler is None:
             record.released_ms = 0.0
@@ -178,9 +185,17 @@
 
     def _preempt(self, waiting: set[int]) -> None:
         assert self.scheduler is not None
-        running = [Runs(id, record.team, float(record.arrival.group),
-                        self.settings.classes[record.klass].is_load, self._left(record))
-                   for id, record in self.open.items() if record.out is not None]
+        running = [
+            Runs(
+                id,
+                record.team,
+                float(record.arrival.group),
+                self.settings.classes[record.klass].is_load,
+                self._left(record),
+            )
+            for id, record in self.open.items()
+            if record.out is not None
+        ]
         within = {team for team in self.scheduler.budgets.accounts if self.scheduler.budgets.within(team)}
         for id, lower in self.preemption.decide(self.now, running, within, waiting, {}):
             self.changes += 1
@@ -204,8 +219,17 @@
             record, event = self.open[item.id], self._arrived[item.id]
             record.released_ms = self.now - FULL_FROM - record.arrival.at_ms
             left = record.arrival.limit_ms - record.released_ms
-            self._feed(RequestArrived(event.request, event.klass, left, event.tenant, event.cost_ms,
-                                      event.memory_mb, event.group))
+            self._feed(
+                RequestArrived(
+                    event.request,
+                    event.klass,
+                    left,
+                    event.tenant,
+                    event.cost_ms,
+                    event.memory_mb,
+                    event.group,
+                )
+            )
 
     def _feed(self, event: Event) -> None:
         for action in self.gateway.handle(self.now, event):
@@ -258,8 +282,17 @@
         elif self.scheduler is not None and id not in self.open:
             self.scheduler.ended(id, self.now, record.held)
         fields = dict(zip(("util", "inflight"), report, strict=True))
-        self._feed(AttemptEnded(id, attempt, engine, status, self.now - since, complete=id not in self.open,
-                                report=tuple(fields[name] for name in self.settings.report_fields)))
+        self._feed(
+            AttemptEnded(
+                id,
+                attempt,
+                engine,
+                status,
+                self.now - since,
+                complete=id not in self.open,
+                report=tuple(fields[name] for name in self.settings.report_fields),
+            )
+        )
         if self.scheduler is not None:
             self._release()
 
--- a/fordstair/logs/setup.py
+++ b/fordstair/logs/setup.py
@@ -21,20 +21,31 @@
 class Log(logging.Handler):
     """The one handler of an appliance's log."""
 
-    def __init__(self, sink: Sink, form: str, window_ms: float,
-                 clock: Callable[[], float] = monotonic_now) -> None:
+    def __init__(
+        self, sink: Sink, form: str, window_ms: float, clock: Callable[[], float] = monotonic_now
+    ) -> None:
         super().__init__()
         self.sink, self.clock, self.repeats = sink, clock, Repeats(window_ms)
         self.watchers: list[Watcher] = []
-        renderer: Any = structlog.processors.JSONRenderer(sort_keys=False) if form == "json" else \
-            structlog.dev.ConsoleRenderer(colors=False, pad_event_to=24, sort_keys=False)
-        chain: list[Any] = [structlog.stdlib.add_log_level, structlog.stdlib.add_logger_name,
-                            structlog.processors.TimeStamper(fmt="iso", utc=True), _fields]
+        renderer: Any = (
+            structlog.processors.JSONRenderer(sort_keys=False)
+            if form == "json"
+            else structlog.dev.ConsoleRenderer(colors=False, pad_event_to=24, sort_keys=False)
+        )
+        chain: list[Any] = [
+            structlog.stdlib.add_log_level,
+            structlog.stdlib.add_logger_name,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            _fields,
+        ]
         last: list[Any] = [structlog.stdlib.ProcessorFormatter.remove_processors_meta]
         if form == "json":
             last.append(structlog.processors.format_exc_info)
-        self.setFormatter(structlog.stdlib.ProcessorFormatter(
-            foreign_pre_chain=chain, processors=[*last, renderer], keep_exc_info=True))
+        self.setFormatter(
+            structlog.stdlib.ProcessorFormatter(
+                foreign_pre_chain=chain, processors=[*last, renderer], keep_exc_info=True
+            )
+        )
 
     def emit(self, record: logging.LogRecord) -> None:
         """Show the record, or count it."""
@@ -67,8 +78,9 @@
 
     def _show(self, record: logging.LogRecord, now: float) -> None:
         self.sink.write(self.format(record))
-        text = " ".join([record.getMessage(), *(f"{name}={value}" for name, value in
-                                                getattr(record, FIELDS, {}).items())])
+        text = " ".join(
+            [record.getMessage(), *(f"{name}={value}" for name, value in getattr(record, FIELDS, {}).items())]
+        )
         for watcher in self.watchers:
             watcher(now, record.levelname.lower(), text[:400])
 
--- a/fordstair/logs/sink.py
+++ b/fordstair/logs/sink.py
@@ -65,7 +65,7 @@
     def _put(self, data: bytes) -> bool:
         while data:
             try:
-                data = data[os.write(self.descriptor, data):]
+                data = data[os.write(self.descriptor, data) :]
             except BlockingIOError:
                 time.sleep(0.02)
             except OSError:  # closed, or its reader has gone: the program goes on without a log
--- a/fordstair/membership/messages.py
+++ b/fordstair/membership/messages.py
@@ -17,8 +17,9 @@
 
 Cluster: TypeAlias = Annotated[str, Meta(min_length=1, max_length=64)]
 Name: TypeAlias = Annotated[str, Meta(pattern=r"\A[A-Za-z][A-Za-z0-9._-]{0,63}\Z")]
-Address: TypeAlias = Annotated[str, Meta(pattern=r"\A[^\s:/]+:[0-9]{1,5}\Z|\A\[[0-9A-Fa-f:.]+\]:[0-9]{1,5}\Z",
-                                         max_length=80)]
+Address: TypeAlias = Annotated[
+    str, Meta(pattern=r"\A[^\s:/]+:[0-9]{1,5}\Z|\A\[[0-9A-Fa-f:.]+\]:[0-9]{1,5}\Z", max_length=80)
+]
 Incarnation: TypeAlias = Annotated[int, Meta(ge=0, le=LAST_INCARNATION)]
 Number: TypeAlias = Annotated[int, Meta(ge=0, le=2**32 - 1)]
 State: TypeAlias = Annotated[int, Meta(ge=0, le=3)]
--- a/fordstair/membership/swim.py
+++ b/fordstair/membership/swim.py
@@ -371,15 +371,29 @@
         self._alive += member.there - was_there
         if member.state == SUSPECT:
             least = self.fleet.suspicion * max(1.0, math.log10(self._alive)) * self.fleet.probe_ms
-            member.suspicion = Suspicion(self._now, update.by, least, least * self.fleet.suspicion_most,
-                                         min(CONFIRMATIONS, self._alive - 2))
+            member.suspicion = Suspicion(
+                self._now,
+                update.by,
+                least,
+                least * self.fleet.suspicion_most,
+                min(CONFIRMATIONS, self._alive - 2),
+            )
             self._await_end(member, member.suspicion)
         elif member.state in (DEAD, LEFT):
             member.timer = self._timers.add(self._now + self.fleet.forget_ms, lambda _: self._forget(member))
         if before != member.state:
             self.counts[("alive", "suspicions", "deaths", "leaves")[member.state]] += 1
-            self._changes.append(Changed(member.name, member.address, before, member.state,
-                                         member.incarnation, member.by, self._now))
+            self._changes.append(
+                Changed(
+                    member.name,
+                    member.address,
+                    before,
+                    member.state,
+                    member.incarnation,
+                    member.by,
+                    self._now,
+                )
+            )
         self._digest = None
         self._dissemination.add(update)
 
@@ -448,8 +462,12 @@
         return None
 
     def _ping(self, target: Member, number: int) -> None:
-        self._send(target.address, target.name, lambda news: Ping(*self._head, news, number, target.name),
-                   len(target.name))
+        self._send(
+            target.address,
+            target.name,
+            lambda news: Ping(*self._head, news, number, target.name),
+            len(target.name),
+        )
 
     def _ask_others(self, probe: _Probe) -> None:
         """No answer in time: ask k others, and the target once more."""
@@ -462,9 +480,12 @@
         helpers = self.random.sample(able, min(self.fleet.indirect, len(able)))
         probe.asked = len(helpers)
         for helper in helpers:
-            self._send(helper.address, helper.name,
-                       lambda news: PingReq(*self._head, news, probe.number, target.name, target.address),
-                       len(target.name) + len(target.address))
+            self._send(
+                helper.address,
+                helper.name,
+                lambda news: PingReq(*self._head, news, probe.number, target.name, target.address),
+                len(target.name) + len(target.address),
+            )
         self._ping(target, probe.number)
 
     def _answered(self, ack: Ack) -> None:
@@ -515,10 +536,15 @@
             return
         number = self._next_number()
         relay = self._relays[number] = _Relay(source, request.number)
-        self._send(request.address, request.target,
-                   lambda news: Ping(*self._head, news, number, request.target), len(request.target))
-        relay.timer = self._timers.add(self._now + NACK_PART * self.fleet.timeout_ms,
-                                       lambda _: self._in_vain(number))
+        self._send(
+            request.address,
+            request.target,
+            lambda news: Ping(*self._head, news, number, request.target),
+            len(request.target),
+        )
+        relay.timer = self._timers.add(
+            self._now + NACK_PART * self.fleet.timeout_ms, lambda _: self._in_vain(number)
+        )
 
     def _in_vain(self, number: int) -> None:
         """Say Nack; an Ack that comes later is still passed on for the rest of a period."""
--- a/fordstair/membership/transport.py
+++ b/fordstair/membership/transport.py
@@ -19,8 +19,16 @@
 RECEIVE_BYTES = LARGEST + 1  # one more than is allowed, so that what is longer shows
 BUFFER_BYTES = 1 << 20  # for what comes while this program is busy
 LEAVE_MS = 50.0  # between the two times that a leave is told
-_CANNOT_REACH = (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.EPERM, errno.EAGAIN,
-                 errno.ENOBUFS, errno.EINVAL, errno.EADDRNOTAVAIL)
+_CANNOT_REACH = (
+    errno.ECONNREFUSED,
+    errno.EHOSTUNREACH,
+    errno.ENETUNREACH,
+    errno.EPERM,
+    errno.EAGAIN,
+    errno.ENOBUFS,
+    errno.EINVAL,
+    errno.EADDRNOTAVAIL,
+)
 
 
 class Membership:
@@ -45,9 +53,16 @@
             # Greater than that of an earlier life, which is not stored, unless the wall clock was stepped
             # back meanwhile: then the others' word of the earlier life is refuted, with a greater one.
             self.swim = Swim(replace(self._told, address=address), int(unix_now().value), self._seed)
-            log.info("listening", name=self._told.name, front="fleet", host=bound[0], port=bound[1],
-                     cluster=self._told.cluster, address=address,
-                     seeds=",".join(self._told.seeds) or "none")
+            log.info(
+                "listening",
+                name=self._told.name,
+                front="fleet",
+                host=bound[0],
+                port=bound[1],
+                cluster=self._told.cluster,
+                address=address,
+                seeds=",".join(self._told.seeds) or "none",
+            )
             self.swim.start(monotonic_now())
             await self._carry_out(self.swim)
             task_status.started()
@@ -118,8 +133,15 @@
     def _tell(self, change: Changed) -> None:
         before = STATES[change.before] if change.before is not None else "unknown"
         write = log.warning if change.state == DEAD else log.info
-        write("fleet.member", name=change.name, state=STATES[change.state], before=before,
-              incarnation=change.incarnation, by=change.by, address=change.address)
+        write(
+            "fleet.member",
+            name=change.name,
+            state=STATES[change.state],
+            before=before,
+            incarnation=change.incarnation,
+            by=change.by,
+            address=change.address,
+        )
         for listener in self.listeners:
             listener(change)
 
--- a/fordstair/net/clients/listener.py
+++ b/fordstair/net/clients/listener.py
@@ -35,8 +35,14 @@
 class ClientListener:
     """One listening socket. Each client is handed on with how long at most it waited for that."""
 
-    def __init__(self, sock: trio.socket.SocketType, serve: Serve, poll_watch: PollWatch,
-                 deadlines: Deadlines, counters: Counters) -> None:
+    def __init__(
+        self,
+        sock: trio.socket.SocketType,
+        serve: Serve,
+        poll_watch: PollWatch,
+        deadlines: Deadlines,
+        counters: Counters,
+    ) -> None:
         self._sock, self._serve = sock, serve
         self._poll_watch, self._deadlines, self._counters = poll_watch, deadlines, counters
         self._failing_since_ms: float | None = None  # accept has failed, and some may wait since then
--- a/fordstair/net/clients/messagepack.py
+++ b/fordstair/net/clients/messagepack.py
@@ -9,8 +9,16 @@
 ITEMS_MOST = 64
 
 _FLOATS = {0xCA: struct.Struct(">f"), 0xCB: struct.Struct(">d")}
-_INTS = {0xCC: (1, False), 0xCD: (2, False), 0xCE: (4, False), 0xCF: (8, False),
-         0xD0: (1, True), 0xD1: (2, True), 0xD2: (4, True), 0xD3: (8, True)}
+_INTS = {
+    0xCC: (1, False),
+    0xCD: (2, False),
+    0xCE: (4, False),
+    0xCF: (8, False),
+    0xD0: (1, True),
+    0xD1: (2, True),
+    0xD2: (4, True),
+    0xD3: (8, True),
+}
 _TEXTS = {0xD9: 1, 0xDA: 2, 0xDB: 4}
 _BINS = {0xC4: 1, 0xC5: 2, 0xC6: 4}
 _ARRAYS = {0xDC: 2, 0xDD: 4}
@@ -75,7 +83,7 @@
 def _take(view: memoryview, at: int, size: int) -> memoryview:
     if at + size > len(view):
         raise Incomplete(at + size)
-    return view[at:at + size]
+    return view[at : at + size]
 
 
 def _length(view: memoryview, at: int, width: int) -> tuple[int, int]:
