--- a/fordstair/net/clients/odata_front.py
+++ b/fordstair/net/clients/odata_front.py
@@ -135,8 +135,12 @@
 
     clients_most = 64  # until the configuration has been applied
 
-    def __init__(self, coordinator: Coordinator, operator: Operator,
-                 team_of: Callable[[trio.abc.Stream], str | None] = lambda _: None) -> None:
+    def __init__(
+        self,
+        coordinator: Coordinator,
+        operator: Operator,
+        team_of: Callable[[trio.abc.Stream], str | None] = lambda _: None,
+    ) -> None:
         self.coordinator, self.operator = coordinator, operator
         self.results = Results(operator.results_most, operator.result_ms, coordinator)
         self.repeats: Repeats = OwnRepeats(coordinator)
@@ -281,8 +285,9 @@
             self.coordinator.counters.add("odata.stuck")
             raise trio.BrokenResourceError("the client does not read")
 
-    async def respond(self, method: str, target: str, headers: Headers, body: bytes,
-                      nested: bool = False) -> Response:
+    async def respond(
+        self, method: str, target: str, headers: Headers, body: bytes, nested: bool = False
+    ) -> Response:
         """Answer one request or one part of a batch; every fault of its own becomes an error answer."""
         try:
             parts = urlsplit(target)
@@ -311,7 +316,7 @@
     def _inside(self, path: str, nested: bool) -> str:
         root = self.operator.root
         if path == root or path.startswith(root + "/"):
-            return path[len(root):].strip("/")
+            return path[len(root) :].strip("/")
         if nested and not path.startswith("/"):
             return path.strip("/")
         raise ODataError(404, "NotFound", "no such resource")
@@ -339,8 +344,9 @@
             if not rows:
                 raise ODataError(404, "NotFound", "no such entity")
             context = f"{self.operator.root}/$metadata#{wanted.entity_set.name}/$entity"
-            return Response(200, _json({"@odata.context": context,
-                                        **_entity(rows[0], wanted.entity_set, wanted.select)}))
+            return Response(
+                200, _json({"@odata.context": context, **_entity(rows[0], wanted.entity_set, wanted.select)})
+            )
         size = self.operator.page_rows
         if (asked := _PAGE.search(headers.get("prefer", ""))) and int(asked[1]):
             size = min(size, int(asked[1]))
@@ -393,8 +399,9 @@
             self.front.repeats.end(ticket, response)
         return response
 
-    async def _run(self, statement: str, lane: str, entity_set: EntitySet, team: str,
-                   headers: Headers) -> Sequence[bytes]:
+    async def _run(
+        self, statement: str, lane: str, entity_set: EntitySet, team: str, headers: Headers
+    ) -> Sequence[bytes]:
         """Have the coordinator work on a statement; return its rows, or raise what became of it."""
         coordinator = self.coordinator
         if lane not in coordinator.classes:
@@ -407,8 +414,19 @@
         limit_ms = max(0.0, min(limit_ms, self.until_ms - coordinator.deadlines.clock()))
         self.reply = reply = Reply()
         self.live = live = coordinator.take(
-            Query(secrets.token_hex(8), lane, coordinator.classes[lane], coordinator.tenants[team], limit_ms,
-                  statement.encode(), table_group(statement), entity_set.cpu_ms, entity_set.need_mb), reply)
+            Query(
+                secrets.token_hex(8),
+                lane,
+                coordinator.classes[lane],
+                coordinator.tenants[team],
+                limit_ms,
+                statement.encode(),
+                table_group(statement),
+                entity_set.cpu_ms,
+                entity_set.need_mb,
+            ),
+            reply,
+        )
         try:
             await reply.done.wait()
         finally:
@@ -421,11 +439,19 @@
         late = coordinator.deadlines.clock() >= live.deadline_ms - AT_DEADLINE_MS
         if reply.later_ms is not None:
             after = {"Retry-After": str(max(1, math.ceil(reply.later_ms / 1000.0)))}
-            raise ODataError(504 if late else 503, "Timeout" if late else "Overloaded",
-                             "not done in time; trying again is harmless" if late
-                             else "refused for now; trying again is harmless", after)
-        raise ODataError(504 if late else 502, "Timeout" if late else "Failed",
-                         "not done; it may have run, so look before sending it again")
+            raise ODataError(
+                504 if late else 503,
+                "Timeout" if late else "Overloaded",
+                "not done in time; trying again is harmless"
+                if late
+                else "refused for now; trying again is harmless",
+                after,
+            )
+        raise ODataError(
+            504 if late else 502,
+            "Timeout" if late else "Failed",
+            "not done; it may have run, so look before sending it again",
+        )
 
     async def _batch(self, headers: Headers, body: bytes) -> Response:
         """Run a JSON batch in its order; one whose client has left goes no further."""
@@ -433,8 +459,9 @@
             raise ODataError(415, "UnsupportedMediaType", "batches are served in the JSON format")
         try:
             requests = ujson.loads(body)["requests"]
-            parts = [(str(each["id"]), str(each["method"]).upper(), str(each["url"]), each)
-                     for each in requests]
+            parts = [
+                (str(each["id"]), str(each["method"]).upper(), str(each["url"]), each) for each in requests
+            ]
         except (ValueError, KeyError, TypeError):
             raise ODataError(400, "BadBatch", "each request needs an id, a method and a url") from None
         if len(parts) > BATCH_MOST or len({name for name, *_ in parts}) < len(parts):
@@ -459,8 +486,9 @@
                 shared = ("prefer", self.operator.team_header.lower())
                 outer = {key: value for key, value in headers.items() if key in shared}
                 content = part.get("body")
-                response = await self.respond(method, url, outer | inner,
-                                              b"" if content is None else _json(content), nested=True)
+                response = await self.respond(
+                    method, url, outer | inner, b"" if content is None else _json(content), nested=True
+                )
             failed |= {name} if response.status >= 400 else set()
             answers.append(_part(name, response))
             if response.status >= 400 and not go_on:
@@ -470,8 +498,11 @@
 
 
 def _part(name: str, response: Response) -> dict[str, Any]:
-    part: dict[str, Any] = {"id": name, "status": response.status,
-                            "headers": {key.lower(): value for key, value in response.headers.items()}}
+    part: dict[str, Any] = {
+        "id": name,
+        "status": response.status,
+        "headers": {key.lower(): value for key, value in response.headers.items()},
+    }
     if response.body:
         xml = response.headers.get("Content-Type") == "application/xml"
         part["body"] = response.body.decode() if xml else ujson.loads(response.body)
--- a/fordstair/net/clients/odata_model.py
+++ b/fordstair/net/clients/odata_model.py
@@ -26,8 +26,9 @@
 class ODataError(Exception):
     """An error answer: status, code and message, with the headers that belong to it."""
 
-    def __init__(self, status: int, code: str, message: str,
-                 headers: Mapping[str, str] | None = None) -> None:
+    def __init__(
+        self, status: int, code: str, message: str, headers: Mapping[str, str] | None = None
+    ) -> None:
         super().__init__(message)
         self.status, self.code, self.message, self.headers = status, code, message, dict(headers or {})
 
@@ -216,14 +217,22 @@
     for each in sets.values():
         properties = "".join(
             f'<Property Name={quoteattr(column)} Type="Edm.String" '
-            f'Nullable="{"false" if column == each.key else "true"}"/>' for column in each.columns)
-        types.append(f"<EntityType Name={quoteattr(each.name + 'Row')}><Key><PropertyRef "
-                     f"Name={quoteattr(each.key)}/></Key>{properties}</EntityType>")
-        container.append(f"<EntitySet Name={quoteattr(each.name)} "
-                         f"EntityType={quoteattr('fordstair.' + each.name + 'Row')}/>")
-    return ('<?xml version="1.0" encoding="UTF-8"?>'
-            '<edmx:Edmx xmlns:edmx="http://docs.oasis-open.org/odata/ns/edmx" Version="4.01">'
-            "<edmx:DataServices>"
-            '<Schema xmlns="http://docs.oasis-open.org/odata/ns/edm" Namespace="fordstair">'
-            f'{"".join(types)}<EntityContainer Name="Container">{"".join(container)}</EntityContainer>'
-            "</Schema></edmx:DataServices></edmx:Edmx>").encode()
+            f'Nullable="{"false" if column == each.key else "true"}"/>'
+            for column in each.columns
+        )
+        types.append(
+            f"<EntityType Name={quoteattr(each.name + 'Row')}><Key><PropertyRef "
+            f"Name={quoteattr(each.key)}/></Key>{properties}</EntityType>"
+        )
+        container.append(
+            f"<EntitySet Name={quoteattr(each.name)} "
+            f"EntityType={quoteattr('fordstair.' + each.name + 'Row')}/>"
+        )
+    return (
+        '<?xml version="1.0" encoding="UTF-8"?>'
+        '<edmx:Edmx xmlns:edmx="http://docs.oasis-open.org/odata/ns/edmx" Version="4.01">'
+        "<edmx:DataServices>"
+        '<Schema xmlns="http://docs.oasis-open.org/odata/ns/edm" Namespace="fordstair">'
+        f'{"".join(types)}<EntityContainer Name="Container">{"".join(container)}</EntityContainer>'
+        "</Schema></edmx:DataServices></edmx:Edmx>"
+    ).encode()
--- a/fordstair/net/clients/repeatable_requests.py
+++ b/fordstair/net/clients/repeatable_requests.py
@@ -79,8 +79,12 @@
             return read_response(outcome)
         if verdict.name == "UNKNOWN":
             raise _unknown()
-        raise ODataError(503, "NoMajority", "too few coordinators can vouch that this load has not run",
-                         {"Retry-After": "1"})
+        raise ODataError(
+            503,
+            "NoMajority",
+            "too few coordinators can vouch that this load has not run",
+            {"Retry-After": "1"},
+        )
 
     def end(self, ticket: Begun, response: Response | None) -> None:
         """Tell the holders in the background: the client's answer need not wait for them."""
--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -66,8 +66,14 @@
 class RpcClient:
     """One client's connection."""
 
-    def __init__(self, stream: trio.SocketStream, coordinator: Coordinator, largest_statement: int,
-                 poll_watch: PollWatch | None = None, waited_ms: float = 0.0) -> None:
+    def __init__(
+        self,
+        stream: trio.SocketStream,
+        coordinator: Coordinator,
+        largest_statement: int,
+        poll_watch: PollWatch | None = None,
+        waited_ms: float = 0.0,
+    ) -> None:
         self._poll_watch = poll_watch or PollWatch()
         self._connected_ms = coordinator.deadlines.clock() - waited_ms  # at the earliest
         self._empty_ms = coordinator.deadlines.clock()  # when all that had come was read
--- a/fordstair/net/clients/rpc_front.py
+++ b/fordstair/net/clients/rpc_front.py
@@ -45,8 +45,9 @@
             if len(self.clients) >= self.clients_most and not self._make_room():
                 self.coordinator.counters.add("client.turned_away")
                 return await trio.aclose_forcefully(stream)
-            await self._serve(RpcClient(
-                stream, self.coordinator, self.largest_statement, self.poll_watch, waited_ms))
+            await self._serve(
+                RpcClient(stream, self.coordinator, self.largest_statement, self.poll_watch, waited_ms)
+            )
         except Exception:
             log.exception("client.broke")
 
@@ -68,13 +69,20 @@
         now = self.coordinator.deadlines.clock()
         if not self._next_to_go or now > self._sorted_ms + SORT_MS:
             young_ms = now - GREET_MS
-            idle = [(1 if client.asked else 2 if client.since_ms > young_ms else 0, client.since_ms, client)
-                    for client in self.clients if client.idle]
+            idle = [
+                (1 if client.asked else 2 if client.since_ms > young_ms else 0, client.since_ms, client)
+                for client in self.clients
+                if client.idle
+            ]
             self._next_to_go, self._sorted_ms = deque(sorted(idle, key=lambda each: each[:2])), now
         while self._next_to_go:
             _, since_ms, client = self._next_to_go.popleft()
-            if client in self.clients and client.idle and client.since_ms == since_ms and (
-                    client.lingering or not client.unread):
+            if (
+                client in self.clients
+                and client.idle
+                and client.since_ms == since_ms
+                and (client.lingering or not client.unread)
+            ):
                 self.coordinator.counters.add("client.shed")
                 self.clients.discard(client)
                 client.shed()
--- a/fordstair/net/clients/rpc_query.py
+++ b/fordstair/net/clients/rpc_query.py
@@ -17,8 +17,9 @@
     """A request that cannot be used; the text says why."""
 
 
-def read_query(method: str, params: Any, coordinator: Coordinator, largest: int,
-               waited_ms: float = 0.0) -> Query:
+def read_query(
+    method: str, params: Any, coordinator: Coordinator, largest: int, waited_ms: float = 0.0
+) -> Query:
     """Read a request's fields and statement; raise BadRequest, naming what cannot be used."""
     if method not in coordinator.classes:
         raise BadRequest(f"unknown class {method[:40]!r}")
@@ -36,9 +37,18 @@
     if (tenant := coordinator.tenant_of(team)) is None:
         raise BadRequest(f"unknown team {team[:40]!r}")
     statement = bytes(body)  # the copy outlives the read buffer
-    return Query(txn, method, coordinator.classes[method], tenant,
-                 _number(fields, b"limit"), statement, table_group(statement.decode("utf-8", "replace")),
-                 _number(fields, b"cpu", 0.0), _number(fields, b"need_mb", 0.0), waited_ms)
+    return Query(
+        txn,
+        method,
+        coordinator.classes[method],
+        tenant,
+        _number(fields, b"limit"),
+        statement,
+        table_group(statement.decode("utf-8", "replace")),
+        _number(fields, b"cpu", 0.0),
+        _number(fields, b"need_mb", 0.0),
+        waited_ms,
+    )
 
 
 def _text(fields: dict[Any, Any], name: bytes) -> str:
--- a/fordstair/net/command_channel.py
+++ b/fordstair/net/command_channel.py
@@ -44,7 +44,7 @@
     if len(view) < 4 + size:
         return None
     _, number, kind = HEADER.unpack_from(view)
-    return number, kind, view[HEADER.size:4 + size], 4 + size
+    return number, kind, view[HEADER.size : 4 + size], 4 + size
 
 
 def read_records(payload: memoryview) -> list[Engine]:
@@ -61,17 +61,28 @@
     return engines
 
 
-def read_command(command: Mapping[str, Any], zones: list[str],
-                 kinds: list[str]) -> tuple[int, ListKind, list[Engine]]:
+def read_command(
+    command: Mapping[str, Any], zones: list[str], kinds: list[str]
+) -> tuple[int, ListKind, list[Engine]]:
     """Read one event of the configuration's ``known``; raise ValueError or KeyError where it cannot be."""
     nodes, engines = command["nodes"], []
     for line in nodes["servers"]:
         entry = EngineEntry(
-            str(line["id"]), _NAMES[line["state"]], _position(zones, line.get("zone")),
-            int(line.get("cell", 0)), _position(kinds, line.get("kind")),
-            weight=float(line.get("weight", 1)))
-        engines.append(Engine(entry, str(line["addr"]), str(line.get("protocol", "rest")),
-                              _started(line.get("started_ms", 0))))
+            str(line["id"]),
+            _NAMES[line["state"]],
+            _position(zones, line.get("zone")),
+            int(line.get("cell", 0)),
+            _position(kinds, line.get("kind")),
+            weight=float(line.get("weight", 1)),
+        )
+        engines.append(
+            Engine(
+                entry,
+                str(line["addr"]),
+                str(line.get("protocol", "rest")),
+                _started(line.get("started_ms", 0)),
+            )
+        )
     kind = ListKind.FULL if nodes.get("full") else ListKind.DELTA
     return int(command.get("cursor", 0)), kind, engines
 
@@ -88,8 +99,9 @@
 class CommandChannel:
     """Keeps connected to the channel and passes every event on, each once."""
 
-    def __init__(self, channel: str, cursor: int, deliver: Deliver, deadlines: Deadlines,
-                 counters: Counters) -> None:
+    def __init__(
+        self, channel: str, cursor: int, deliver: Deliver, deadlines: Deadlines, counters: Counters
+    ) -> None:
         self.channel, self.cursor, self.deliver = channel, cursor, deliver
         self.deadlines, self.counters = deadlines, counters
         self.heard_ms = 0.0  # when the channel last said anything; 0: never
--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -78,9 +78,17 @@
 class ConsoleServer:
     """Answers commands, judges adjustments, and feeds those that follow."""
 
-    def __init__(self, name: str, coordinator: Coordinator, drain: Callable[[], None],
-                 wall_clock: WallClock, watchers_most: int = 8, membership: Membership | None = None,
-                 shared: Service | None = None, budgets: FleetBudgets | None = None) -> None:
+    def __init__(
+        self,
+        name: str,
+        coordinator: Coordinator,
+        drain: Callable[[], None],
+        wall_clock: WallClock,
+        watchers_most: int = 8,
+        membership: Membership | None = None,
+        shared: Service | None = None,
+        budgets: FleetBudgets | None = None,
+    ) -> None:
         self.coordinator, self.deadlines, self.drain = coordinator, coordinator.deadlines, drain
         self.watchers_most, self.connections = watchers_most, 0
         self.ledger = Ledger()
@@ -155,7 +163,7 @@
             buffer += chunk
             while (end := buffer.find(b"\n")) >= 0:
                 line = bytes(buffer[:end])
-                del buffer[:end + 1]
+                del buffer[: end + 1]
                 try:
                     told = read_command(line)
                     if told["command"] == "follow":
@@ -168,8 +176,9 @@
             if len(buffer) > LARGEST_LINE:
                 return
 
-    async def _send(self, stream: trio.SocketStream, data: bytes, taken: Taken | None = None,
-                    frames: int = 0) -> bool:
+    async def _send(
+        self, stream: trio.SocketStream, data: bytes, taken: Taken | None = None, frames: int = 0
+    ) -> bool:
         """Send, and wait until so many frames were taken where that is told; False where it is cut."""
         with self.deadlines.limit_for(CUT_MS) as limit:
             await stream.send_all(data)
@@ -262,11 +271,21 @@
     def _adjust(self, change: Change, told: dict[str, Any], who: str) -> dict[str, Any]:
         seen = told.get("seen")
         ruling = self.ledger.propose(
-            change, who, self.wall_clock.unix(self.deadlines.clock()).value, self.standing(),
+            change,
+            who,
+            self.wall_clock.unix(self.deadlines.clock()).value,
+            self.standing(),
             seen=seen if isinstance(seen, int) and not isinstance(seen, bool) else None,
-            confirmed=told.get("confirmed") is True)
-        log.info("adjustment", what=type(change).__name__, verdict=ruling.verdict.value, who=who,
-                 **{name: getattr(change, name) for name in change.__slots__}, why=ruling.why)
+            confirmed=told.get("confirmed") is True,
+        )
+        log.info(
+            "adjustment",
+            what=type(change).__name__,
+            verdict=ruling.verdict.value,
+            who=who,
+            **{name: getattr(change, name) for name in change.__slots__},
+            why=ruling.why,
+        )
         if ruling.verdict is Verdict.DONE:
             self.coordinator.counters.add("adjustments")
             self._carry_out(change)
@@ -291,7 +310,9 @@
             frozenset(name for name, engine in coordinator.engines.items() if engine.ready),
             frozenset(coordinator.engines),
             {spec.name: spec.threads for spec in coordinator.settings.classes},
-            coordinator.open, coordinator.draining)
+            coordinator.open,
+            coordinator.draining,
+        )
 
 
 def read_command(line: bytes) -> dict[str, Any]:
@@ -307,6 +328,7 @@
 
 def read_change(told: dict[str, Any]) -> Change:
     """Read an adjustment; raise BadCommand, naming what cannot be used."""
+
     def text(field: str) -> str:
         value = told.get(field)
         if not isinstance(value, str) or not 0 < len(value) <= 200:
--- a/fordstair/net/engines/odata.py
+++ b/fordstair/net/engines/odata.py
@@ -44,9 +44,13 @@
     def post(self, limit_ms: int) -> tuple[str, list[tuple[str, str]], bytes]:
         """Id, class and statement go out as they came, as the action's parameters."""
         query = self.errand.query
-        parameters = {"Txn": query.txn, "Lane": query.lane, "LimitMs": limit_ms,
-                      "Urgency": self.errand.urgency,
-                      "Statement": query.statement.decode("utf-8", "surrogateescape")}
+        parameters = {
+            "Txn": query.txn,
+            "Lane": query.lane,
+            "LimitMs": limit_ms,
+            "Urgency": self.errand.urgency,
+            "Statement": query.statement.decode("utf-8", "surrogateescape"),
+        }
         headers = [*_VERSION, ("Content-Type", "application/json"), ("Prefer", "respond-async,wait=0")]
         return ACTION, headers, _encode(parameters)
 
@@ -110,8 +114,9 @@
 
 
 def _encode(parameters: dict[str, Any]) -> bytes:
-    return ujson.dumps(parameters, ensure_ascii=False, escape_forward_slashes=False,
-                       reject_bytes=True).encode("utf-8", "surrogateescape")
+    return ujson.dumps(
+        parameters, ensure_ascii=False, escape_forward_slashes=False, reject_bytes=True
+    ).encode("utf-8", "surrogateescape")
 
 
 def _cell(value: object) -> str:
--- a/fordstair/net/engines/pool.py
+++ b/fordstair/net/engines/pool.py
@@ -66,9 +66,14 @@
 
     size, connect_ms, idle_ms = 64, 250.0, 30_000.0  # until the configuration has been applied
 
-    def __init__(self, deadlines: Deadlines, counters: Counters, *,
-                 tls: Callable[[str], ssl.SSLContext | None] = lambda _: None,
-                 accept: Callable[[str, trio.SSLStream[trio.SocketStream]], None] = lambda *_: None) -> None:
+    def __init__(
+        self,
+        deadlines: Deadlines,
+        counters: Counters,
+        *,
+        tls: Callable[[str], ssl.SSLContext | None] = lambda _: None,
+        accept: Callable[[str, trio.SSLStream[trio.SocketStream]], None] = lambda *_: None,
+    ) -> None:
         self.deadlines, self.counters = deadlines, counters
         self._tls, self._accept = tls, accept
         self._endpoints: dict[str, Endpoint] = {}
@@ -129,7 +134,8 @@
             self._settle(endpoint)
         if waiter.connection is None:
             raise waiter.failure or ConnectFailed(
-                f"{address}: no connection within {self.connect_ms:.0f} ms", late=True)
+                f"{address}: no connection within {self.connect_ms:.0f} ms", late=True
+            )
         return waiter.connection
 
     def release(self, connection: PooledConnection) -> None:
@@ -272,8 +278,9 @@
                 pause_ms = backoff.pause_ms()
                 transient = scope_of(error) is Scope.TRANSIENT
                 if not transient or self.deadlines.clock() + pause_ms >= until_ms:
-                    raise ConnectFailed(f"{endpoint.address}: {error}", refused=refused(error),
-                                        late=transient) from error
+                    raise ConnectFailed(
+                        f"{endpoint.address}: {error}", refused=refused(error), late=transient
+                    ) from error
                 self.counters.add("engine.connect_retries")
                 await self.deadlines.sleep(pause_ms)
 
--- a/fordstair/net/engines/rest.py
+++ b/fordstair/net/engines/rest.py
@@ -65,8 +65,16 @@
     def post(self, limit_ms: int) -> tuple[str, list[tuple[str, str]], bytes]:
         """Id, class and statement go out as they came."""
         query = self.errand.query
-        return "/o", [("X-Txn", query.txn), ("X-Lane", query.lane), ("X-Limit-Ms", str(limit_ms)),
-                      ("X-Urgency", str(self.errand.urgency))], query.statement
+        return (
+            "/o",
+            [
+                ("X-Txn", query.txn),
+                ("X-Lane", query.lane),
+                ("X-Limit-Ms", str(limit_ms)),
+                ("X-Urgency", str(self.errand.urgency)),
+            ],
+            query.statement,
+        )
 
     async def further(self) -> bytes | None:
         """Fetch the next page; what is not that page is an error of a query that has run."""
--- a/fordstair/net/identity.py
+++ b/fordstair/net/identity.py
@@ -88,8 +88,14 @@
             parse_id(str(name))
         except IdentityError as error:
             raise ConfigError(f"identity: {error}") from None
-    return Files(Path(told["certificate"]), Path(told["key"]), Path(told["bundle"]), told["trust_domain"],
-                 {str(name): str(team) for name, team in teams.items()}, frozenset(map(str, engines)))
+    return Files(
+        Path(told["certificate"]),
+        Path(told["key"]),
+        Path(told["bundle"]),
+        told["trust_domain"],
+        {str(name): str(team) for name, team in teams.items()},
+        frozenset(map(str, engines)),
+    )
 
 
 class Identity:
--- a/fordstair/net/system_errors.py
+++ b/fordstair/net/system_errors.py
@@ -16,10 +16,23 @@
 
 # accept(2), socket(2) and connect(2): no descriptor, no memory, no local port, no network just now, or a peer
 # that left before it was accepted.
-_TRANSIENT = frozenset({
-    errno.EAGAIN, errno.EINTR, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ECONNABORTED,
-    errno.EPROTO, errno.EADDRNOTAVAIL, errno.ENETDOWN, errno.ENETUNREACH, errno.ENONET, errno.EHOSTDOWN,
-})
+_TRANSIENT = frozenset(
+    {
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.ECONNABORTED,
+        errno.EPROTO,
+        errno.EADDRNOTAVAIL,
+        errno.ENETDOWN,
+        errno.ENETUNREACH,
+        errno.ENONET,
+        errno.EHOSTDOWN,
+    }
+)
 _PROGRAM = frozenset({errno.EBADF, errno.EINVAL, errno.ENOTSOCK, errno.EFAULT, errno.EOPNOTSUPP})
 
 FIRST_PAUSE_MS, LONGEST_PAUSE_MS = 2.0, 25.0
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -74,8 +74,12 @@
             from fordstair.net.identity import Identity, read_files
 
             self.identity = Identity(read_files(operator.identity), self.deadlines, self.counters)
-        self.pool = Pool(self.deadlines, self.counters, tls=self.tls,
-                         accept=self.identity.check_engine if self.identity else lambda *_: None)
+        self.pool = Pool(
+            self.deadlines,
+            self.counters,
+            tls=self.tls,
+            accept=self.identity.check_engine if self.identity else lambda *_: None,
+        )
         transport = (self.pool, self.deadlines, config.settings.report_fields)
         transports: dict[str, Transport] = {"rest": RestTransport(*transport)}
         if operator is not None:
@@ -83,15 +87,21 @@
 
             transports["odata"] = ODataTransport(*transport)
         self.coordinator = Coordinator(
-            config.settings, config.seed, transports, self.deadlines, self.counters)
+            config.settings, config.seed, transports, self.deadlines, self.counters
+        )
         self.pool.unreached = self.coordinator.unreached
         if config.budgets is not None:
             from fordstair.core.admission_queue import AdmissionQueue
             from fordstair.scheduling.scheduler import Scheduler
 
             told = config.budgets
-            scheduler = Scheduler(dict(told.shares), 1.0, waiting_most=told.waiting_most,
-                                  burst_ms=told.burst_ms, debt_ms=told.debt_ms)
+            scheduler = Scheduler(
+                dict(told.shares),
+                1.0,
+                waiting_most=told.waiting_most,
+                burst_ms=told.burst_ms,
+                debt_ms=told.debt_ms,
+            )
             self.admission_queue = AdmissionQueue(self.coordinator, scheduler, told.threads_a_core)
             self.coordinator.admission_queue = self.admission_queue
         if operator is not None and operator.avoid_silent_halls:
@@ -125,11 +135,19 @@
             from fordstair.net.console_server import ConsoleServer
 
             self.console_server = ConsoleServer(
-                config.name, self.coordinator, self.stop.set, self.wall_clock, operator.watchers,
-                self.membership, self.ledger, self.budgets)
+                config.name,
+                self.coordinator,
+                self.stop.set,
+                self.wall_clock,
+                operator.watchers,
+                self.membership,
+                self.ledger,
+                self.budgets,
+            )
         self.bound()
         self.command_channel = CommandChannel(
-            config.channel, config.cursor, self.announced, self.deadlines, self.counters)
+            config.channel, config.cursor, self.announced, self.deadlines, self.counters
+        )
 
     def share_budgets(self, part: Part) -> None:
         """Take part in budgets that the fleet has together: what has its turn also needs this one's share."""
@@ -142,9 +160,13 @@
         named = replace(part, member=part.member or self.config.name)
         budgets = self.budgets = FleetBudgets(named, self.config.seed)
         settings = self.config.settings
-        caps = queue.caps = Caps(part.plan.wholes, [each.name for each in settings.tenants] or [""],
-                                 [each.name for each in settings.classes], budgets.shares,
-                                 part.plan.term_ms / ASKS_A_TERM)
+        caps = queue.caps = Caps(
+            part.plan.wholes,
+            [each.name for each in settings.tenants] or [""],
+            [each.name for each in settings.classes],
+            budgets.shares,
+            part.plan.term_ms / ASKS_A_TERM,
+        )
         budgets.node.wants = lambda: caps.wants(self.deadlines.clock())
         budgets.node.needs, budgets.node.uses = caps.needs, caps.uses
         budgets.on_share = queue.release
@@ -200,8 +222,13 @@
         while True:
             self.listed = trio.Event()
             heard_ms = max(heard_ms if told else 0.0, self.command_channel.heard_ms)
-            if heard_ms > 0.0 and self.coordinator.engines and not await ledger.follow_engines(
-                    self.anchor.unix(heard_ms).value, kept(self.coordinator.engines.values())):
+            if (
+                heard_ms > 0.0
+                and self.coordinator.engines
+                and not await ledger.follow_engines(
+                    self.anchor.unix(heard_ms).value, kept(self.coordinator.engines.values())
+                )
+            ):
                 log.warning("engines.not_kept", why=ledger.writer.broken)
             with self.deadlines.limit_for(KEEP_MS):
                 await self.listed.wait()
@@ -222,8 +249,13 @@
         while True:
             await self.deadlines.sleep(SHARE_MS)
             values, known = list(learned(gateway)), ledger.values.values
-            await ledger.set_values([(key, value) for key, value in values if is_news(
-                known[key].value if key in known else None, value)])
+            await ledger.set_values(
+                [
+                    (key, value)
+                    for key, value in values
+                    if is_news(known[key].value if key in known else None, value)
+                ]
+            )
 
     async def run(self) -> None:
         """Run until SIGTERM, or the console's drain, has been followed by the last answer."""
@@ -335,8 +367,7 @@
         held = STATEMENTS_PART * self.config.memory_mb * 2**20 / self.rpc.clients_most
         self.rpc.largest_statement = max(SMALLEST_BOUND, min(LARGEST_STATEMENT, int(held)))
 
-    async def accept(self, name: str, listen: tuple[str, int],
-                     serve: Serve, scope: trio.CancelScope) -> None:
+    async def accept(self, name: str, listen: tuple[str, int], serve: Serve, scope: trio.CancelScope) -> None:
         """Accept clients until the scope is cancelled; their connections outlive it."""
         async with trio.open_nursery() as clients:
             with scope:
@@ -373,5 +404,6 @@
         coordinator.close()
         self.rpc.close()
         while deadlines.clock() < kill_ms - ANSWER_MS + FLUSH_MS and (
-                self.rpc.clients or coordinator.live or (self.odata is not None and not self.odata.idle)):
+            self.rpc.clients or coordinator.live or (self.odata is not None and not self.odata.idle)
+        ):
             await deadlines.sleep(10.0)
--- a/fordstair/replication/engines.py
+++ b/fordstair/replication/engines.py
@@ -72,8 +72,10 @@
     @property
     def engines(self) -> dict[str, Kept]:
         """The engines by name; of concurrent additions of one name, the one that started last."""
-        return {kept.name: kept for _, kept in
-                sorted(self.dots.items(), key=lambda each: (each[1].started_ms, each[0]))}
+        return {
+            kept.name: kept
+            for _, kept in sorted(self.dots.items(), key=lambda each: (each[1].started_ms, each[0]))
+        }
 
     @property
     def roster(self) -> Roster:
@@ -118,15 +120,24 @@
         seen = dict(theirs.seen)
         for dot in dots:
             seen[dot.member] = max(seen.get(dot.member, 0), dot.count)
-        kept = {dot: each for dot, each in self.dots.items()
-                if dot in dots or dot.count > seen.get(dot.member, 0)}
-        kept |= {dot: each for dot, each in dots.items()
-                 if dot in self.dots or dot.count > self.seen.get(dot.member, 0)}
-        joined = {member: max(seen.get(member, 0), self.seen.get(member, 0))
-                  for member in seen.keys() | self.seen.keys()}
+        kept = {
+            dot: each for dot, each in self.dots.items() if dot in dots or dot.count > seen.get(dot.member, 0)
+        }
+        kept |= {
+            dot: each
+            for dot, each in dots.items()
+            if dot in self.dots or dot.count > self.seen.get(dot.member, 0)
+        }
+        joined = {
+            member: max(seen.get(member, 0), self.seen.get(member, 0))
+            for member in seen.keys() | self.seen.keys()
+        }
         latest = now_ms + AHEAD_MOST_MS
-        if max((theirs.heard_ms, *seen.values())) > latest or len(kept) > ENGINES_MOST \
-                or len(joined) > MEMBERS_MOST:
+        if (
+            max((theirs.heard_ms, *seen.values())) > latest
+            or len(kept) > ENGINES_MOST
+            or len(joined) > MEMBERS_MOST
+        ):
             self.refused += 1
             return False
         self.heard_ms = max(self.heard_ms, theirs.heard_ms)
@@ -144,9 +155,20 @@
 
 def kept(engines: Iterable[Engine]) -> list[Kept]:
     """Return those that are listed as ready, as they are kept."""
-    return [Kept(each.entry.engine, each.address, each.protocol, each.entry.zone, each.entry.cell,
-                 each.entry.kind, each.started.value if each.started is not None else 0.0, each.entry.weight)
-            for each in engines if each.entry.state is EngineState.READY]
+    return [
+        Kept(
+            each.entry.engine,
+            each.address,
+            each.protocol,
+            each.entry.zone,
+            each.entry.cell,
+            each.entry.kind,
+            each.started.value if each.started is not None else 0.0,
+            each.entry.weight,
+        )
+        for each in engines
+        if each.entry.state is EngineState.READY
+    ]
 
 
 class Restored:
@@ -168,9 +190,17 @@
         if age_ms >= OLDEST_MS:
             return []
         here = known.engines.values()
-        self._told = {each: self._told.get(each, each.started_ms if age_ms < self.cold_ms else now_ms)
-                      for each in here}
-        return [Engine(EngineEntry(each.name, EngineState.READY, each.zone, each.cell, each.kind,
-                                   weight=each.weight), each.address, each.protocol,
-                       UnixMs(self._told[each]) if self._told[each] > 0.0 else None)
-                for each in sorted(here)]
+        self._told = {
+            each: self._told.get(each, each.started_ms if age_ms < self.cold_ms else now_ms) for each in here
+        }
+        return [
+            Engine(
+                EngineEntry(
+                    each.name, EngineState.READY, each.zone, each.cell, each.kind, weight=each.weight
+                ),
+                each.address,
+                each.protocol,
+                UnixMs(self._told[each]) if self._told[each] > 0.0 else None,
+            )
+            for each in sorted(here)
+        ]
--- a/fordstair/replication/ledger.py
+++ b/fordstair/replication/ledger.py
@@ -59,8 +59,10 @@
     granted_ms = max(one.granted_ms, other.granted_ms)
     if one.outcome is None and other.outcome is None:
         return Entry(one.token if one.token == other.token else UNKNOWN_TOKEN, granted_ms)
-    first = min((each for each in (one, other) if each.outcome is not None),
-                key=lambda each: (each.token, each.outcome))
+    first = min(
+        (each for each in (one, other) if each.outcome is not None),
+        key=lambda each: (each.token, each.outcome),
+    )
     return Entry(first.token, granted_ms, first.outcome)
 
 
@@ -130,11 +132,16 @@
             self._drop(key)
             self.gone.append(key)
 
-    def page(self, which: int, after: str, most_bytes: int, *,
-             grants: bool) -> tuple[list[tuple[str, Entry]], bool]:
+    def page(
+        self, which: int, after: str, most_bytes: int, *, grants: bool
+    ) -> tuple[list[tuple[str, Entry]], bool]:
         """Return entries of a range after a key, up to a size, and whether others follow."""
-        return self.ranges.page(which, after, most_bytes, lambda key, entry: (
-            weight(key, entry) if grants or entry.outcome is not None else None))
+        return self.ranges.page(
+            which,
+            after,
+            most_bytes,
+            lambda key, entry: (weight(key, entry) if grants or entry.outcome is not None else None),
+        )
 
     def _put(self, key: str, entry: Entry) -> None:
         self._mark(key)
@@ -205,6 +212,7 @@
 @lru_cache(maxsize=4_096)  # each change of a key asks several times in a row
 def holders_of(key: str, members: tuple[str, ...], replicas: int = REPLICAS) -> tuple[str, ...]:
     """Return the members that hold a key, by rendezvous hashing (Thaler, Ravishankar 1998)."""
+
     def weight(member: str) -> bytes:
         return blake2b(f"{member}|{key}".encode(), digest_size=8).digest()
 
--- a/fordstair/replication/link.py
+++ b/fordstair/replication/link.py
@@ -65,8 +65,9 @@
             stream: trio.SocketStream | None = None
             try:
                 with trio.fail_after(CONNECT_S):
-                    stream = await trio.open_tcp_stream(host.strip("[]"), int(port),
-                                                        local_address=self._host or None)
+                    stream = await trio.open_tcp_stream(
+                        host.strip("[]"), int(port), local_address=self._host or None
+                    )
                     await stream.send_all(encode(Hello(0, self.cluster, self.own)))
             except BaseException as error:
                 if stream is not None:
--- a/fordstair/replication/messages.py
+++ b/fordstair/replication/messages.py
@@ -130,8 +130,9 @@
     heard_ms: Milliseconds
 
 
-Ask: TypeAlias = (AskClaim | AskRelease | AskSettle | AskDigests | AskRange | AskValueDigests | AskValues
-                  | AskEngines)
+Ask: TypeAlias = (
+    AskClaim | AskRelease | AskSettle | AskDigests | AskRange | AskValueDigests | AskValues | AskEngines
+)
 Told: TypeAlias = Said | Done | Digests | Page | Values | Engines
 Frame: TypeAlias = Hello | Ask | Told
 
@@ -168,7 +169,7 @@
             if len(self._buffer) < end:
                 break
             try:
-                frames.append(_decoder.decode(memoryview(self._buffer)[_LENGTH.size:end]))
+                frames.append(_decoder.decode(memoryview(self._buffer)[_LENGTH.size : end]))
             except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
                 raise Malformed(str(error)) from None
             del self._buffer[:end]
--- a/fordstair/replication/ranges.py
+++ b/fordstair/replication/ranges.py
@@ -44,8 +44,13 @@
         """Take a key out."""
         del self._ranges[range_of(key)][key]
 
-    def page(self, which: int, after: str, most_bytes: int, size: Callable[[str, V], int | None],
-             ) -> tuple[list[tuple[str, V]], bool]:
+    def page(
+        self,
+        which: int,
+        after: str,
+        most_bytes: int,
+        size: Callable[[str, V], int | None],
+    ) -> tuple[list[tuple[str, V]], bool]:
         """Return a range's values after a key up to a size, and whether others follow.
 
         A size of None leaves a value out.
--- a/fordstair/replication/registers.py
+++ b/fordstair/replication/registers.py
@@ -77,4 +77,5 @@
         if register is not None:
             stamp = register.stamp
             self.digests[range_of(key)] ^= digest_of(
-                key.encode(), b"%d %d" % (stamp.ms, stamp.count), stamp.member.encode(), register.value)
+                key.encode(), b"%d %d" % (stamp.ms, stamp.count), stamp.member.encode(), register.value
+            )
--- a/fordstair/replication/server.py
+++ b/fordstair/replication/server.py
@@ -48,8 +48,13 @@
 class Server:
     """Serves connections. ``decide`` is called for each question as it is read, with the member that asks."""
 
-    def __init__(self, cluster: str, members: Container[str], decide: Callable[[str, Frame], Decided],
-                 counts: Counter[str]) -> None:
+    def __init__(
+        self,
+        cluster: str,
+        members: Container[str],
+        decide: Callable[[str, Frame], Decided],
+        counts: Counter[str],
+    ) -> None:
         self.cluster, self.members, self.decide, self.counts = cluster, members, decide, counts
         self._clients = 0
 
@@ -96,8 +101,9 @@
             raise Malformed("a stranger")
         return frame.member
 
-    async def _answer(self, decided: Decided, stream: trio.SocketStream, sending: trio.Lock,
-                      room: trio.Semaphore) -> None:
+    async def _answer(
+        self, decided: Decided, stream: trio.SocketStream, sending: trio.Lock, room: trio.Semaphore
+    ) -> None:
         try:
             answer = await decided.told(self.counts)
             async with sending:
--- a/fordstair/replication/service.py
+++ b/fordstair/replication/service.py
@@ -126,8 +126,11 @@
         self.on_engines: Callable[[], None] = lambda: None  # called when engines were taken in
         self.loaded = trio.Event()
         self.behind: dict[str, int] = {}  # ranges in which another member differed when last compared
-        self._links = {name: Link(told.cluster, told.member, address, _host_of(told))
-                       for name, address in told.holders.items() if name != told.member}
+        self._links = {
+            name: Link(told.cluster, told.member, address, _host_of(told))
+            for name, address in told.holders.items()
+            if name != told.member
+        }
         self._token = f"{told.member}:{int(self._now_ms())}:{seed & 0xffffff:x}"
         self._numbers = itertools.count(1)
         self._nursery: trio.Nursery | None = None
@@ -182,7 +185,8 @@
         """Note how a load ended: on this disk where it holds the key, and with the other holders."""
         outcome = outcome if len(outcome) <= OUTCOME_MOST else b""
         await self._tell_holders(
-            begun, lambda number: AskSettle(number, begun.key, begun.token, outcome), SETTLE_S)
+            begun, lambda number: AskSettle(number, begun.key, begun.token, outcome), SETTLE_S
+        )
 
     def settle_later(self, begun: Begun, outcome: bytes) -> None:
         """Settle in the background."""
@@ -201,6 +205,7 @@
 
     async def _tell_holders(self, begun: Begun, question: Callable[[int], Ask], within_s: float) -> None:
         """Tell each holder, again and again until it is on its disk or the time is over."""
+
         async def tell(holder: str) -> None:
             while True:
                 with contextlib.suppress(Lost):
@@ -316,8 +321,9 @@
         if self.disk.fresh:
             self._new_until = math.inf
         self.holder.doubted, self.writer.broken = told.doubted, ""
-        log.info("ledger.loaded", path=self.told.path, entries=len(told.entries),
-                 doubted=told.doubted or "no")
+        log.info(
+            "ledger.loaded", path=self.told.path, entries=len(told.entries), doubted=told.doubted or "no"
+        )
 
     # Running
 
@@ -327,8 +333,14 @@
             async with trio.open_nursery() as self._nursery:
                 listeners = await trio.open_tcp_listeners(self.told.listen[1], host=self.told.listen[0])
                 self.port = listeners[0].socket.getsockname()[1]
-                log.info("listening", name=self.told.member, front="ledger", host=self.told.listen[0],
-                         port=self.port, holders=len(self.told.holders))
+                log.info(
+                    "listening",
+                    name=self.told.member,
+                    front="ledger",
+                    host=self.told.listen[0],
+                    port=self.port,
+                    holders=len(self.told.holders),
+                )
                 server = Server(self.told.cluster, self.told.holders, self._decide, self.counts)
                 self._nursery.start_soon(trio.serve_listeners, server.serve, listeners)
                 task_status.started()
@@ -384,8 +396,9 @@
     async def set_values(self, values: Iterable[tuple[str, bytes]]) -> None:
         """Set values here and now; others get them by exchange. What cannot be written stays in memory."""
         now = self._now_ms()
-        await self._keep([(key, done) for key, value in values
-                          if (done := self.values.set(now, key, value)) is not None])
+        await self._keep(
+            [(key, done) for key, value in values if (done := self.values.set(now, key, value)) is not None]
+        )
 
     async def _keep(self, changed: Sequence[tuple[str, Register]]) -> None:
         if changed:
@@ -398,10 +411,12 @@
         for which in [which for which, digest in enumerate(told) if digest != mine[which]]:
             after, more = "", True
             while more:
-                page = await self._ask(
-                    name, lambda number: AskValues(number, which, after), Values)  # noqa: B023
-                changed = [(key, value) for key, theirs in page.values
-                           if (value := self.values.take(self._now_ms(), key, theirs)) is not None]
+                page = await self._ask(name, lambda number: AskValues(number, which, after), Values)  # noqa: B023
+                changed = [
+                    (key, value)
+                    for key, theirs in page.values
+                    if (value := self.values.take(self._now_ms(), key, theirs)) is not None
+                ]
                 await self._keep(changed)
                 taken += len(changed)
                 after, more = page.values[-1][0] if page.values else "", page.more and bool(page.values)
@@ -462,8 +477,12 @@
         finally:
             if pulled.changed:
                 self.counts["caught_up"] += pulled.changed
-                log.info("ledger.caught_up", member=name, entries=pulled.changed,
-                         seconds=round(trio.current_time() - began, 3))
+                log.info(
+                    "ledger.caught_up",
+                    member=name,
+                    entries=pulled.changed,
+                    seconds=round(trio.current_time() - began, 3),
+                )
 
     async def _pull(self, name: str, ranges: Iterable[int], pulled: Pulled, *, grants: bool) -> None:
         """Take ranges in, some at a time, so that neither the disk nor the way to the member waits.
@@ -492,16 +511,19 @@
         after, more = "", True
         while more:
             with trio.move_on_after(PAGE_S) as limit:
-                page = await self._ask(
-                    name, lambda number: AskRange(number, which, after, grants), Page)  # noqa: B023
+                page = await self._ask(name, lambda number: AskRange(number, which, after, grants), Page)  # noqa: B023
             if limit.cancelled_caught:
                 raise Lost("no page in time")
             pulled.doubted, pulled.new = pulled.doubted or page.doubted, pulled.new and page.new
             # what is dated ahead of every clock would never be forgotten
             latest = self._now_ms() + AHEAD_MOST_MS
-            changed = [(key, entry) for key, theirs in page.entries
-                       if theirs.granted_ms < latest and self._holds(key)
-                       and (entry := self.holder.take(key, theirs)) is not None]
+            changed = [
+                (key, entry)
+                for key, theirs in page.entries
+                if theirs.granted_ms < latest
+                and self._holds(key)
+                and (entry := self.holder.take(key, theirs)) is not None
+            ]
             pulled.changed += len(changed)
             records = [of_entry(key, entry) for key, entry in changed]
             if records and not await self._put(records):
--- a/fordstair/routing/zones.py
+++ b/fordstair/routing/zones.py
@@ -74,10 +74,17 @@
         if (zone := self._zone(engine)) is None:
             return False
         zone.missed.add(engine)
-        elsewhere = any(now - other.heard_ms <= ELSEWHERE_MS and not other.avoided_until
-                        for other in self.zones.values() if other is not zone)
-        if zone.avoided_until or len(zone.missed) < zone.needed or now - zone.heard_ms < QUIET_MS \
-                or not elsewhere:
+        elsewhere = any(
+            now - other.heard_ms <= ELSEWHERE_MS and not other.avoided_until
+            for other in self.zones.values()
+            if other is not zone
+        )
+        if (
+            zone.avoided_until
+            or len(zone.missed) < zone.needed
+            or now - zone.heard_ms < QUIET_MS
+            or not elsewhere
+        ):
             return False
         zone.avoided_until = now + zone.hold_ms
         zone.hold_ms = min(HOLD_MOST_MS, 2.0 * zone.hold_ms)
--- a/fordstair/scheduling/budgets.py
+++ b/fordstair/scheduling/budgets.py
@@ -76,8 +76,9 @@
         self.capacity = max(1e-9, capacity)
         for account in self.accounts.values():
             account.rate = account.share * self.capacity
-            account.balance = min(max(account.balance, -account.rate * self.debt_ms),
-                                  account.rate * self.burst_ms)
+            account.balance = min(
+                max(account.balance, -account.rate * self.debt_ms), account.rate * self.burst_ms
+            )
 
     def earn(self, now_ms: float) -> None:
         """Bring all accounts up to date."""
--- a/fordstair/scheduling/preemption.py
+++ b/fordstair/scheduling/preemption.py
@@ -38,8 +38,14 @@
     at_ms: float = 0.0
     unheard: int = 0  # that would have been lowered, and whose engine knows no priority
 
-    def decide(self, now_ms: float, running: Iterable[Runs], within: set[int], waiting: set[int],
-               groups: dict[float, set[int]]) -> list[tuple[int, bool]]:
+    def decide(
+        self,
+        now_ms: float,
+        running: Iterable[Runs],
+        within: set[int],
+        waiting: set[int],
+        groups: dict[float, set[int]],
+    ) -> list[tuple[int, bool]]:
         """Return the changes to make: an id, and whether it is lowered (else raised).
 
         ``within``: teams within their budget. ``waiting``: teams that have something waiting.
@@ -60,13 +66,22 @@
             if wanted and since is None:
                 if not run.knows_priority:
                     self.unheard += 1
-                elif (run.left_ms > ENDS_SOON_MS and self.tokens >= 1.0
-                      and now_ms - self.raised.get(run.id, -HOLD_MS) >= HOLD_MS):
+                elif (
+                    run.left_ms > ENDS_SOON_MS
+                    and self.tokens >= 1.0
+                    and now_ms - self.raised.get(run.id, -HOLD_MS) >= HOLD_MS
+                ):
                     self.tokens -= 1.0
                     self.lowered[run.id] = now_ms
                     changes.append((run.id, True))
-            elif not wanted and since is not None and (blocks or (
-                    now_ms - since >= HOLD_MS and self.tokens >= 1.0 and run.left_ms > ENDS_SOON_MS)):
+            elif (
+                not wanted
+                and since is not None
+                and (
+                    blocks
+                    or (now_ms - since >= HOLD_MS and self.tokens >= 1.0 and run.left_ms > ENDS_SOON_MS)
+                )
+            ):
                 self.tokens -= 0.0 if blocks else 1.0  # an inversion is never waited out
                 del self.lowered[run.id]
                 self.raised[run.id] = now_ms
--- a/fordstair/scheduling/queues.py
+++ b/fordstair/scheduling/queues.py
@@ -111,8 +111,10 @@
         if not waiting:
             return None
         team = max(waiting, key=lambda team: (self.teams[team].cost, team))
-        return max((flow.items.peekitem(-1)[1] for flow in self.teams[team].classes.values() if flow.items),
-                   key=lambda item: item.number)
+        return max(
+            (flow.items.peekitem(-1)[1] for flow in self.teams[team].classes.values() if flow.items),
+            key=lambda item: item.number,
+        )
 
     def oldest(self) -> Item | None:
         """The item that came first."""
--- a/fordstair/scheduling/scheduler.py
+++ b/fordstair/scheduling/scheduler.py
@@ -98,8 +98,15 @@
 class Scheduler:
     """All of it; every method is told the time, in milliseconds, which may even go back."""
 
-    def __init__(self, shares: dict[int, float], capacity: float, *, waiting_most: int = 10_000,
-                 burst_ms: float = 1_000.0, debt_ms: float = 4_000.0) -> None:
+    def __init__(
+        self,
+        shares: dict[int, float],
+        capacity: float,
+        *,
+        waiting_most: int = 10_000,
+        burst_ms: float = 1_000.0,
+        debt_ms: float = 4_000.0,
+    ) -> None:
         self.budgets = Budgets(shares, capacity, burst_ms, debt_ms)
         self.queues = Queues(shares)
         self.waiting_most = waiting_most
@@ -121,16 +128,21 @@
         wait = self.calibration.correct(told.klass, forecast)
         within, victim = self.budgets.within(told.team), None
         if len(self.queues) >= self.waiting_most:
-            victim = self.queues.last_of(team for team in self.budgets.accounts
-                                         if not self.budgets.within(team)) if within else None
+            victim = (
+                self.queues.last_of(team for team in self.budgets.accounts if not self.budgets.within(team))
+                if within
+                else None
+            )
             if victim is None:
                 return Admission(self.wait_for_room(), Refused.QUEUE_FULL)
         if now_ms + wait.likely_ms > told.last_start_ms:
-            return Admission(Wait(now_ms + wait.likely_ms - told.last_start_ms, wait.at_most_ms),
-                             Refused.TOO_LATE)
+            return Admission(
+                Wait(now_ms + wait.likely_ms - told.last_start_ms, wait.at_most_ms), Refused.TOO_LATE
+            )
         self.shedding.see(told.klass, told.work_ms)
-        if self.shedding.too_costly(told.klass, told.work_ms, wait.likely_ms, told.last_start_ms - now_ms,
-                                    within):
+        if self.shedding.too_costly(
+            told.klass, told.work_ms, wait.likely_ms, told.last_start_ms - now_ms, within
+        ):
             return Admission(wait, Refused.TOO_COSTLY)
         self._forecast[told.id] = forecast
         self.inflow.setdefault((told.team, told.klass), Inflow()).add(now_ms, cost)
@@ -232,14 +244,20 @@
         rate, shared = self.rate.value(self.budgets.capacity * 0.05), 0.0
         inflow = {key: each.at(now_ms) for key, each in self.inflow.items()}
         for _ in range(TURNS):
-            costs = {klass: each.cost + wait * inflow.get((item.team, klass), 0.0)
-                     for klass, each in team.classes.items()}
+            costs = {
+                klass: each.cost + wait * inflow.get((item.team, klass), 0.0)
+                for klass, each in team.classes.items()
+            }
             work = fluid(ahead, item.klass, costs, {klass: 1.0 for klass in {*costs, item.klass}})
-            totals = {name: teams[name].cost + wait * sum(
-                part for (of, _), part in inflow.items() if of == name) for name in rivals}
+            totals = {
+                name: teams[name].cost + wait * sum(part for (of, _), part in inflow.items() if of == name)
+                for name in rivals
+            }
             shared = fluid(work, item.team, totals, {name: each.weight for name, each in teams.items()})
-            wait = max([shared / rate + slot, *(
-                cap.wait_ms(item.threads, ahead, work, shared) for cap in caps)]) - slot
+            wait = (
+                max([shared / rate + slot, *(cap.wait_ms(item.threads, ahead, work, shared) for cap in caps)])
+                - slot
+            )
         return wait + slot
 
     def _slot_ms(self, item: Item) -> float:
@@ -249,6 +267,7 @@
 
     def _next(self, shut: set[tuple[int | None, int]]) -> Item | None:
         """Return the item whose turn it is, past what has no room."""
+
         def is_open(item: Item) -> bool:
             return (None, item.klass) not in shut and (item.team, item.klass) not in shut
 
--- a/fordstair/settings/faults.py
+++ b/fordstair/settings/faults.py
@@ -114,8 +114,12 @@
 
 def _between(file: File) -> Iterator[Fault]:
     """Yield what is wrong between fields that are each right by themselves."""
-    named = (("class", [each.name for each in file.classes]), ("team", [each.name for each in file.teams]),
-             ("engine", [each.id for each in file.engines]), ("set", [each.name for each in file.sets]))
+    named = (
+        ("class", [each.name for each in file.classes]),
+        ("team", [each.name for each in file.teams]),
+        ("engine", [each.id for each in file.engines]),
+        ("set", [each.name for each in file.sets]),
+    )
     for where, names in named:
         yield from _twice(where, "id" if where == "engine" else "name", names)
     yield from _twice("engine", "address", [each.address for each in file.engines])
@@ -224,11 +228,19 @@
 def _ports(file: File) -> Iterator[Fault]:
     listening = [("site.listen", file.site.listen)] if file.site is not None else []
     listening += [("odata.listen", file.odata.listen)] if file.odata is not None else []
-    engines = [(f"engine.{index}.address", each.address)
-               for index, each in enumerate(file.engines) if each.address is not None]
-    fleet = [] if file.fleet is None else [
-        ("fleet.listen", file.fleet.listen), *((f"fleet.seeds.{index}", seed)
-                                               for index, seed in enumerate(file.fleet.seeds))]
+    engines = [
+        (f"engine.{index}.address", each.address)
+        for index, each in enumerate(file.engines)
+        if each.address is not None
+    ]
+    fleet = (
+        []
+        if file.fleet is None
+        else [
+            ("fleet.listen", file.fleet.listen),
+            *((f"fleet.seeds.{index}", seed) for index, seed in enumerate(file.fleet.seeds)),
+        ]
+    )
     if file.fleet is not None and file.fleet.advertise is not None:
         fleet.append(("fleet.advertise", file.fleet.advertise))
     for path, address in (*listening, *engines, *fleet):
@@ -239,8 +251,11 @@
             yield Fault(path, "port 0 is no engine's")
     taken = dict[str, str]()
     for path, address in (*listening, *engines):
-        if not address.endswith(":0") and address in taken and not (
-                path.startswith("engine") and taken[address].startswith("engine")):
+        if (
+            not address.endswith(":0")
+            and address in taken
+            and not (path.startswith("engine") and taken[address].startswith("engine"))
+        ):
             yield Fault(path, f"is the same as {taken[address]}")
         taken.setdefault(address, path)
 
@@ -250,8 +265,10 @@
     for index, name in enumerate(names):
         if name is not None and name in seen:
             path = f"{where}.{field}.{index}" if flat else f"{where}.{index}.{field}"
-            yield Fault(path, f"{name!r} stands at {where}.{seen[name]} already" if not flat
-                        else f"{name!r} stands twice")
+            yield Fault(
+                path,
+                f"{name!r} stands at {where}.{seen[name]} already" if not flat else f"{name!r} stands twice",
+            )
         elif name is not None:
             seen[name] = index
 
@@ -261,5 +278,6 @@
 
 
 def _named(value: Any) -> str:
-    return {str: "a text", bool: "true or false", int: "a number", float: "a number",
-            list: "a list"}.get(type(value), type(value).__name__)
+    return {str: "a text", bool: "true or false", int: "a number", float: "a number", list: "a list"}.get(
+        type(value), type(value).__name__
+    )
--- a/fordstair/settings/schema.py
+++ b/fordstair/settings/schema.py
@@ -11,13 +11,30 @@
 import msgspec
 from msgspec import Meta, Struct
 
-Name: TypeAlias = Annotated[str, Meta(pattern=r"\A[A-Za-z][A-Za-z0-9._-]{0,63}\Z",
-                                      description="a letter, then letters, digits, '.', '_' or '-'")]
-Address: TypeAlias = Annotated[str, Meta(pattern=r"\A[^\s:/]+:[0-9]{1,5}\Z|\A\[[0-9A-Fa-f:.]+\]:[0-9]{1,5}\Z",
-                                         max_length=300, description="host:port, or [IPv6]:port")]
+Name: TypeAlias = Annotated[
+    str,
+    Meta(
+        pattern=r"\A[A-Za-z][A-Za-z0-9._-]{0,63}\Z",
+        description="a letter, then letters, digits, '.', '_' or '-'",
+    ),
+]
+Address: TypeAlias = Annotated[
+    str,
+    Meta(
+        pattern=r"\A[^\s:/]+:[0-9]{1,5}\Z|\A\[[0-9A-Fa-f:.]+\]:[0-9]{1,5}\Z",
+        max_length=300,
+        description="host:port, or [IPv6]:port",
+    ),
+]
 Identifier: TypeAlias = Annotated[str, Meta(pattern=r"\A[A-Za-z_][A-Za-z0-9_]{0,127}\Z")]
-TableName: TypeAlias = Annotated[str, Meta(pattern=r"\A[A-Za-z_][A-Za-z0-9_]*\.[A-Za-z_][A-Za-z0-9_]*\Z",
-                                           max_length=257, description="schema.table")]
+TableName: TypeAlias = Annotated[
+    str,
+    Meta(
+        pattern=r"\A[A-Za-z_][A-Za-z0-9_]*\.[A-Za-z_][A-Za-z0-9_]*\Z",
+        max_length=257,
+        description="schema.table",
+    ),
+]
 Part: TypeAlias = Annotated[float, Meta(ge=0.0, le=1.0)]
 Positive: TypeAlias = Annotated[float, Meta(gt=0.0, le=1e9)]
 NotNegative: TypeAlias = Annotated[float, Meta(ge=0.0, le=1e12)]
@@ -38,7 +55,8 @@
     requests_per_s: NotNegative = 0.0  # what all teams together may ask for; 0: no quota is stated
     over_share_worth: Part = 0.1
     halls: Annotated[list[Name], Meta(min_length=1, max_length=64)] = msgspec.field(
-        default_factory=lambda: ["hall-a"])
+        default_factory=lambda: ["hall-a"]
+    )
     seed: Annotated[int, Meta(ge=0, le=2**63 - 1)] = 0  # 0: drawn anew at each start
 
 
@@ -68,7 +86,8 @@
     """What engines tell of themselves with each answer."""
 
     fields: Annotated[list[Literal["util", "inflight"]], Meta(max_length=2)] = msgspec.field(
-        default_factory=lambda: ["util", "inflight"])
+        default_factory=lambda: ["util", "inflight"]
+    )
     notes_ms: NotNegative = 500.0  # between notes on running work; 0: none come
     priorities: bool = True
 
@@ -229,8 +248,12 @@
     lines_most: Annotated[int, Meta(ge=16, le=65_536)] = 1_024  # that may wait for a slow reader
 
 
-class File(Table, frozen=True, kw_only=True,
-           rename={"classes": "class", "teams": "team", "engines": "engine", "sets": "set"}):
+class File(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={"classes": "class", "teams": "team", "engines": "engine", "sets": "set"},
+):
     """The whole file; a site without a platform needs ``site``, ``class``, ``team`` and ``engine``."""
 
     site: SiteTable | None = None
@@ -259,5 +282,8 @@
 def json_schema() -> dict[str, object]:
     """Return the JSON Schema of the file, for editors that check TOML against one."""
     schema = msgspec.json.schema(File)
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema",
-            "title": "fordstair operator's file", **schema}
+    return {
+        "$schema": "https://json-schema.org/draft/2020-12/schema",
+        "title": "fordstair operator's file",
+        **schema,
+    }
--- a/fordstair/settings/site.py
+++ b/fordstair/settings/site.py
@@ -62,13 +62,21 @@
     return Settings(
         classes=tuple(map(_class, file.classes)),
         tenants=tuple(Tenant(team.name, team.share * file.site.requests_per_s) for team in file.teams),
-        cores_by_kind=tuple(cores for cores, _ in kinds), memory_mb_by_kind=tuple(mb for _, mb in kinds),
-        priorities=file.reports.priorities, notes_every_ms=file.reports.notes_ms,
-        report_fields=tuple(file.reports.fields), may_cancel=file.limits.may_cancel,
-        retry_advice=file.limits.retry_advice, max_retry_after_ms=file.limits.retry_most_ms,
-        max_attempts=file.limits.attempts, over_share_worth=file.site.over_share_worth,
-        cold_from=file.cold.start_part, cold_ms=file.cold.warm_ms,
-        fall_multiple=file.cold.fall_multiple, fall_ms=file.cold.fall_ms)
+        cores_by_kind=tuple(cores for cores, _ in kinds),
+        memory_mb_by_kind=tuple(mb for _, mb in kinds),
+        priorities=file.reports.priorities,
+        notes_every_ms=file.reports.notes_ms,
+        report_fields=tuple(file.reports.fields),
+        may_cancel=file.limits.may_cancel,
+        retry_advice=file.limits.retry_advice,
+        max_retry_after_ms=file.limits.retry_most_ms,
+        max_attempts=file.limits.attempts,
+        over_share_worth=file.site.over_share_worth,
+        cold_from=file.cold.start_part,
+        cold_ms=file.cold.warm_ms,
+        fall_multiple=file.cold.fall_multiple,
+        fall_ms=file.cold.fall_ms,
+    )
 
 
 def config(file: File) -> Config:
@@ -76,20 +84,38 @@
     assert file.site is not None
     engines = engine_list(file)
     return Config(
-        name=file.site.name, listen=address(file.site.listen, "site.listen"),
-        seed=file.site.seed or secrets.randbits(63), sockets=file.limits.sockets,
-        memory_mb=file.limits.memory_mb, channel="", cursor=1, known=((1, ListKind.FULL, engines),),
-        settings=settings(file), connect_timeout_ms=file.limits.connect_timeout_ms,
-        idle_ms=file.limits.idle_ms, budgets=_budgets(file))
+        name=file.site.name,
+        listen=address(file.site.listen, "site.listen"),
+        seed=file.site.seed or secrets.randbits(63),
+        sockets=file.limits.sockets,
+        memory_mb=file.limits.memory_mb,
+        channel="",
+        cursor=1,
+        known=((1, ListKind.FULL, engines),),
+        settings=settings(file),
+        connect_timeout_ms=file.limits.connect_timeout_ms,
+        idle_ms=file.limits.idle_ms,
+        budgets=_budgets(file),
+    )
 
 
 def engine_list(file: File) -> list[Engine]:
     """Return the file's engines that have an address."""
     assert file.site is not None
     kinds, halls = machine_kinds(file.engines), file.site.halls
-    return [Engine(EngineEntry(each.id, zone=halls.index(each.hall or halls[0]),
-                               kind=kinds.index((each.cores, each.memory_mb))), each.address, each.protocol)
-            for each in file.engines if each.address is not None]
+    return [
+        Engine(
+            EngineEntry(
+                each.id,
+                zone=halls.index(each.hall or halls[0]),
+                kind=kinds.index((each.cores, each.memory_mb)),
+            ),
+            each.address,
+            each.protocol,
+        )
+        for each in file.engines
+        if each.address is not None
+    ]
 
 
 def machine_kinds(engines: list[EngineTable]) -> list[tuple[float, float]]:
@@ -110,15 +136,24 @@
         team_header=front.team_header if front is not None else "",
         engines={each.id: each.protocol for each in file.engines},
         sets={each.name: _entity_set(each) for each in file.sets},
-        identity={} if file.identity is None else {
-            "certificate": file.identity.certificate, "key": file.identity.key,
-            "bundle": file.identity.bundle, "trust_domain": file.identity.trust_domain,
-            "teams": dict(file.identity.teams), "engines": list(file.identity.engines)},
+        identity={}
+        if file.identity is None
+        else {
+            "certificate": file.identity.certificate,
+            "key": file.identity.key,
+            "bundle": file.identity.bundle,
+            "trust_domain": file.identity.trust_domain,
+            "teams": dict(file.identity.teams),
+            "engines": list(file.identity.engines),
+        },
         console=file.console.socket if file.console is not None else "",
         watchers=file.console.watchers if file.console is not None else 0,
         avoid_silent_halls=file.routing.avoid_silent_halls,
-        fleet=_fleet(file), ledger=_ledger(file), shares=_shares(file),
-        fleet_listen=address(file.fleet.listen, "fleet.listen") if file.fleet is not None else ("", 0))
+        fleet=_fleet(file),
+        ledger=_ledger(file),
+        shares=_shares(file),
+        fleet_listen=address(file.fleet.listen, "fleet.listen") if file.fleet is not None else ("", 0),
+    )
 
 
 def _fleet(file: File) -> Fleet | None:
@@ -128,9 +163,20 @@
 
     # Port 0 is known once it is bound; a member's name is the site's where the file gives none.
     advertised = told.advertise or ("" if told.listen.endswith(":0") else told.listen)
-    return Fleet(told.cluster, member_of(file), advertised, tuple(told.seeds), told.probe_ms, told.timeout_ms,
-                 told.indirect, told.suspicion, told.suspicion_most, told.sync_ms,
-                 told.forget_seconds * 1000.0, told.members_most)
+    return Fleet(
+        told.cluster,
+        member_of(file),
+        advertised,
+        tuple(told.seeds),
+        told.probe_ms,
+        told.timeout_ms,
+        told.indirect,
+        told.suspicion,
+        told.suspicion_most,
+        told.sync_ms,
+        told.forget_seconds * 1000.0,
+        told.members_most,
+    )
 
 
 def _ledger(file: File) -> Ledger | None:
@@ -138,10 +184,19 @@
         return None
     from fordstair.replication.service import Ledger
 
-    return Ledger(file.fleet.cluster, member_of(file), dict(told.holders),
-                  address(told.listen, "fleet.ledger.listen"), told.store, told.replicas, told.claim_ms,
-                  told.repeat_seconds * 1000.0, told.exchange_ms, told.kilobytes_per_s * 1000.0,
-                  told.entries_most)
+    return Ledger(
+        file.fleet.cluster,
+        member_of(file),
+        dict(told.holders),
+        address(told.listen, "fleet.ledger.listen"),
+        told.store,
+        told.replicas,
+        told.claim_ms,
+        told.repeat_seconds * 1000.0,
+        told.exchange_ms,
+        told.kilobytes_per_s * 1000.0,
+        told.entries_most,
+    )
 
 
 def _shares(file: File) -> Part | None:
@@ -155,29 +210,60 @@
         needs = [spec.threads for spec in file.classes if each.klass in (None, spec.name)] or [1]
         rate = int(MILLI * (each.requests_per_s or 0.0))
         of = (each.team or "", each.klass or "")
-        wholes.append(Whole("rate", rate, *of) if each.threads is None
-                      else Whole("threads", each.threads, *of, quantum=max(needs), least=min(needs)))
-    plan = Plan(file.fleet.cluster, tuple(wholes), tuple(sorted(told.members)), told.term_ms, told.drift,
-                told.floor_part, told.size)
-    return Part(plan, member_of(file), address(told.listen, "fleet.budgets.listen"), dict(told.members),
-                told.audit)
+        wholes.append(
+            Whole("rate", rate, *of)
+            if each.threads is None
+            else Whole("threads", each.threads, *of, quantum=max(needs), least=min(needs))
+        )
+    plan = Plan(
+        file.fleet.cluster,
+        tuple(wholes),
+        tuple(sorted(told.members)),
+        told.term_ms,
+        told.drift,
+        told.floor_part,
+        told.size,
+    )
+    return Part(
+        plan, member_of(file), address(told.listen, "fleet.budgets.listen"), dict(told.members), told.audit
+    )
 
 
 def _budgets(file: File) -> Budgets | None:
     if (told := file.budgets) is None:
         return None
-    return Budgets({number: team.share for number, team in enumerate(file.teams)}, told.threads_a_core,
-                   told.waiting_most, told.burst_ms, told.debt_ms)
+    return Budgets(
+        {number: team.share for number, team in enumerate(file.teams)},
+        told.threads_a_core,
+        told.waiting_most,
+        told.burst_ms,
+        told.debt_ms,
+    )
 
 
 def _class(told: ClassTable) -> RequestClass:
     return RequestClass(
-        told.name, Effect.SAFE if told.effect == "safe" else Effect.UNSAFE, promise_ms=told.promise_ms,
-        aim_stretch=told.aim_stretch, give_up_ms=told.give_up_ms, worth=told.worth,
-        late_worth=told.late_worth, threads=told.threads, is_load=told.load,
-        waits_for_loads=told.waits_for_loads)
+        told.name,
+        Effect.SAFE if told.effect == "safe" else Effect.UNSAFE,
+        promise_ms=told.promise_ms,
+        aim_stretch=told.aim_stretch,
+        give_up_ms=told.give_up_ms,
+        worth=told.worth,
+        late_worth=told.late_worth,
+        threads=told.threads,
+        is_load=told.load,
+        waits_for_loads=told.waits_for_loads,
+    )
 
 
 def _entity_set(told: SetTable) -> EntitySet:
-    return EntitySet(told.name, told.table, tuple(told.columns), told.read, told.lookup or told.read,
-                     told.write or "", told.cpu_ms, told.need_mb)
+    return EntitySet(
+        told.name,
+        told.table,
+        tuple(told.columns),
+        told.read,
+        told.lookup or told.read,
+        told.write or "",
+        told.cpu_ms,
+        told.need_mb,
+    )
--- a/fordstair/store/disk.py
+++ b/fordstair/store/disk.py
@@ -63,8 +63,9 @@
         """Open the file, or make it; raise StoreFailed where it cannot be used."""
         self.fresh = not Path(self.path).exists() or Path(self.path).stat().st_size == 0
         try:
-            self._db = db = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False,
-                                            timeout=1.0)
+            self._db = db = sqlite3.connect(
+                self.path, isolation_level=None, check_same_thread=False, timeout=1.0
+            )
             db.execute("PRAGMA journal_mode=WAL")
             db.execute("PRAGMA synchronous=FULL")
             db.execute("PRAGMA locking_mode=EXCLUSIVE")  # two programs on one file would both grant
@@ -99,8 +100,10 @@
                     db.execute("DELETE FROM record WHERE kind=? AND key=?", (record.kind, record.key))
                     continue
                 self.written_bytes += len(record.key) + len(record.value)
-                db.execute("INSERT OR REPLACE INTO record VALUES (?,?,?,?,?)", (
-                    record.kind, record.key, record.value, record.expires_ms, record.sum))
+                db.execute(
+                    "INSERT OR REPLACE INTO record VALUES (?,?,?,?,?)",
+                    (record.kind, record.key, record.value, record.expires_ms, record.sum),
+                )
             db.execute("COMMIT")
             self.commits += 1
         except (sqlite3.Error, OverflowError) as error:
@@ -116,7 +119,8 @@
         db = self._opened()
         try:
             for kind, key, value, expires_ms, told in db.execute(
-                    "SELECT kind, key, value, expires_ms, sum FROM record ORDER BY kind, key"):
+                "SELECT kind, key, value, expires_ms, sum FROM record ORDER BY kind, key"
+            ):
                 record = _record(kind, key, value, expires_ms)
                 if record is None or record.sum != told:
                     yield Spoilt(str(kind), key if isinstance(key, bytes) else str(key).encode())
@@ -129,8 +133,9 @@
         """Take out what has expired; return how many records."""
         db = self._opened()
         try:
-            return db.execute("DELETE FROM record WHERE expires_ms > 0 AND expires_ms <= ?",
-                              (int(now_ms),)).rowcount
+            return db.execute(
+                "DELETE FROM record WHERE expires_ms > 0 AND expires_ms <= ?", (int(now_ms),)
+            ).rowcount
         except sqlite3.Error as error:
             raise self._failed(error) from None
 
@@ -163,7 +168,11 @@
 
 def _record(kind: object, key: object, value: object, expires_ms: object) -> Record | None:
     """Return a record whose fields have the types that were written; a flipped bit may have changed them."""
-    if isinstance(kind, str) and isinstance(key, bytes) and isinstance(value, bytes) \
-            and isinstance(expires_ms, int):
+    if (
+        isinstance(kind, str)
+        and isinstance(key, bytes)
+        and isinstance(value, bytes)
+        and isinstance(expires_ms, int)
+    ):
         return Record(kind, key, value, expires_ms)
     return None
--- a/tests/decisions/recorded_sites.py
+++ b/tests/decisions/recorded_sites.py
@@ -3,7 +3,16 @@
 from __future__ import annotations
 
 _REQUEST_CLASS_FIELDS = (
-    "name", "effect", "promiseMs", "aimStretch", "giveUpMs", "worth", "lateWorth", "group", "memorySpanMs")
+    "name",
+    "effect",
+    "promiseMs",
+    "aimStretch",
+    "giveUpMs",
+    "worth",
+    "lateWorth",
+    "group",
+    "memorySpanMs",
+)
 
 _PERTH_CLASSES = (
     ("lookup", "read_like", 1200, 1.5, 6000, 1, 0, "all", 5000),
--- a/tests/decisions/recording.py
+++ b/tests/decisions/recording.py
@@ -50,12 +50,26 @@
 BAD_ENGINE_SHARE = 0.2
 
 # An outcome's statuses with their weights: at a sound engine, and at a faulty one.
-SOUND_STATUSES = ((Status.OK, 94.0), (Status.ERROR, 1.0), (Status.FULL, 1.5), (Status.TIMEOUT, 0.5),
-                  (Status.CONNECT_FAILED, 1.0), (Status.RESET, 1.0), (Status.CANCELLED, 0.5),
-                  (Status.MOOT, 0.5))
-FAULTY_STATUSES = ((Status.OK, 40.0), (Status.ERROR, 20.0), (Status.FULL, 10.0), (Status.TIMEOUT, 8.0),
-                   (Status.CONNECT_FAILED, 10.0), (Status.RESET, 10.0), (Status.CANCELLED, 1.0),
-                   (Status.MOOT, 1.0))
+SOUND_STATUSES = (
+    (Status.OK, 94.0),
+    (Status.ERROR, 1.0),
+    (Status.FULL, 1.5),
+    (Status.TIMEOUT, 0.5),
+    (Status.CONNECT_FAILED, 1.0),
+    (Status.RESET, 1.0),
+    (Status.CANCELLED, 0.5),
+    (Status.MOOT, 0.5),
+)
+FAULTY_STATUSES = (
+    (Status.OK, 40.0),
+    (Status.ERROR, 20.0),
+    (Status.FULL, 10.0),
+    (Status.TIMEOUT, 8.0),
+    (Status.CONNECT_FAILED, 10.0),
+    (Status.RESET, 10.0),
+    (Status.CANCELLED, 1.0),
+    (Status.MOOT, 1.0),
+)
 
 
 def encode(action: Action) -> bytes:
@@ -147,7 +161,7 @@
         self._last_request += 1
         request = self._last_request
         classes = self.settings.classes
-        index = self.random.choices(range(len(classes)), [8.0, 3.0, 2.0, 1.0][:len(classes)])[0]
+        index = self.random.choices(range(len(classes)), [8.0, 3.0, 2.0, 1.0][: len(classes)])[0]
         cost_ms = self.random.lognormvariate(5.5 + index, 0.8) if self.random.random() < 0.7 else 0.0
         memory_mb = self.random.uniform(10.0, 2_000.0) if self.random.random() < 0.5 else 0.0
         odd = self.random.random()
@@ -156,9 +170,18 @@
         elif odd < 0.01:
             memory_mb = -1.0
         budget_ms = classes[index].give_up_ms * self.random.choice((0.1, 0.5, 1.0))
-        self._feed(RequestArrived(
-            request, index, budget_ms, self.random.randrange(max(1, len(self.settings.tenants))),
-            cost_ms, memory_mb, float(self.random.randrange(12)), self.random.randrange(1, 7)))
+        self._feed(
+            RequestArrived(
+                request,
+                index,
+                budget_ms,
+                self.random.randrange(max(1, len(self.settings.tenants))),
+                cost_ms,
+                memory_mb,
+                float(self.random.randrange(12)),
+                self.random.randrange(1, 7),
+            )
+        )
         fate = self.random.random()
         if fate < 0.03:
             self._schedule(self.random.uniform(1.0, 2_000.0), ClientGone(request))
@@ -173,8 +196,12 @@
                 if (request, attempt) in self._outstanding and self.random.random() < 0.9:
                     engine, sent_at = self._outstanding[request, attempt]
                     delay_ms = self.random.uniform(0.5, 20.0)
-                    self._schedule(delay_ms, self._ended(request, attempt, engine, Status.CANCELLED,
-                                                         self.now - sent_at + delay_ms))
+                    self._schedule(
+                        delay_ms,
+                        self._ended(
+                            request, attempt, engine, Status.CANCELLED, self.now - sent_at + delay_ms
+                        ),
+                    )
             case SetTimer(token, delay_ms):
                 self._schedule(delay_ms, TimerFired(token))
             case Probe(engine):
@@ -205,17 +232,23 @@
         elif self.random.random() < 0.02:
             self._schedule(latency_ms * 0.5, StreamStarted(request, attempt, engine, latency_ms * 0.5))
 
-    def _ended(self, request: int, attempt: int, engine: str, status: Status,
-               latency_ms: float) -> AttemptEnded:
+    def _ended(
+        self, request: int, attempt: int, engine: str, status: Status, latency_ms: float
+    ) -> AttemptEnded:
         served = status is Status.OK
         return AttemptEnded(
-            request, attempt, engine, status, latency_ms,
+            request,
+            attempt,
+            engine,
+            status,
+            latency_ms,
             complete=served or self.random.random() < 0.02,
             work_ms=latency_ms * self.random.uniform(0.3, 1.0) if self.random.random() < 0.6 else 0.0,
             memory_mb=self.random.uniform(10.0, 1_500.0) if self.random.random() < 0.4 else 0.0,
             report=self._report(),
             loose=not served and self.random.random() < 0.05,
-            late=status is Status.CONNECT_FAILED and self.random.random() < 0.5)
+            late=status is Status.CONNECT_FAILED and self.random.random() < 0.5,
+        )
 
     def _report(self) -> tuple[float, ...]:
         draw = self.random.random()
@@ -230,8 +263,15 @@
         self._engine_count += 1
         number = self._engine_count
         kinds = max(1, len(self.settings.cores_by_kind))
-        entry = EngineEntry(f"10.0.0.{number % 250}:{8000 + number}", EngineState.READY, number % 2,
-                            number % 3, number % kinds, started_ms, 1.0 + number % 2)
+        entry = EngineEntry(
+            f"10.0.0.{number % 250}:{8000 + number}",
+            EngineState.READY,
+            number % 2,
+            number % 3,
+            number % kinds,
+            started_ms,
+            1.0 + number % 2,
+        )
         self._engines[entry.engine] = entry
         return entry
 
@@ -246,8 +286,9 @@
             threads = self.random.choice((None, None, None, 6, 30))
             self._feed(LimitSet(self.random.randrange(len(self.settings.classes)), threads))
         elif draw < 0.45:
-            self._feed(ProbeEnded(self.random.choice([*self._engines, "10.9.9.9:1"]),
-                                  Status.CONNECT_FAILED, 250.0))
+            self._feed(
+                ProbeEnded(self.random.choice([*self._engines, "10.9.9.9:1"]), Status.CONNECT_FAILED, 250.0)
+            )
         else:
             self._replace_engine()
 
@@ -257,14 +298,14 @@
         if draw < 0.4 and len(self._engines) < ENGINE_COUNT + 3:  # one that joins, cold
             self._feed(MembersChanged(ListKind.DELTA, (self._add_engine(self.now),)))
         elif draw < 0.65:  # its process has started anew
-            entry = EngineEntry(old.engine, EngineState.READY, old.zone, old.cell, old.kind, self.now,
-                                old.weight)
+            entry = EngineEntry(
+                old.engine, EngineState.READY, old.zone, old.cell, old.kind, self.now, old.weight
+            )
             self._engines[old.engine] = entry
             self._feed(MembersChanged(ListKind.DELTA, (entry,)))
         elif len(self._engines) > ENGINE_COUNT // 2:
             state = EngineState.GONE if draw < 0.8 else EngineState.DRAINING
-            entry = EngineEntry(old.engine, state, old.zone, old.cell, old.kind, old.started_ms,
-                                old.weight)
+            entry = EngineEntry(old.engine, state, old.zone, old.cell, old.kind, old.started_ms, old.weight)
             del self._engines[old.engine]
             self._feed(MembersChanged(ListKind.DELTA, (entry,)))
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -31,26 +31,56 @@
 SAFE, LOAD, KEYED = 0, 1, 2
 CLASSES = (
     RequestClass("quick", Effect.SAFE, promise_ms=600, aim_stretch=2, give_up_ms=3000),
-    RequestClass("load", Effect.UNSAFE, promise_ms=4000, aim_stretch=2.5, give_up_ms=20000, worth=7,
-                 late_worth=0.5, threads=2, ordered=True, is_load=True),
-    RequestClass("keyed", Effect.KEYED, promise_ms=4000, aim_stretch=2.5, give_up_ms=20000, worth=6,
-                 late_worth=0.5, memory_span_ms=5000, threads=2),
+    RequestClass(
+        "load",
+        Effect.UNSAFE,
+        promise_ms=4000,
+        aim_stretch=2.5,
+        give_up_ms=20000,
+        worth=7,
+        late_worth=0.5,
+        threads=2,
+        ordered=True,
+        is_load=True,
+    ),
+    RequestClass(
+        "keyed",
+        Effect.KEYED,
+        promise_ms=4000,
+        aim_stretch=2.5,
+        give_up_ms=20000,
+        worth=6,
+        late_worth=0.5,
+        memory_span_ms=5000,
+        threads=2,
+    ),
 )
 
 
 def settings(**changes: Any) -> Settings:
     """Three classes, as far as a test does not say otherwise."""
     values: dict[str, Any] = {
-        "classes": CLASSES, "cores_by_kind": (8.0, 8.0), "memory_mb_by_kind": (16384.0, 16384.0),
-        "may_cancel": True, "max_attempts": 4, "order_settle_ms": 500.0, "cold_from": 0.3,
-        "cold_ms": 10000.0, "fall_multiple": 3.0, "fall_ms": 2000.0, "report_fields": ("util",),
-        "probes": False, "priorities": True, "grants": True,
+        "classes": CLASSES,
+        "cores_by_kind": (8.0, 8.0),
+        "memory_mb_by_kind": (16384.0, 16384.0),
+        "may_cancel": True,
+        "max_attempts": 4,
+        "order_settle_ms": 500.0,
+        "cold_from": 0.3,
+        "cold_ms": 10000.0,
+        "fall_multiple": 3.0,
+        "fall_ms": 2000.0,
+        "report_fields": ("util",),
+        "probes": False,
+        "priorities": True,
+        "grants": True,
     }
     return Settings(**{**values, **changes})
 
 
-def entry(number: int, state: EngineState = EngineState.READY, started: float = 0.0,
-          **more: int) -> EngineEntry:
+def entry(
+    number: int, state: EngineState = EngineState.READY, started: float = 0.0, **more: int
+) -> EngineEntry:
     return EngineEntry(f"10.0.0.{number}:80", state, started_ms=started, **more)
 
 
@@ -82,12 +112,21 @@
         self.feed(RequestArrived(self.ids, klass, budget, cost_ms=cost, **more))
         return self.ids
 
-    def end(self, request: int, status: Status = Status.OK, latency: float = 100.0,
-            attempt: int | None = None, **more: Any) -> list[Action]:
+    def end(
+        self,
+        request: int,
+        status: Status = Status.OK,
+        latency: float = 100.0,
+        attempt: int | None = None,
+        **more: Any,
+    ) -> list[Action]:
         sends = self.sends(request)
         number = len(sends) - 1 if attempt is None else attempt
-        return self.feed(AttemptEnded(request, number, sends[number].engine, status, latency,
-                                      complete=status is Status.OK, **more))
+        return self.feed(
+            AttemptEnded(
+                request, number, sends[number].engine, status, latency, complete=status is Status.OK, **more
+            )
+        )
 
     def pass_time(self, ms: float) -> None:
         """Let time pass; timers fire when due."""
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -27,7 +27,8 @@
 ROOT = Path(__file__).parent.parent
 SETTINGS: dict[str, Any] = platform_settings.SETTINGS | {
     "projects": [{"name": "karri-energy", "quotaPerS": 1000.0}, {"name": "pindan-retail", "quotaPerS": 10.0}],
-    "extra": platform_settings.SETTINGS["extra"] | {"cpuOfKind": [12]}}
+    "extra": platform_settings.SETTINGS["extra"] | {"cpuOfKind": [12]},
+}
 
 Answered = tuple[int, dict[str, str], bytes]
 Script = Callable[["RestEngine", str, str, dict[str, str], bytes], Awaitable[Answered | bytes | None]]
@@ -93,8 +94,9 @@
         return await self.script(self, method, path, headers, body)
 
 
-async def at_once(engine: RestEngine, method: str, path: str, headers: dict[str, str],
-                  body: bytes) -> Answered | None:
+async def at_once(
+    engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+) -> Answered | None:
     """Serve every query at once, in two pages."""
     if method == "POST":
         return 200, {"X-Sheets": "2", "X-Gauges": "inflight:1;util:0.10"}, b"a\tb\tc\n"
@@ -103,8 +105,9 @@
     return 204, {}, b""
 
 
-async def never(engine: RestEngine, method: str, path: str, headers: dict[str, str],
-                body: bytes) -> Answered | None:
+async def never(
+    engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+) -> Answered | None:
     """Run every query for ever."""
     if method in ("DELETE", "PUT"):
         return 204, {}, b""
@@ -112,8 +115,9 @@
     return 202, {}, b""
 
 
-async def breaks(engine: RestEngine, method: str, path: str, headers: dict[str, str],
-                 body: bytes) -> Answered | None:
+async def breaks(
+    engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+) -> Answered | None:
     """Break the connection once the query is there."""
     return None
 
@@ -125,12 +129,18 @@
         self.stream, self.last, self.answers = stream, 0, dict[int, list[Any]]()
         self._unpacker = msgpack.Unpacker()
 
-    async def ask(self, lane: str = "lookup", body: object = b"SELECT a FROM sales_17.orders",
-                  **fields: str) -> int:
+    async def ask(
+        self, lane: str = "lookup", body: object = b"SELECT a FROM sales_17.orders", **fields: str
+    ) -> int:
         """Send a request; return its id."""
         self.last += 1
-        told = {"txn": f"{self.last:016x}", "limit": "3000", "team": "karri-energy", "cpu": "200.0",
-                "need_mb": "96"} | fields
+        told = {
+            "txn": f"{self.last:016x}",
+            "limit": "3000",
+            "team": "karri-energy",
+            "cpu": "200.0",
+            "need_mb": "96",
+        } | fields
         await self.send([0, self.last, lane, [told, body]])
         return self.last
 
@@ -165,12 +175,30 @@
 
 def config(*addresses: str, channel: str = "", **more: Any) -> dict[str, Any]:
     """A configuration that lists engines at these addresses."""
-    servers = [{"id": f"s-{number:08x}", "addr": address, "zone": "hall-a", "kind": "std", "cell": 0,
-                "state": "ready", "weight": 1, "started_ms": 0} for number, address in enumerate(addresses)]
+    servers = [
+        {
+            "id": f"s-{number:08x}",
+            "addr": address,
+            "zone": "hall-a",
+            "kind": "std",
+            "cell": 0,
+            "state": "ready",
+            "weight": 1,
+            "started_ms": 0,
+        }
+        for number, address in enumerate(addresses)
+    ]
     known = {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"version": 1, "full": True, "servers": servers}}]}
-    return {"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "channel": channel,
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": known,
-            "settings": SETTINGS, **more}
+    return {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "seed": "8c1f30d27a5be964",
+        "channel": channel,
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": known,
+        "settings": SETTINGS,
+        **more,
+    }
 
 
 class Program:
@@ -193,8 +221,13 @@
 
 
 @asynccontextmanager
-async def program(told: dict[str, Any], *arguments: str, fronts: int | None = None, module: str = "fordstair",
-                  environ: dict[str, str] | None = None) -> AsyncIterator[Program]:
+async def program(
+    told: dict[str, Any],
+    *arguments: str,
+    fronts: int | None = None,
+    module: str = "fordstair",
+    environ: dict[str, str] | None = None,
+) -> AsyncIterator[Program]:
     """Run ``python -m fordstair`` on a configuration, until so many fronts listen.
 
     By default these are the platform's, and OData's where there is an operator's file.
@@ -204,9 +237,17 @@
         path.write_text(ujson.dumps(told))
         environ = os.environ | {"RELAY_CONFIG": str(path)} | (environ or {})
         async with trio.open_nursery() as nursery:
-            process = await nursery.start(lambda task_status: trio.run_process(
-                [sys.executable, "-m", module, *arguments], env=environ, cwd=ROOT, check=False,
-                stderr=subprocess.PIPE, capture_stderr=False, task_status=task_status))
+            process = await nursery.start(
+                lambda task_status: trio.run_process(
+                    [sys.executable, "-m", module, *arguments],
+                    env=environ,
+                    cwd=ROOT,
+                    check=False,
+                    stderr=subprocess.PIPE,
+                    capture_stderr=False,
+                    task_status=task_status,
+                )
+            )
             one, ready = Program(process, []), trio.Event()
             one.path = path
             nursery.start_soon(_follow, one, ready, fronts or 1 + len(arguments) // 2)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -35,10 +35,15 @@
 
 
 @FIXED
-@given(st.integers(0, 300), st.lists(st.integers(0, 200), max_size=12), st.sampled_from([1, 2, 4]),
-       st.randoms(use_true_random=False))
+@given(
+    st.integers(0, 300),
+    st.lists(st.integers(0, 200), max_size=12),
+    st.sampled_from([1, 2, 4]),
+    st.randoms(use_true_random=False),
+)
 def test_a_division_is_whole_in_quanta_and_fair_by_what_is_wanted(
-        whole: int, wants: list[int], quantum: int, rng: Random) -> None:
+    whole: int, wants: list[int], quantum: int, rng: Random
+) -> None:
     told = {f"m{n}": want for n, want in enumerate(wants)}
     order = list(told)
     rng.shuffle(order)
@@ -46,17 +51,23 @@
     assert sum(shares.values()) == (whole if order else 0) and min(shares.values(), default=0) >= 0
     short = [name for name in order if shares[name] + quantum <= told[name]]
     for name in short:  # who lacks a quantum: nobody has a larger part of what it wants, but for one
-        assert all(shares[other] <= (shares[name] + quantum) * told[other] / told[name] + quantum
-                   + whole % quantum for other in order)
+        assert all(
+            shares[other] <= (shares[name] + quantum) * told[other] / told[name] + quantum + whole % quantum
+            for other in order
+        )
     if quantum == 1 and not short:
         assert all(shares[name] >= told[name] for name in order)
 
 
 @FIXED
-@given(st.integers(0, 100), st.integers(0, 2),
-       st.lists(st.tuples(st.integers(0, 60), st.integers(0, 60)), min_size=1, max_size=9))
+@given(
+    st.integers(0, 100),
+    st.integers(0, 2),
+    st.lists(st.tuples(st.integers(0, 60), st.integers(0, 60)), min_size=1, max_size=9),
+)
 def test_work_that_waits_goes_before_what_is_expected(
-        whole: int, least: int, told: list[tuple[int, int]]) -> None:
+    whole: int, least: int, told: list[tuple[int, int]]
+) -> None:
     names = [f"m{n}" for n in range(len(told))]
     needs = {name: need for name, (need, _) in zip(names, told, strict=True)}
     wants = {name: want for name, (_, want) in zip(names, told, strict=True)}
@@ -156,10 +167,21 @@
     assert held.shares(2_200.0) == floor
 
 
-def ask(number: int, wants: int, *, applied: int = 0, has: int = 0, uses: int = 0,
-        leaving: bool = False) -> Ask:
-    return Ask(plan().digest, "m", 1, number, applied, (has, 0) if applied else (), (uses, 0), (0, 0),
-               (wants, 0), leaving)
+def ask(
+    number: int, wants: int, *, applied: int = 0, has: int = 0, uses: int = 0, leaving: bool = False
+) -> Ask:
+    return Ask(
+        plan().digest,
+        "m",
+        1,
+        number,
+        applied,
+        (has, 0) if applied else (),
+        (uses, 0),
+        (0, 0),
+        (wants, 0),
+        leaving,
+    )
 
 
 def test_what_is_given_back_is_lent_again_only_once_that_is_sure() -> None:
@@ -354,7 +376,7 @@
     for id, team in enumerate((0, 0, 1, 1)):
         scheduler.arrive(Told(id, team, 0, 1, 50.0, 1e9), 0.0)
     released = list[int]()
-    while (item := scheduler.release(1.0, lambda item: Room.BUDGET_FULL if item.team == 0 else Room.FITS)):
+    while item := scheduler.release(1.0, lambda item: Room.BUDGET_FULL if item.team == 0 else Room.FITS):
         released.append(item.id)
     assert released == [2, 3] and len(scheduler.queues) == 2
 
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -18,6 +18,7 @@
 
 def play(scene: Callable[[Path], Awaitable[None]]) -> None:
     """Run a scene in a folder of its own."""
+
     async def in_a_folder() -> None:
         with tempfile.TemporaryDirectory(prefix="bud") as folder:
             await scene(Path(folder))
@@ -95,9 +96,10 @@
     play(scene)
 
 
-@pytest.mark.parametrize("faults", [
-    Faults(drop=0.3, duplicate=0.2, reorder=0.2),
-    Faults(delay_ms=50.0, jitter_ms=200.0, duplicate=0.2)])
+@pytest.mark.parametrize(
+    "faults",
+    [Faults(drop=0.3, duplicate=0.2, reorder=0.2), Faults(delay_ms=50.0, jitter_ms=200.0, duplicate=0.2)],
+)
 def test_grants_that_are_lost_late_doubled_or_overtaken_add_nothing(faults: Faults) -> None:
     async def scene(folder: Path) -> None:
         async with members(folder, seed=4) as fleet:
@@ -127,8 +129,9 @@
                 # Promises run out, an election, then what the dead one granted; and some questions.
                 stated = (plan.reign_ms * plan.stretch + plan.reign_ms + plan.sure_ms + plan.term_ms) / 1e3
                 with trio.fail_after(stated):
-                    while await fleet.leader() == leader or sum(
-                            (await fleet.shares()).values()) < plan.pools[0] + plan.floors[0] * len(names):
+                    while await fleet.leader() == leader or sum((await fleet.shares()).values()) < plan.pools[
+                        0
+                    ] + plan.floors[0] * len(names):
                         await trio.sleep(0.05)
                 await fleet.start(leader)
                 names.append(leader)
@@ -145,18 +148,26 @@
             with trio.fail_after(25.0):  # on a busy machine another one may have been elected meanwhile
                 while True:
                     leader = await fleet.leader()
-                    rows = [row for row in await fleet.ask(leader, "shares")
-                            if row["budget"].startswith("threads")]
+                    rows = [
+                        row
+                        for row in await fleet.ask(leader, "shares")
+                        if row["budget"].startswith("threads")
+                    ]
                     if {row["member"] for row in rows} == set(fleet.names) and sum(
-                            row["share"] for row in rows) == THREADS:
+                        row["share"] for row in rows
+                    ) == THREADS:
                         break
                     await trio.sleep(0.1)
             assert rows[0]["whole"] == THREADS and rows[0]["until_ms"] > 0.0
             other = next(name for name in fleet.names if name != leader)
             own = await fleet.ask(other, "shares")
             assert {row["member"] for row in own} == {other} and len(own) == 2 and own[0]["own"]
-            run = subprocess.run([sys.executable, "-m", "fordstair.cli", "shares", "--socket",
-                                  str(folder / f"{other}.sock")], capture_output=True, text=True, check=True)
+            run = subprocess.run(
+                [sys.executable, "-m", "fordstair.cli", "shares", "--socket", str(folder / f"{other}.sock")],
+                capture_output=True,
+                text=True,
+                check=True,
+            )
             assert f"{other} (here)" in run.stdout and "threads:karri-energy:*" in run.stdout
 
     play(scene)
@@ -189,14 +200,15 @@
             rates = dict.fromkeys(fleet.names, 8.0) | {"m0": 40.0}
             tallies, held = await fleet.traffic(rates, 8.0, 1_600.0)
             assert max(held) <= THREADS
-            busy = held[len(held) // 3:len(held) * 2 // 3]
+            busy = held[len(held) // 3 : len(held) * 2 // 3]
             assert sum(busy) / len(busy) >= 0.6 * THREADS  # figures are the benchmark's
             for tally in tallies.values():
                 assert tally.counts["lost"] == tally.counts["answered_twice"] == 0
             assert all(tally.counts["served"] > 10 for tally in tallies.values())
             assert tallies["m0"].counts["refused"] > 0
             assert tallies["m0"].counts["served"] > max(
-                tally.counts["served"] for name, tally in tallies.items() if name != "m0")
+                tally.counts["served"] for name, tally in tallies.items() if name != "m0"
+            )
             within(fleet)
 
     play(scene)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -34,8 +34,13 @@
 
 
 async def command(*arguments: str) -> subprocess.CompletedProcess[bytes]:
-    return await trio.run_process([sys.executable, "-m", "fordstair.cli", *arguments], cwd=ROOT,
-                                  capture_stdout=True, capture_stderr=True, check=False)
+    return await trio.run_process(
+        [sys.executable, "-m", "fordstair.cli", *arguments],
+        cwd=ROOT,
+        capture_stdout=True,
+        capture_stderr=True,
+        check=False,
+    )
 
 
 class Site:
@@ -65,6 +70,7 @@
 
 def test_a_day_at_the_console_every_request_answered_once_and_the_view_truthful(tmp_path: Path) -> None:
     """Start, watch, set aside, silence, cold return, limit, drain: under traffic all the while."""
+
     async def scene() -> None:
         async with site(tmp_path) as one, trio.open_nursery() as nursery:
             traffic = Traffic("127.0.0.1", one.ports["listens"], [LOOKUPS], seed=3)
@@ -133,8 +139,9 @@
                     await traffic.send(traffic.kinds[0], trio.current_time(), nursery)
                 await one.until(lambda: sum(len(each.held()) for each in one.engines) == 3)
                 rows = one.told("engines")
-                assert {name: row["out"] for name, row in rows.items()} == \
-                    {each.name: len(each.held()) for each in one.engines}
+                assert {name: row["out"] for name, row in rows.items()} == {
+                    each.name: len(each.held()) for each in one.engines
+                }
                 held = {txn: each.name for each in one.engines for txn in each.held()}
                 told = ask(one.door, "requests")["requests"]
                 assert {row["txn"]: row["engine"] for row in told} == held
@@ -146,9 +153,11 @@
 
 def test_the_consoles_keys_and_its_truthfulness_when_the_program_stops(tmp_path: Path) -> None:
     """Textual's pilot against the real program: adjust, confirm, be told of a conflict, see STALE in time."""
+
     async def watched(one: Site) -> None:
         app = ConsoleApp(one.door)
         async with app.run_test(size=(80, 24)) as pilot:
+
             async def until(wanted: Callable[[], object], within_s: float = 5.0) -> float:
                 start = time.monotonic()
                 while not wanted():
@@ -183,8 +192,10 @@
             try:
                 took = await until(lambda: app.shown.startswith("STALE"), 3.0)
                 assert took < 1.8  # a second, and what was on its way
-                states = [app.query_one("#engines", Table).get_cell(name, "state")
-                          for name in ("engine-0", "engine-1")]
+                states = [
+                    app.query_one("#engines", Table).get_cell(name, "state")
+                    for name in ("engine-0", "engine-1")
+                ]
                 assert all(state.endswith("?") for state in states)
             finally:
                 os.kill(one.process.pid, signal.SIGCONT)
@@ -274,8 +285,9 @@
                 while True:
                     os.write(write, b"x" * 65_536)
             os.set_blocking(write, True)  # full, and nobody reads
-            process = subprocess.Popen([sys.executable, "-m", "fordstair.cli", "serve", str(file)],
-                                       cwd=ROOT, stderr=write)
+            process = subprocess.Popen(
+                [sys.executable, "-m", "fordstair.cli", "serve", str(file)], cwd=ROOT, stderr=write
+            )
             try:
                 with trio.fail_after(15.0):
                     while not (tmp_path / "console.sock").exists():
@@ -293,10 +305,20 @@
     play(scene)
 
 
-@pytest.mark.parametrize("line", [
-    b"", b"[]", b"{", b'{"command":"nonsense"}', b"\xff", b'{"command":["drain"]}',
-    b'{"command":"set-aside"}',
-    b'{"command":"limit","class":"lookup","threads":true}', b'{"command":"limit","class":3,"threads":1}'])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"",
+        b"[]",
+        b"{",
+        b'{"command":"nonsense"}',
+        b"\xff",
+        b'{"command":["drain"]}',
+        b'{"command":"set-aside"}',
+        b'{"command":"limit","class":"lookup","threads":true}',
+        b'{"command":"limit","class":3,"threads":1}',
+    ],
+)
 def test_a_line_that_cannot_be_read_is_told_so(tmp_path: Path, line: bytes) -> None:
     door, operator = tmp_path / "door", tmp_path / "appliance.toml"
     operator.write_text(OPERATOR + f'[console]\nsocket = "{door}"\n')
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -153,16 +153,19 @@
     play(scene)
 
 
-@pytest.mark.parametrize(("leave", "taken"), [
-    (cancels, False), (cancels, True), (closes, False), (closes, True), (resets, False)])
+@pytest.mark.parametrize(
+    ("leave", "taken"), [(cancels, False), (cancels, True), (closes, False), (closes, True), (resets, False)]
+)
 def test_nothing_further_is_begun_for_a_client_whose_leaving_is_not_heeded_yet(
-        monkeypatch: pytest.MonkeyPatch, leave: Leaves, taken: bool) -> None:
+    monkeypatch: pytest.MonkeyPatch, leave: Leaves, taken: bool
+) -> None:
     """Its word stands unread while the first attempt ends, or is read and on its way to being taken."""
     gate, answer = hold_reads(monkeypatch, taken), trio.Event()
     gate.open.set()
 
-    async def full(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                   body: bytes) -> Answered | bytes | None:
+    async def full(
+        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answered | bytes | None:
         await answer.wait()
         return 503, {"X-Unrun": "1"}, b""
 
@@ -208,7 +211,8 @@
 
 @pytest.mark.parametrize("taken", [False, True])
 def test_what_came_before_a_connection_is_shut_is_answered_and_not_sent_on(
-        monkeypatch: pytest.MonkeyPatch, taken: bool) -> None:
+    monkeypatch: pytest.MonkeyPatch, taken: bool
+) -> None:
     """The program ends while a request lies unread, or is read and on its way to being taken."""
     gate = hold_reads(monkeypatch, taken)
     gate.open.set()
@@ -256,6 +260,7 @@
 
 def test_who_has_connected_when_a_drain_stops_accepting_is_answered() -> None:
     """Connections and their requests lie in the backlog in the moment in which the listener is closed."""
+
     async def scene() -> None:
         async with engine() as one, inside(config(one.address)) as node:
             ahead = [0.0]
@@ -284,13 +289,17 @@
     async def scene() -> None:
         done = trio.Event()
 
-        async def later(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                        body: bytes) -> Answered | bytes | None:
+        async def later(
+            one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        ) -> Answered | bytes | None:
             if not done.is_set():
                 await trio.sleep(0.05)
                 return 202, {}, b""
-            return await at_once(one, method, path, headers, body) if method != "GET" or path.endswith("/1") \
+            return (
+                await at_once(one, method, path, headers, body)
+                if method != "GET" or path.endswith("/1")
                 else (200, {"X-Sheets": "2"}, b"a\tb\tc\n")
+            )
 
         async with engine(later) as one, inside(config(one.address)) as node:
             client = await connect(node)
@@ -316,15 +325,19 @@
 def test_a_connection_in_use_is_not_used_again_once_another_process_has_its_address() -> None:
     told = trio.Event()
 
-    async def held(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                   body: bytes) -> Answered | bytes | None:
+    async def held(
+        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answered | bytes | None:
         if method == "GET":
             await told.wait()
         return await never(one, method, path, headers, body)
 
     async def scene() -> None:
-        async with engine(held) as one, channel() as (commands, where), \
-                inside(config(one.address, channel=where)) as node:
+        async with (
+            engine(held) as one,
+            channel() as (commands, where),
+            inside(config(one.address, channel=where)) as node,
+        ):
             client = await connect(node)
             number = await client.ask("meter-load", limit="20000")
             await until(lambda: one.calls["GET"])
@@ -351,22 +364,30 @@
     async def scene() -> None:
         done = trio.Event()
 
-        async def later(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                        body: bytes) -> Answered | bytes | None:
+        async def later(
+            one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        ) -> Answered | bytes | None:
             if method == "GET" and path.endswith("/0") and done.is_set():
                 return 200, {"X-Sheets": "2"}, b"a\tb\tc\n"
             if method == "GET" and path.endswith("/1"):
                 return await at_once(one, method, path, headers, body)
             return await never(one, method, path, headers, body)
 
-        async with engine(later) as one, engine() as two, channel() as (commands, where), \
-                inside(config(one.address, channel=where)) as node:
+        async with (
+            engine(later) as one,
+            engine() as two,
+            channel() as (commands, where),
+            inside(config(one.address, channel=where)) as node,
+        ):
             client = await connect(node)
             number = await client.ask("meter-load", limit="20000")
             await until(lambda: one.posts)
             await commands.connected(1)
-            await commands.tell(frame(2, (7, two.address, 0), kind=1) if kind == 1
-                                else frame(2, (0, one.address, 2), (7, two.address, 0)))
+            await commands.tell(
+                frame(2, (7, two.address, 0), kind=1)
+                if kind == 1
+                else frame(2, (0, one.address, 2), (7, two.address, 0))
+            )
             await until(lambda: list(node.coordinator.engines) == ["s-00000007"])
             assert await client.answer(await client.ask()) == (None, ROWS)  # new work goes elsewhere
             done.set()
@@ -380,6 +401,7 @@
 
 def test_room_that_was_meant_for_a_call_that_has_just_gone_is_passed_on() -> None:
     """The one that waited first is cancelled in the very moment in which room comes free."""
+
     async def scene() -> None:
         async with engine(never) as one, inside(config(one.address)) as node:
             pool = node.pool
@@ -450,7 +472,8 @@
 
 
 def test_an_engine_to_which_no_connection_comes_up_for_seconds_counts_as_cold_after_that(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("fordstair.net.engines.pool.LATE_MS", 100.0)
 
     async def scene() -> None:
@@ -512,8 +535,9 @@
             node.pool.connect_ms = 20_000.0
             client, gate = await connect(node), list[Gate]()
 
-            async def breaks_once(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                                  body: bytes) -> Answered | bytes | None:
+            async def breaks_once(
+                one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+            ) -> Answered | bytes | None:
                 if method == "GET" and len(one.posts) == 1:
                     if one.calls["GET"] == 2:  # it is asked twice before it counts as lost
                         gate.append(hold_connects(node))  # for the further attempt
--- a/tests/test_failings.py
+++ b/tests/test_failings.py
@@ -80,8 +80,12 @@
 
 def test_the_channel_is_followed_and_taken_up_again_from_the_last_number() -> None:
     async def scene() -> None:
-        async with (engine() as one, engine() as two, channel() as (commands, where),
-                    program(config(one.address, channel=where)) as node):
+        async with (
+            engine() as one,
+            engine() as two,
+            channel() as (commands, where),
+            program(config(one.address, channel=where)) as node,
+        ):
             await commands.connected(1)
             await commands.tell(frame(2, (0, one.address, 1), (7, two.address, 0)))
             client = await node.client()
@@ -100,8 +104,7 @@
 
 def test_a_channel_that_breaks_inside_a_frame_or_tells_nonsense_loses_nothing() -> None:
     async def scene() -> None:
-        async with (engine() as one, channel() as (commands, where),
-                    program(config(channel=where)) as node):
+        async with engine() as one, channel() as (commands, where), program(config(channel=where)) as node:
             await commands.connected(1)
             whole = frame(2, (7, one.address, 0))
             await commands.tell(whole[:20])
@@ -120,8 +123,11 @@
 
 def test_an_engine_that_took_anothers_address_is_a_new_one() -> None:
     async def scene() -> None:
-        async with (engine(never) as one, channel() as (commands, where),
-                    program(config(one.address, channel=where)) as node):
+        async with (
+            engine(never) as one,
+            channel() as (commands, where),
+            program(config(one.address, channel=where)) as node,
+        ):
             await commands.connected(1)
             client = await node.client()
             number = await client.ask("meter-load", limit="1200")
@@ -135,8 +141,9 @@
 
 @pytest.mark.parametrize(("lane", "word"), [("lookup", "Overloaded"), ("meter-load", "Internal")])
 def test_a_machine_that_accepts_and_says_nothing_holds_no_call(lane: str, word: str) -> None:
-    async def silent(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                     body: bytes) -> Answered | None:
+    async def silent(
+        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answered | None:
         await trio.sleep_forever()
         raise AssertionError
 
@@ -152,8 +159,9 @@
 
 @pytest.mark.parametrize(("lane", "posts"), [("lookup", 2), ("meter-load", 1)])
 def test_a_lost_page_is_an_error_of_a_query_that_may_have_run(lane: str, posts: int) -> None:
-    async def loses(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                    body: bytes) -> Answered | None:
+    async def loses(
+        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answered | None:
         if path.endswith("/1") and len(one.posts) == 1:
             return 500, {}, b""
         return await at_once(one, method, path, headers, body)
@@ -168,11 +176,13 @@
     play(scene)
 
 
-@pytest.mark.parametrize("answer", [
-    (200, {"X-Sheets": "many"}, b""), (200, {}, b"x"), (418, {}, b""), (503, {}, b"")])
+@pytest.mark.parametrize(
+    "answer", [(200, {"X-Sheets": "many"}, b""), (200, {}, b"x"), (418, {}, b""), (503, {}, b"")]
+)
 def test_an_answer_that_cannot_be_read_ends_only_its_attempt(answer: Answered) -> None:
-    async def odd(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                  body: bytes) -> Answered | None:
+    async def odd(
+        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answered | None:
         return answer if len(one.posts) == 1 else await at_once(one, method, path, headers, body)
 
     async def scene() -> None:
@@ -264,6 +274,12 @@
 def test_a_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, text: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
-    done = subprocess.run([sys.executable, "-m", "fordstair"], env=os.environ | {"RELAY_CONFIG": str(path)},
-                          cwd=ROOT, capture_output=True, timeout=30, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "fordstair"],
+        env=os.environ | {"RELAY_CONFIG": str(path)},
+        cwd=ROOT,
+        capture_output=True,
+        timeout=30,
+        check=False,
+    )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -25,8 +25,16 @@
 from cairnhoist.state import Engine, Request
 from tests.helpers import CLASSES, LOAD, SAFE, Rig, entry, settings
 
-HEAVY = RequestClass("heavy", Effect.SAFE, promise_ms=1500, aim_stretch=2.5, give_up_ms=20000, worth=7,
-                     late_worth=0.3, threads=2)
+HEAVY = RequestClass(
+    "heavy",
+    Effect.SAFE,
+    promise_ms=1500,
+    aim_stretch=2.5,
+    give_up_ms=20000,
+    worth=7,
+    late_worth=0.3,
+    threads=2,
+)
 
 
 def engine(rig: Rig, number: int) -> Engine:
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -51,7 +51,8 @@
 @many
 @given(tables, st.data())
 def test_a_follower_that_misses_pictures_ends_where_the_latest_one_stands(
-        rows: list[dict[str, int]], data: st.DataObject) -> None:
+    rows: list[dict[str, int]], data: st.DataObject
+) -> None:
     """A slow console is sent the step between what it has and the latest picture, whatever lay between."""
     now, seen, log = Picture(), Picture(), list[NoteView]()
     for number, row in enumerate(rows, 1):
@@ -76,11 +77,17 @@
 
 
 @many
-@given(st.binary(max_size=200) | st.recursive(
-    st.none() | st.integers() | st.text(max_size=5),
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(
-        st.sampled_from([*TABLES, "number", "base", "at_ms", "gone", "notes"]), inner, max_size=6),
-    max_leaves=12).map(lambda value: ujson.dumps(value).encode()))
+@given(
+    st.binary(max_size=200)
+    | st.recursive(
+        st.none() | st.integers() | st.text(max_size=5),
+        lambda inner: st.lists(inner, max_size=3)
+        | st.dictionaries(
+            st.sampled_from([*TABLES, "number", "base", "at_ms", "gone", "notes"]), inner, max_size=6
+        ),
+        max_leaves=12,
+    ).map(lambda value: ujson.dumps(value).encode())
+)
 def test_what_is_no_frame_is_a_gap_and_nothing_worse(data: bytes) -> None:
     with suppress(Gap):
         assert follow(Picture(), decode(data)).number >= 0
@@ -132,8 +139,10 @@
                     gateway.strike(e, 0.5 * (1 + turn % 4))
                 if turn % 120 == 60 and k == 0:
                     e.down_at = now
-            drawn = gateway.random.choices(list(gateway.engines), [
-                gateway.health(e) * gateway.warmth(e) for e in gateway.engines.values()])[0]
+            drawn = gateway.random.choices(
+                list(gateway.engines),
+                [gateway.health(e) * gateway.warmth(e) for e in gateway.engines.values()],
+            )[0]
             sent[number].append(drawn)
         observer.look(now)
         for view in observer.picture.table("engines").values():
@@ -192,8 +201,12 @@
     assert ledger.propose(Limit("load", -1), "ann", 4.0, STANDING).verdict is Verdict.REFUSED
     two = Standing(frozenset({"a", "b"}), STANDING.listed, STANDING.classes, 5)
     one = Standing(frozenset({"a"}), STANDING.listed, STANDING.classes, 5)
-    for change, standing in ((SetAside("a"), two), (SetAside("a"), one), (Limit("load", 1), STANDING),
-                             (Drain(), STANDING)):
+    for change, standing in (
+        (SetAside("a"), two),
+        (SetAside("a"), one),
+        (Limit("load", 1), STANDING),
+        (Drain(), STANDING),
+    ):
         before = ledger.revision
         assert ledger.propose(change, "ann", 5.0, standing).verdict is Verdict.CONFIRM
         assert ledger.revision == before
@@ -203,8 +216,11 @@
     assert ledger.propose(Drain(), "bob", 7.0, over).verdict is Verdict.ALREADY
 
 
-changes: st.SearchStrategy[Change] = st.sampled_from(["a", "b", "d"]).map(SetAside) | st.sampled_from(
-    ["a", "b", "d"]).map(BringBack) | st.builds(Limit, st.just("load"), st.none() | st.integers(0, 4))
+changes: st.SearchStrategy[Change] = (
+    st.sampled_from(["a", "b", "d"]).map(SetAside)
+    | st.sampled_from(["a", "b", "d"]).map(BringBack)
+    | st.builds(Limit, st.just("load"), st.none() | st.integers(0, 4))
+)
 
 
 @many
@@ -262,8 +278,11 @@
     with os.fdopen(read) as lines:
         told = [ujson.loads(line) for line in lines]
     assert [(line["event"], line.get("engine"), line.get("repeated")) for line in told] == [
-        ("engine.silent", "e-1", None), ("engine.silent", "e-2", None), ("engine.silent", "e-1", 4),
-        ("other", None, None)]
+        ("engine.silent", "e-1", None),
+        ("engine.silent", "e-2", None),
+        ("engine.silent", "e-1", 4),
+        ("other", None, None),
+    ]
     assert told[0]["strikes"] == 0.5 and told[0]["level"] == "info" and len(shown) == 4
 
 
@@ -283,10 +302,17 @@
 
 
 @many
-@given(st.lists(st.tuples(st.floats(1.0, 500.0), st.sampled_from([1, 2, 4]), st.integers(0, 3)), min_size=1,
-                max_size=12), st.floats(1.0, 3.0))
-def test_a_machine_does_the_work_it_was_given_and_no_more(jobs: list[tuple[float, int, int]],
-                                                          slowness: float) -> None:
+@given(
+    st.lists(
+        st.tuples(st.floats(1.0, 500.0), st.sampled_from([1, 2, 4]), st.integers(0, 3)),
+        min_size=1,
+        max_size=12,
+    ),
+    st.floats(1.0, 3.0),
+)
+def test_a_machine_does_the_work_it_was_given_and_no_more(
+    jobs: list[tuple[float, int, int]], slowness: float
+) -> None:
     machine = Machine(4.0, slowness=slowness, started_ms=0.0, warm_ms=200.0)
     for number, (work, threads, priority) in enumerate(jobs):
         machine.start(Job(str(number), work, threads, priority), 0.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -83,8 +83,11 @@
 def after_a_release(seed: int) -> Rig:
     """Twelve warm engines, and eighteen that have just started."""
     rig = Rig(settings(instances=40), engines=0, seed=seed)
-    rig.members(*(entry(i) for i in range(1, 13)), *(entry(i, started=990.0) for i in range(13, 31)),
-                kind=ListKind.FULL)
+    rig.members(
+        *(entry(i) for i in range(1, 13)),
+        *(entry(i, started=990.0) for i in range(13, 31)),
+        kind=ListKind.FULL,
+    )
     return rig
 
 
@@ -131,8 +134,14 @@
 
     def __init__(self, gateways: int, engines: int, seed: int) -> None:
         self.random, self.now = Random(seed), 1_000.0
-        self.config = settings(instances=gateways, report_fields=("util", "inflight"), cold_from=0.32,
-                               cold_ms=15_000.0, fall_multiple=2.5, fall_ms=1_000.0)
+        self.config = settings(
+            instances=gateways,
+            report_fields=("util", "inflight"),
+            cold_from=0.32,
+            cold_ms=15_000.0,
+            fall_multiple=2.5,
+            fall_ms=1_000.0,
+        )
         self.entries = {f"10.0.0.{n}:80": entry(n) for n in range(1, engines + 1)}
         self.machines = {name: Machine(8.0, cold_part=0.32, warm_ms=15_000.0) for name in self.entries}
         self.rigs = [self.started(seed * 1_000 + number) for number in range(gateways)]
@@ -153,8 +162,12 @@
             name = f"10.0.0.{number}:80"
             self.entries[name] = entry(number, started=self.now)
             self.machines[name].restart(self.now)
-        self.jobs = {job: held for job, held in self.jobs.items() if held[0] not in self.rigs[:gateways]
-                     and any(job in machine.jobs for machine in self.machines.values())}
+        self.jobs = {
+            job: held
+            for job, held in self.jobs.items()
+            if held[0] not in self.rigs[:gateways]
+            and any(job in machine.jobs for machine in self.machines.values())
+        }
         self.asked = [(rig, request) for rig, request in self.asked if rig not in self.rigs[:gateways]]
         for number in range(gateways):
             self.rigs[number], self.read[number] = self.started(900_000 + number), 0
@@ -181,8 +194,14 @@
     def ended(self, name: str, machine: Machine, job: Job) -> None:
         rig, request, attempt, since = self.jobs.pop(job.id, (None, 0, 0, 0.0))
         if rig is not None:
-            rig.end(request, Status.OK, self.now - since, attempt, work_ms=job.work_ms,
-                    report=(machine.util, float(len(machine.jobs))))
+            rig.end(
+                request,
+                Status.OK,
+                self.now - since,
+                attempt,
+                work_ms=job.work_ms,
+                report=(machine.util, float(len(machine.jobs))),
+            )
 
     def carry_out(self) -> None:
         """Do what the gateways ordered since the last step."""
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -44,8 +44,9 @@
         path.write_text(
             f'[fleet]\ncluster = "gardens"\nmember = "{name}"\nlisten = "127.0.0.1:0"\n'
             f'advertise = "{self.fronts[name]}"\nseeds = {ujson.dumps(seeds, escape_forward_slashes=False)}\n'
-            f'probe_ms = {PROBE_MS}\ntimeout_ms = 120.0\nsuspicion = {self.suspicion}\nsuspicion_most = 2.0\n'
-            f'sync_ms = 2000.0\n[console]\nsocket = "{self.folder / name}.sock"\n')
+            f"probe_ms = {PROBE_MS}\ntimeout_ms = 120.0\nsuspicion = {self.suspicion}\nsuspicion_most = 2.0\n"
+            f'sync_ms = 2000.0\n[console]\nsocket = "{self.folder / name}.sock"\n'
+        )
         self.nodes[name] = node = await self.nursery.start(self._hold, path)
         self.relay.behind(name, f"127.0.0.1:{node.ports['fleet']}")
 
@@ -78,8 +79,13 @@
             while not await holds():
                 await trio.sleep(0.1)
             return
-        raise AssertionError({name: await self.states(name) for name in self.nodes
-                              if self.nodes[name].process.returncode is None})
+        raise AssertionError(
+            {
+                name: await self.states(name)
+                for name in self.nodes
+                if self.nodes[name].process.returncode is None
+            }
+        )
 
     def told(self, state: str) -> set[tuple[str, str]]:
         """Return who has ever told of a member in that state: observer and member."""
@@ -134,7 +140,8 @@
 
 @pytest.mark.parametrize(("pause_s", "dies"), [(2.0, False), (10.0, False), (60.0, True)])
 def test_a_paused_member_dies_only_after_its_suspicion_and_refutes_on_return(
-        pause_s: float, dies: bool) -> None:
+    pause_s: float, dies: bool
+) -> None:
     async def scene() -> None:
         # the shortest suspicion is 15 s: a pause of 10 s is borne, one of 60 s is not
         async with fleet(suspicion=50.0) as members:
@@ -271,8 +278,10 @@
 
 
 def test_nothing_of_it_is_loaded_or_listens_as_the_platform_starts_the_program() -> None:
-    code = ("import sys, fordstair.entry_point as m; m.told_by; "
-            "sys.exit(any(n.startswith(('fordstair.membership', 'odata_query')) for n in sys.modules))")
+    code = (
+        "import sys, fordstair.entry_point as m; m.told_by; "
+        "sys.exit(any(n.startswith(('fordstair.membership', 'odata_query')) for n in sys.modules))"
+    )
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=False).returncode == 0
 
     async def scene() -> None:
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -37,15 +37,30 @@
         self.name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "test")])
         self.certificate = self.sign(self.key, [], ca=True)
 
-    def sign(self, key: ec.EllipticCurvePrivateKey, uris: list[str], ca: bool = False,
-             digital: bool = True, usages: tuple[x509.ObjectIdentifier, ...] = (
-                 ExtendedKeyUsageOID.SERVER_AUTH, ExtendedKeyUsageOID.CLIENT_AUTH)) -> x509.Certificate:
+    def sign(
+        self,
+        key: ec.EllipticCurvePrivateKey,
+        uris: list[str],
+        ca: bool = False,
+        digital: bool = True,
+        usages: tuple[x509.ObjectIdentifier, ...] = (
+            ExtendedKeyUsageOID.SERVER_AUTH,
+            ExtendedKeyUsageOID.CLIENT_AUTH,
+        ),
+    ) -> x509.Certificate:
         usage = x509.KeyUsage(digital, False, False, False, False, ca, ca, False, False)
         subject = self.name if ca else x509.Name([])
-        builder = (x509.CertificateBuilder().subject_name(subject).issuer_name(self.name)
-                   .public_key(key.public_key()).serial_number(x509.random_serial_number())
-                   .not_valid_before(START).not_valid_after(END).add_extension(usage, True)
-                   .add_extension(x509.BasicConstraints(ca, None), True))
+        builder = (
+            x509.CertificateBuilder()
+            .subject_name(subject)
+            .issuer_name(self.name)
+            .public_key(key.public_key())
+            .serial_number(x509.random_serial_number())
+            .not_valid_before(START)
+            .not_valid_after(END)
+            .add_extension(usage, True)
+            .add_extension(x509.BasicConstraints(ca, None), True)
+        )
         if uris:
             names = x509.SubjectAlternativeName([x509.UniformResourceIdentifier(uri) for uri in uris])
             builder = builder.add_extension(names, False).add_extension(x509.ExtendedKeyUsage(usages), False)
@@ -55,19 +70,33 @@
         """Write an SVID with its key, and the bundle; return their paths."""
         key = ec.generate_private_key(ec.SECP256R1())
         pem = serialization.Encoding.PEM
-        texts = {"certificate": self.sign(key, [uri]).public_bytes(pem),
-                 "key": key.private_bytes(pem, serialization.PrivateFormat.PKCS8,
-                                          serialization.NoEncryption()),
-                 "bundle": self.certificate.public_bytes(pem)}
+        texts = {
+            "certificate": self.sign(key, [uri]).public_bytes(pem),
+            "key": key.private_bytes(pem, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()),
+            "bundle": self.certificate.public_bytes(pem),
+        }
         for part, text in texts.items():
             (folder / f"{name}.{part}").write_bytes(text)
         return {part: str(folder / f"{name}.{part}") for part in texts}
 
 
-@pytest.mark.parametrize("text", [
-    "spiffe://solar.example", "spiffe://solar.example/", "spiffe://Solar.example/a", "http://solar.example/a",
-    "spiffe://solar.example/a/../b", "spiffe://solar.example/a//b", "spiffe://solar.example:1/a", "spiffe:///a",
-    "spiffe://solar.example/a?b", "spiffe://u@solar.example/a", "spiffe://solar.example/" + "a" * 2048, ""])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "spiffe://solar.example",
+        "spiffe://solar.example/",
+        "spiffe://Solar.example/a",
+        "http://solar.example/a",
+        "spiffe://solar.example/a/../b",
+        "spiffe://solar.example/a//b",
+        "spiffe://solar.example:1/a",
+        "spiffe:///a",
+        "spiffe://solar.example/a?b",
+        "spiffe://u@solar.example/a",
+        "spiffe://solar.example/" + "a" * 2048,
+        "",
+    ],
+)
 def test_what_is_no_workloads_id(text: str) -> None:
     with pytest.raises(IdentityError):
         parse_id(text)
@@ -76,10 +105,14 @@
 def test_what_a_peers_certificate_must_be() -> None:
     authority, key = Authority(), ec.generate_private_key(ec.SECP256R1())
     assert spiffe_id(authority.sign(key, [KARRI])) == KARRI
-    for bad in (authority.sign(key, [KARRI, ENGINE]), authority.sign(key, [KARRI], ca=True),
-                authority.sign(key, []), authority.sign(key, [KARRI], digital=False),
-                authority.sign(key, ["https://solar.example/a"]),
-                authority.sign(key, [KARRI], usages=(ExtendedKeyUsageOID.CODE_SIGNING,))):
+    for bad in (
+        authority.sign(key, [KARRI, ENGINE]),
+        authority.sign(key, [KARRI], ca=True),
+        authority.sign(key, []),
+        authority.sign(key, [KARRI], digital=False),
+        authority.sign(key, ["https://solar.example/a"]),
+        authority.sign(key, [KARRI], usages=(ExtendedKeyUsageOID.CODE_SIGNING,)),
+    ):
         with pytest.raises(IdentityError):
             spiffe_id(bad)
 
@@ -104,6 +137,7 @@
 @asynccontextmanager
 async def secured(one: RestEngine, context: ssl.SSLContext) -> AsyncIterator[RestEngine]:
     """The stand-in engine behind TLS."""
+
     async def serve(stream: trio.SocketStream) -> None:
         tls = trio.SSLStream(stream, context, server_side=True, https_compatible=True)
         try:
@@ -127,30 +161,48 @@
     return made
 
 
-@pytest.mark.parametrize(("client", "engine_id", "status"), [
-    (KARRI, ENGINE, 200), ("spiffe://solar.example/stranger", ENGINE, 403),
-    ("spiffe://elsewhere.example/retailer/karri", ENGINE, 403),
-    (KARRI, "spiffe://solar.example/no-engine", 503)])
+@pytest.mark.parametrize(
+    ("client", "engine_id", "status"),
+    [
+        (KARRI, ENGINE, 200),
+        ("spiffe://solar.example/stranger", ENGINE, 403),
+        ("spiffe://elsewhere.example/retailer/karri", ENGINE, 403),
+        (KARRI, "spiffe://solar.example/no-engine", 503),
+    ],
+)
 def test_mutual_tls_from_client_to_engine(tmp_path: Path, client: str, engine_id: str, status: int) -> None:
     authority = Authority()
     own = authority.write(tmp_path, "own", "spiffe://solar.example/coordinator")
     theirs, peer = authority.write(tmp_path, "engine", engine_id), authority.write(tmp_path, "client", client)
     lines = [f'{name} = "{path}"' for name, path in own.items()]
     operator = tmp_path / "appliance.toml"
-    operator.write_text("\n".join([
-        OPERATOR + '[[engine]]\nid = "s-00000000"\nprotocol = "odata"',
-        "[identity]", *lines, 'trust_domain = "solar.example"',
-        f'engines = ["{ENGINE}"]', "[identity.teams]", f'"{KARRI}" = "karri-energy"']))
+    operator.write_text(
+        "\n".join(
+            [
+                OPERATOR + '[[engine]]\nid = "s-00000000"\nprotocol = "odata"',
+                "[identity]",
+                *lines,
+                'trust_domain = "solar.example"',
+                f'engines = ["{ENGINE}"]',
+                "[identity.teams]",
+                f'"{KARRI}" = "karri-energy"',
+            ]
+        )
+    )
 
     async def scene() -> None:
         one = RestEngine(runs(1))
-        async with (secured(one, context(ssl.PROTOCOL_TLS_SERVER, theirs)),
-                    program(config(one.address), "--operator", str(operator)) as node):
+        async with (
+            secured(one, context(ssl.PROTOCOL_TLS_SERVER, theirs)),
+            program(config(one.address), "--operator", str(operator)) as node,
+        ):
             plain = await trio.open_tcp_stream("127.0.0.1", node.ports["odata"])
             tls = trio.SSLStream(plain, context(ssl.PROTOCOL_TLS_CLIENT, peer), https_compatible=True)
             # a team named in a header counts for nothing where there are identities
-            await tls.send_all(b"GET /odata/Settlements HTTP/1.1\r\nHost: x\r\nX-Team: karri-energy\r\n"
-                               b"Connection: close\r\n\r\n")
+            await tls.send_all(
+                b"GET /odata/Settlements HTTP/1.1\r\nHost: x\r\nX-Team: karri-energy\r\n"
+                b"Connection: close\r\n\r\n"
+            )
             answer = b""
             while chunk := await tls.receive_some(65536):
                 answer += chunk
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -52,7 +52,8 @@
 @FIXED
 @given(entries, entries, entries)
 def test_merging_is_commutative_associative_and_idempotent(
-        a: Entry | None, b: Entry | None, c: Entry | None) -> None:
+    a: Entry | None, b: Entry | None, c: Entry | None
+) -> None:
     assert merge(a, b) == merge(b, a)
     assert merge(a, merge(b, c)) == merge(merge(a, b), c)
     assert merge(a, a) == a and merge(merge(a, b), b) == merge(a, b)
@@ -65,7 +66,8 @@
 @FIXED
 @given(st.integers(0, 2**32), st.integers(2, 4), st.sampled_from([3, 5]))
 def test_no_key_runs_for_two_claims_whatever_is_lost_late_doubled_or_forgotten(
-        seed: int, claimants: int, count: int) -> None:
+    seed: int, claimants: int, count: int
+) -> None:
     """Messages arrive in any order, some never, some twice; holders crash to what they had written."""
     rng = random.Random(seed)
     names = tuple(f"h{number}" for number in range(count))
@@ -74,7 +76,8 @@
     claims = [Claim("k", f"c{number}", names) for number in range(claimants)]
     verdicts: dict[str, Verdict] = {}
     flights: list[tuple[str, int, str, Answer | None]] = [
-        ("ask", number, name, None) for number in range(claimants) for name in names for _ in (1, 2)]
+        ("ask", number, name, None) for number in range(claimants) for name in names for _ in (1, 2)
+    ]
     while flights:
         kind, number, name, answer = flights.pop(rng.randrange(len(flights)))
         claim, there = claims[number], memory[name]
@@ -116,22 +119,27 @@
     return Answer(Word.TAKEN, token, outcome)
 
 
-@pytest.mark.parametrize(("answers", "over", "verdict"), [
-    ((GRANTED, GRANTED), False, Verdict.RUN),
-    ((GRANTED,), False, None),
-    ((GRANTED,), True, Verdict.REFUSE),
-    ((), True, Verdict.REFUSE),
-    ((CANNOT, CANNOT), False, Verdict.REFUSE),
-    ((taken("b"), taken("b")), False, Verdict.UNKNOWN),
-    ((taken("b"), taken("c")), False, Verdict.UNKNOWN),  # the third may have granted either
-    ((taken("b"), taken("c"), taken("d")), False, Verdict.REFUSE),  # a split is nobody's
-    ((taken("b"), taken("c"), GRANTED), False, Verdict.REFUSE),
-    ((taken("b"), GRANTED), True, Verdict.UNKNOWN),
-    ((taken("b"), CANNOT, CANNOT), False, Verdict.UNKNOWN),
-    ((taken(UNKNOWN_TOKEN), taken("b"), taken("c")), False, Verdict.UNKNOWN),
-    ((taken("b", b"done"),), False, Verdict.ANSWER)])
+@pytest.mark.parametrize(
+    ("answers", "over", "verdict"),
+    [
+        ((GRANTED, GRANTED), False, Verdict.RUN),
+        ((GRANTED,), False, None),
+        ((GRANTED,), True, Verdict.REFUSE),
+        ((), True, Verdict.REFUSE),
+        ((CANNOT, CANNOT), False, Verdict.REFUSE),
+        ((taken("b"), taken("b")), False, Verdict.UNKNOWN),
+        ((taken("b"), taken("c")), False, Verdict.UNKNOWN),  # the third may have granted either
+        ((taken("b"), taken("c"), taken("d")), False, Verdict.REFUSE),  # a split is nobody's
+        ((taken("b"), taken("c"), GRANTED), False, Verdict.REFUSE),
+        ((taken("b"), GRANTED), True, Verdict.UNKNOWN),
+        ((taken("b"), CANNOT, CANNOT), False, Verdict.UNKNOWN),
+        ((taken(UNKNOWN_TOKEN), taken("b"), taken("c")), False, Verdict.UNKNOWN),
+        ((taken("b", b"done"),), False, Verdict.ANSWER),
+    ],
+)
 def test_a_claim_knows_what_its_holders_words_allow(
-        answers: tuple[Answer, ...], over: bool, verdict: Verdict | None) -> None:
+    answers: tuple[Answer, ...], over: bool, verdict: Verdict | None
+) -> None:
     for order in permutations(range(3), len(answers)):
         claim = Claim("k", "a", ("h0", "h1", "h2"))
         for place, answer in zip(order, answers, strict=True):
@@ -201,9 +209,11 @@
 def test_what_was_written_is_there_after_a_kill_and_a_torn_tail_is_cut(tmp_path: Path) -> None:
     """A process says each number once it is on disk, and is killed; bytes are then cut off its log."""
     path = tmp_path / "store"
-    code = ("import sys; from fordstair.store.disk import *; d = Disk(sys.argv[1]); d.open()\n"
-            "for n in range(100000):\n"
-            " d.write([Record('claim', b'%d' % n, b'v' * 50)]); print(n, flush=True)")
+    code = (
+        "import sys; from fordstair.store.disk import *; d = Disk(sys.argv[1]); d.open()\n"
+        "for n in range(100000):\n"
+        " d.write([Record('claim', b'%d' % n, b'v' * 50)]); print(n, flush=True)"
+    )
     for cut in (0, 1, 700):
         path.unlink(missing_ok=True)
         process = subprocess.Popen([sys.executable, "-c", code, str(path)], cwd=ROOT, stdout=subprocess.PIPE)
@@ -306,13 +316,19 @@
 
 def test_strangers_and_noise_end_their_connection_alone(tmp_path: Path) -> None:
     async def scene() -> None:
-        told = Ledger("c", "m", {"m": "127.0.0.1:1", "n": "127.0.0.1:2"}, ("127.0.0.1", 0),
-                      str(tmp_path / "store"))
+        told = Ledger(
+            "c", "m", {"m": "127.0.0.1:1", "n": "127.0.0.1:2"}, ("127.0.0.1", 0), str(tmp_path / "store")
+        )
         async with running(told, 1) as service:
-            for sent in (b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 100, encode(AskClaim(1, "k", "t")),
-                         encode(Hello(0, "other", "n")), encode(Hello(0, "c", "stranger")),
-                         encode(Hello(0, "c", "n")) + b"\x00\x00\x00\x03\xc1\xc1\xc1",
-                         encode(Hello(0, "c", "n")) + encode(Said(1, 0, "", None))):
+            for sent in (
+                b"GET / HTTP/1.1\r\n\r\n",
+                b"\xff" * 100,
+                encode(AskClaim(1, "k", "t")),
+                encode(Hello(0, "other", "n")),
+                encode(Hello(0, "c", "stranger")),
+                encode(Hello(0, "c", "n")) + b"\x00\x00\x00\x03\xc1\xc1\xc1",
+                encode(Hello(0, "c", "n")) + encode(Said(1, 0, "", None)),
+            ):
                 async with await trio.open_tcp_stream("127.0.0.1", service.port) as stream:
                     await stream.send_all(sent)
                     with trio.fail_after(5.0):
@@ -335,7 +351,7 @@
     got = []
     try:
         for start in range(0, len(data), step):
-            got += reader.take(data[start:start + step])
+            got += reader.take(data[start : start + step])
     except Malformed:
         pass
     assert not got or got[0] == AskClaim(1, "k", "t")
@@ -348,13 +364,18 @@
     def did(id: str, how: str, at: float = 0.0, final: bool = False) -> Operation:
         return Operation(id, "m", at, at + 1.0, how, final)  # type: ignore[arg-type]
 
-    assert not check([did("a", "ok"), did("a", "unknown"), did("b", "fail"), did("b", "ok", 2.0)],
-                     {"a": 1, "b": 1}, {"a": {"m": b"x", "n": b"x"}})
-    for broken, word in ((check([did("a", "ok")], {"a": 2}, {}), "ran 2 times"),
-                         (check([did("a", "ok")], {}, {}), "never ran"),
-                         (check([did("a", "fail")], {"a": 1}, {}), "told that it has not"),
-                         (check([did("a", "ok"), did("a", "fail", 5.0, True)], {"a": 1}, {}), "run it again"),
-                         (check([], {}, {"a": {"m": b"x", "n": b"y"}}), "copies differ")):
+    assert not check(
+        [did("a", "ok"), did("a", "unknown"), did("b", "fail"), did("b", "ok", 2.0)],
+        {"a": 1, "b": 1},
+        {"a": {"m": b"x", "n": b"x"}},
+    )
+    for broken, word in (
+        (check([did("a", "ok")], {"a": 2}, {}), "ran 2 times"),
+        (check([did("a", "ok")], {}, {}), "never ran"),
+        (check([did("a", "fail")], {"a": 1}, {}), "told that it has not"),
+        (check([did("a", "ok"), did("a", "fail", 5.0, True)], {"a": 1}, {}), "run it again"),
+        (check([], {}, {"a": {"m": b"x", "n": b"y"}}), "copies differ"),
+    ):
         assert len(broken) == 1 and word in broken[0]
 
 
@@ -376,9 +397,14 @@
 def test_members_that_heard_the_same_hold_the_same_in_whatever_order(seed: int) -> None:
     rng = random.Random(seed)
     members = [Registers(name, 1e9, 100) for name in "abc"]
-    written = [(key, done) for n in range(30)
-               if (done := rng.choice(members).set(1e6 + rng.randrange(50), key := f"k{rng.randrange(5)}",
-                                                   b"%d" % n)) is not None]
+    written = [
+        (key, done)
+        for n in range(30)
+        if (
+            done := rng.choice(members).set(1e6 + rng.randrange(50), key := f"k{rng.randrange(5)}", b"%d" % n)
+        )
+        is not None
+    ]
     for member in members:
         for key, value in rng.sample(written * 2, 2 * len(written)):
             member.take(1e6 + 100, key, value)
@@ -484,8 +510,15 @@
     values = dict(learned(rig.gateway))
     assert "class|quick|mean" in values and "group|quick|7" in values
     new = Rig(settings_of(instances=2))
-    assert restore(new.gateway, values | {"class|unknown|mean": values["class|quick|mean"], "noise": b"\xc1",
-                                          "group|quick|nan": values["class|quick|mean"]}) == len(values)
+    assert restore(
+        new.gateway,
+        values
+        | {
+            "class|unknown|mean": values["class|quick|mean"],
+            "noise": b"\xc1",
+            "group|quick|nan": values["class|quick|mean"],
+        },
+    ) == len(values)
     assert new.gateway.cache.forecast(0, 7.0, 0.0) == pytest.approx(340.0, rel=0.02)
     assert restore(new.gateway, values) == 0  # what it has goes first
     request = new.ask(0, 0.0, group=7.0)
--- a/tests/test_ledger_processes.py
+++ b/tests/test_ledger_processes.py
@@ -19,6 +19,7 @@
 
 def play(scene: Callable[[Path], Awaitable[None]]) -> None:
     """Run a scene in a folder of its own."""
+
     async def in_a_folder() -> None:
         with tempfile.TemporaryDirectory(prefix="led") as folder:
             await scene(Path(folder))
@@ -180,7 +181,8 @@
             file.write_text(
                 f'[odata]\nlisten = "127.0.0.1:0"\n[fleet]\ncluster = "c"\nmember = "n{number}"\n'
                 f'listen = "127.0.0.1:0"\n[fleet.ledger]\nlisten = "{listens[number]}"\n'
-                f'store = "{folder}/store{number}"\nexchange_ms = 300\nholders = {{ {holders} }}\n')
+                f'store = "{folder}/store{number}"\nexchange_ms = 300\nholders = {{ {holders} }}\n'
+            )
         async with engine() as one, program(config(), "--operator", str(files[1]), fronts=4) as blind:
             client = await blind.client()
             assert (await client.answer(await client.ask()))[0] is not None  # it knows of no engine
@@ -205,6 +207,7 @@
                 await one.start(name)
             ids, took = list[str](), list[float]()
             async with trio.open_nursery() as nursery:
+
                 async def go_on() -> None:
                     while True:
                         ids.append(one.new_id())
@@ -250,7 +253,8 @@
             f'[odata]\nlisten = "127.0.0.1:0"\n'
             f'[fleet]\ncluster = "c"\nmember = "n0"\nlisten = "127.0.0.1:0"\n'
             f'[fleet.ledger]\nlisten = "{listen}"\nstore = "{folder}/store"\n'
-            f'holders = {{ n0 = "{listen}" }}\n')
+            f'holders = {{ n0 = "{listen}" }}\n'
+        )
         async with engine() as one:
             for told in (config(one.address), config()):  # the second start is told of no engine, by nobody
                 async with program(told, "--operator", str(operator), fronts=4) as node:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,8 +27,13 @@
 from fordstair.membership.swim import Fleet, Swim
 
 FLEET = Fleet("gardens", "x", "x:1")
-FIXED = settings(max_examples=60, deadline=None, derandomize=True, database=None,
-                 suppress_health_check=[HealthCheck.too_slow])
+FIXED = settings(
+    max_examples=60,
+    deadline=None,
+    derandomize=True,
+    database=None,
+    suppress_health_check=[HealthCheck.too_slow],
+)
 
 
 def fleet(count: int, seed: int = 1, *, loss: float = 0.0, told: Fleet = FLEET) -> tuple[Network, list[str]]:
@@ -37,16 +42,23 @@
 
 
 def deaths(network: Network, since: float = 0.0) -> list[tuple[str, str]]:
-    return [(seen.observer, seen.change.name) for seen in network.seen
-            if seen.change.state == DEAD and seen.at >= since]
+    return [
+        (seen.observer, seen.change.name)
+        for seen in network.seen
+        if seen.change.state == DEAD and seen.at >= since
+    ]
 
 
 def agree(network: Network) -> bool:
     """Whether all running members hold all running members for alive, at the same incarnations."""
     swims = {name: node for name, node in network.nodes.items() if isinstance(node, Swim)}
     own = {name.split(":")[0]: node.incarnation for name, node in swims.items()}
-    return all({member.name: member.incarnation for member in node.members.values() if member.state == ALIVE}
-               | {node.fleet.name: node.incarnation} == own for node in swims.values())
+    return all(
+        {member.name: member.incarnation for member in node.members.values() if member.state == ALIVE}
+        | {node.fleet.name: node.incarnation}
+        == own
+        for node in swims.values()
+    )
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.1])
@@ -77,7 +89,8 @@
 
 @pytest.mark.parametrize(("pause_ms", "dies"), [(2_000.0, False), (10_000.0, False), (60_000.0, True)])
 def test_a_paused_member_dies_only_after_its_suspicion_and_refutes_on_return(
-        pause_ms: float, dies: bool) -> None:
+    pause_ms: float, dies: bool
+) -> None:
     network, addresses = fleet(5, told=replace(FLEET, suspicion=15.0))
     network.run(20_000.0)
     network.pause(addresses[2], pause_ms)
@@ -146,15 +159,21 @@
     network.run(10_000.0)
     network.kill(addresses[4])
     network.run(11_000.0)
-    network.add(addresses[4], Swim(replace(FLEET, name=addresses[4][:-2], address=addresses[4],
-                                           seeds=tuple(addresses[:2])), 500, 77))
+    network.add(
+        addresses[4],
+        Swim(
+            replace(FLEET, name=addresses[4][:-2], address=addresses[4], seeds=tuple(addresses[:2])), 500, 77
+        ),
+    )
     network.run(30_000.0)
     assert agree(network) and not deaths(network)
     # one that starts with a smaller one, its clock being behind, is told and goes above
     network.kill(addresses[4])
     network.run(network.now + 60_000.0)
-    network.add(addresses[4], Swim(replace(FLEET, name=addresses[4][:-2], address=addresses[4],
-                                           seeds=tuple(addresses[:2])), 3, 78))
+    network.add(
+        addresses[4],
+        Swim(replace(FLEET, name=addresses[4][:-2], address=addresses[4], seeds=tuple(addresses[:2])), 3, 78),
+    )
     network.run(network.now + 30_000.0)
     node = network.nodes[addresses[4]]
     assert isinstance(node, Swim) and node.incarnation > 500 and agree(network)
@@ -239,14 +258,18 @@
 def test_a_refuted_suspicion_never_ends_in_death(incarnation: int, accusers: int, refuted_at: float) -> None:
     swim = Swim(Fleet("c", "me", "h:9"), 1, 1)
     swim.know(0.0, [Update(name, "h:1", 0, ALIVE, name) for name in ("a", "b", "c", "d", "e")])
-    for accuser in ("b", "c", "d")[:accusers + 1]:
-        swim.receive(1.0, encode(View("c", "b", (Update("a", "h:1", incarnation, SUSPECT, accuser),), False)),
-                     "h:5")
+    for accuser in ("b", "c", "d")[: accusers + 1]:
+        swim.receive(
+            1.0, encode(View("c", "b", (Update("a", "h:1", incarnation, SUSPECT, accuser),), False)), "h:5"
+        )
     least = swim.members["a"].suspicion
     assert least is not None and least.until >= 1.0 + 5_000.0
     swim.tick(min(refuted_at, least.until - 1.0))
-    swim.receive(min(refuted_at, least.until - 1.0),
-                 encode(View("c", "a", (Update("a", "h:1", incarnation + 1, ALIVE, "a"),), False)), "h:5")
+    swim.receive(
+        min(refuted_at, least.until - 1.0),
+        encode(View("c", "a", (Update("a", "h:1", incarnation + 1, ALIVE, "a"),), False)),
+        "h:5",
+    )
     now = refuted_at
     for _ in range(200):
         now += 250.0
@@ -255,11 +278,22 @@
 
 
 @FIXED
-@given(st.integers(0, 2**31), st.sampled_from([0.0, 0.1, 0.25]), st.integers(3, 9),
-       st.lists(st.tuples(st.sampled_from(["pause", "cut", "part", "restart"]), st.integers(0, 8),
-                          st.floats(500.0, 30_000.0)), max_size=5))
+@given(
+    st.integers(0, 2**31),
+    st.sampled_from([0.0, 0.1, 0.25]),
+    st.integers(3, 9),
+    st.lists(
+        st.tuples(
+            st.sampled_from(["pause", "cut", "part", "restart"]),
+            st.integers(0, 8),
+            st.floats(500.0, 30_000.0),
+        ),
+        max_size=5,
+    ),
+)
 def test_all_members_converge_after_faults_stop(
-        seed: int, loss: float, count: int, faults: list[tuple[str, int, float]]) -> None:
+    seed: int, loss: float, count: int, faults: list[tuple[str, int, float]]
+) -> None:
     network, addresses = fleet(count, seed, loss=loss)
     for kind, which, ms in faults:
         victim = addresses[which % count]
@@ -268,12 +302,18 @@
         elif kind == "cut":
             network.cut = lambda source, to, victim=victim: source == victim  # type: ignore[misc]
         elif kind == "part":
-            side = set(addresses[:1 + which % (count - 1)])
+            side = set(addresses[: 1 + which % (count - 1)])
             network.cut = lambda source, to, side=side: (source in side) != (to in side)  # type: ignore[misc]
         else:
             network.kill(victim)
-            network.add(victim, Swim(replace(FLEET, name=victim[:-2], address=victim,
-                                             seeds=tuple(addresses[:2])), int(network.now) + 2, seed))
+            network.add(
+                victim,
+                Swim(
+                    replace(FLEET, name=victim[:-2], address=victim, seeds=tuple(addresses[:2])),
+                    int(network.now) + 2,
+                    seed,
+                ),
+            )
         network.run(network.now + ms)
         network.cut = lambda source, to: False
     network.loss = 0.0
@@ -303,13 +343,20 @@
 GOOD = Ping("gardens", "a", (Update("b", "h:1", 1, ALIVE, "b"),), 7, "x")
 
 
-@pytest.mark.parametrize("message", [
-    Ping("gardens", "no good", (), 1, "x"), Ping("", "a", (), 1, "x"), Ping("gardens", "a", (), -1, "x"),
-    Ping("gardens", "a", (), 2**32, "x"), Ack("gardens", "a" * 65, (), 1),
-    View("gardens", "a", (Update("b", "nowhere", 1, ALIVE, "b"),), False),
-    View("gardens", "a", (Update("b", "h:1", -1, ALIVE, "b"),), False),
-    View("gardens", "a", (Update("b", "h:1", 2**62 + 1, ALIVE, "b"),), False),
-    View("gardens", "a", (Update("b", "h:1", 1, 4, "b"),), False)])
+@pytest.mark.parametrize(
+    "message",
+    [
+        Ping("gardens", "no good", (), 1, "x"),
+        Ping("", "a", (), 1, "x"),
+        Ping("gardens", "a", (), -1, "x"),
+        Ping("gardens", "a", (), 2**32, "x"),
+        Ack("gardens", "a" * 65, (), 1),
+        View("gardens", "a", (Update("b", "nowhere", 1, ALIVE, "b"),), False),
+        View("gardens", "a", (Update("b", "h:1", -1, ALIVE, "b"),), False),
+        View("gardens", "a", (Update("b", "h:1", 2**62 + 1, ALIVE, "b"),), False),
+        View("gardens", "a", (Update("b", "h:1", 1, 4, "b"),), False),
+    ],
+)
 def test_a_field_out_of_its_bounds_makes_a_message_malformed(message: Ping | Ack | View) -> None:
     with pytest.raises(Malformed):
         decode(encode(message))
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -12,8 +12,12 @@
 CORES, ENGINES, REPLACED_EVERY_S = 8.0, 4, 10.0
 
 
-def tables(thing: object, path: str = "gateway", depth: int = 0, seen: set[int] | None = None,
-           ) -> Iterator[tuple[str, int]]:
+def tables(
+    thing: object,
+    path: str = "gateway",
+    depth: int = 0,
+    seen: set[int] | None = None,
+) -> Iterator[tuple[str, int]]:
     """Yield the path and length of every sized attribute reachable from a thing, four attributes deep."""
     seen = set() if seen is None else seen
     if id(thing) in seen or depth > 3:
@@ -50,6 +54,7 @@
     short, long = day(40.0, 3), day(160.0, 3)
     assert long["gateway.requests"] == 0 and long["gateway.attempts"] == 0, "nothing open after the day"
     assert long["gateway.engines"] <= ENGINES, "engines that left are forgotten"
-    grown = {path: (short.get(path, 0), size) for path, size in long.items()
-             if size > 2 * short.get(path, 0) + 16}
+    grown = {
+        path: (short.get(path, 0), size) for path, size in long.items() if size > 2 * short.get(path, 0) + 16
+    }
     assert not grown, f"tables that grew with four times the requests and engines: {grown}"
--- a/tests/test_odata.py
+++ b/tests/test_odata.py
@@ -59,13 +59,14 @@
 
 
 @asynccontextmanager
-async def appliance(tmp_path: Path, *engines: RestEngine,
-                    odata: tuple[int, ...] = (),
-                    settings: dict[str, Any] = SETTINGS) -> AsyncIterator[Program]:
+async def appliance(
+    tmp_path: Path, *engines: RestEngine, odata: tuple[int, ...] = (), settings: dict[str, Any] = SETTINGS
+) -> AsyncIterator[Program]:
     """The program with both fronts; the engines at these positions are spoken to in OData."""
     operator = tmp_path / "appliance.toml"
-    operator.write_text(OPERATOR + "".join(
-        f'[[engine]]\nid = "s-{number:08x}"\nprotocol = "odata"\n' for number in odata))
+    operator.write_text(
+        OPERATOR + "".join(f'[[engine]]\nid = "s-{number:08x}"\nprotocol = "odata"\n' for number in odata)
+    )
     told = config(*(one.address for one in engines), settings=settings)
     async with program(told, "--operator", str(operator)) as node:
         yield node
@@ -84,8 +85,9 @@
     return response.status, response.headers, ujson.loads(read) if "json" in kind else read
 
 
-async def ask(node: Program, method: str, path: str, body: object = None,
-              **headers: str) -> tuple[int, Any, Any]:
+async def ask(
+    node: Program, method: str, path: str, body: object = None, **headers: str
+) -> tuple[int, Any, Any]:
     return await trio.to_thread.run_sync(lambda: call(node, method, path, body, **headers))
 
 
@@ -93,8 +95,9 @@
     """An OData engine: 202, so many more, then two pages by a next link."""
     asked: Counter[str] = Counter()
 
-    async def script(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                     body: bytes) -> Answered | None:
+    async def script(
+        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answered | None:
         if method == "POST":
             txn = ujson.loads(body)["Txn"]
             return 202, {"Location": f"/odata/monitors/{txn}", "X-Gauges": "inflight:1;util:0.10"}, b""
@@ -111,8 +114,9 @@
     return script
 
 
-async def five_rows(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                    body: bytes) -> Answered | None:
+async def five_rows(
+    one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+) -> Answered | None:
     if method == "POST":
         return 200, {"X-Sheets": "1"}, b"".join(b"a%d\tp\t%d\n" % (n, n) for n in range(5))
     return 204, {}, b""
@@ -122,14 +126,20 @@
     async def scene() -> None:
         async with engine(runs(1)) as one, appliance(tmp_path, one, odata=(0,)) as node:
             status, _, told = await ask(
-                node, "GET", "/odata/Settlements?$filter=account%20eq%20'it''s'&$orderby=period%20desc&$top=9"
-                             "&$select=account,amount")
-            assert status == 200 and told["value"] == [{"account": "a", "amount": "c"},
-                                                       {"account": "d", "amount": "f"}]
+                node,
+                "GET",
+                "/odata/Settlements?$filter=account%20eq%20'it''s'&$orderby=period%20desc&$top=9"
+                "&$select=account,amount",
+            )
+            assert status == 200 and told["value"] == [
+                {"account": "a", "amount": "c"},
+                {"account": "d", "amount": "f"},
+            ]
             sent = ujson.loads(one.posts[0][1])
             assert sent["Lane"] == "settlement" and sent["Statement"] == (
                 "SELECT account, period, amount FROM settlement_7.lines WHERE account = 'it''s' "
-                "ORDER BY period DESC FETCH FIRST 9 ROWS ONLY")
+                "ORDER BY period DESC FETCH FIRST 9 ROWS ONLY"
+            )
             status, _, told = await ask(node, "GET", "/odata/Settlements('k')")
             assert status == 200 and told["amount"] == "c"
             assert (await ask(node, "GET", "/odata/"))[2]["value"][1]["name"] == "Readings"
@@ -138,15 +148,20 @@
     play(scene)
 
 
-@pytest.mark.parametrize(("path", "status", "code"), [
-    ("/odata/Nothing", 404, "NotFound"), ("/other", 404, "NotFound"),
-    ("/odata/Settlements?$filter=secret%20eq%201", 400, "BadFilter"),
-    ("/odata/Settlements?$filter=contains(account,'%25')", 501, "NotImplemented"),
-    ("/odata/Settlements?$filter=((", 400, "BadFilter"), ("/odata/Settlements?$top=-1", 400, "BadRequest"),
-    ("/odata/Settlements?$expand=x", 501, "NotImplemented"),
-    ("/odata/Settlements?$orderby=amount;drop", 400, "BadOrder"),
-    ("/odata/Settlements?$skiptoken=0-1", 410, "ResultGone"),
-])
+@pytest.mark.parametrize(
+    ("path", "status", "code"),
+    [
+        ("/odata/Nothing", 404, "NotFound"),
+        ("/other", 404, "NotFound"),
+        ("/odata/Settlements?$filter=secret%20eq%201", 400, "BadFilter"),
+        ("/odata/Settlements?$filter=contains(account,'%25')", 501, "NotImplemented"),
+        ("/odata/Settlements?$filter=((", 400, "BadFilter"),
+        ("/odata/Settlements?$top=-1", 400, "BadRequest"),
+        ("/odata/Settlements?$expand=x", 501, "NotImplemented"),
+        ("/odata/Settlements?$orderby=amount;drop", 400, "BadOrder"),
+        ("/odata/Settlements?$skiptoken=0-1", 410, "ResultGone"),
+    ],
+)
 def test_errors_have_their_status_and_body(tmp_path: Path, path: str, status: int, code: str) -> None:
     async def scene() -> None:
         async with engine() as one, appliance(tmp_path, one) as node:
@@ -175,6 +190,7 @@
 
 def test_kept_results_stay_within_their_number_and_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     """64 results of many short rows would have passed the limit on memory."""
+
     class Host:
         deadlines = Deadlines()
 
@@ -205,11 +221,17 @@
 
 @pytest.mark.parametrize("odata", [(), (0,)])
 def test_a_load_whose_engine_breaks_mid_batch_is_not_sent_again(
-        tmp_path: Path, odata: tuple[int, ...]) -> None:
+    tmp_path: Path, odata: tuple[int, ...]
+) -> None:
     async def scene() -> None:
         async with engine(breaks) as one, appliance(tmp_path, one, odata=odata) as node:
-            part = {"id": "1", "method": "POST", "url": "Readings", "body": READING,
-                    "headers": {"Repeatability-Request-ID": "r-1"}}
+            part = {
+                "id": "1",
+                "method": "POST",
+                "url": "Readings",
+                "body": READING,
+                "headers": {"Repeatability-Request-ID": "r-1"},
+            }
             for _ in range(2):  # the client sends the whole batch again
                 status, _, told = await ask(node, "POST", "/odata/$batch", {"requests": [part]})
                 assert status == 200 and told["responses"][0]["status"] == 502
@@ -226,7 +248,8 @@
             stream = await trio.open_tcp_stream("127.0.0.1", node.ports["odata"])
             await stream.send_all(
                 b"POST /odata/$batch HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\n"
-                b"Content-Length: %d\r\n\r\n%s" % (len(body), body))
+                b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
+            )
             while not one.posts:
                 await trio.sleep(0.01)
             await stream.aclose()
@@ -241,15 +264,19 @@
 def test_a_batch_answers_part_by_part(tmp_path: Path) -> None:
     async def scene() -> None:
         async with engine() as one, appliance(tmp_path, one) as node:
-            parts = [{"id": "a", "method": "POST", "url": "Readings", "body": READING},
-                     {"id": "b", "method": "GET", "url": "/odata/Settlements"},
-                     {"id": "c", "method": "GET", "url": "Nothing"},
-                     {"id": "d", "method": "GET", "url": "Settlements", "dependsOn": ["c"]}]
+            parts = [
+                {"id": "a", "method": "POST", "url": "Readings", "body": READING},
+                {"id": "b", "method": "GET", "url": "/odata/Settlements"},
+                {"id": "c", "method": "GET", "url": "Nothing"},
+                {"id": "d", "method": "GET", "url": "Settlements", "dependsOn": ["c"]},
+            ]
             _, _, told = await ask(node, "POST", "/odata/$batch", {"requests": parts})
             assert [part["status"] for part in told["responses"]] == [201, 200, 404, 424]
             assert told["responses"][0]["headers"]["location"] == "/odata/Readings('m%27%271')"
-            assert one.posts[0][1] == (b"INSERT INTO readings_2.intervals (meter, started, kwh) "
-                                       b"VALUES ('m''1', '2026-01-01', '3.5')")
+            assert one.posts[0][1] == (
+                b"INSERT INTO readings_2.intervals (meter, started, kwh) "
+                b"VALUES ('m''1', '2026-01-01', '3.5')"
+            )
 
     play(scene)
 
@@ -267,18 +294,26 @@
 def test_both_protocols_get_the_same_answers_at_the_same_time(tmp_path: Path, script: str) -> None:
     """Each kind of client asks the same of the same engines, one of which expects OData."""
     scripts: dict[str, tuple[Script, Script]] = {
-        "served": (at_once, runs(0)), "silent": (never, runs(10_000)), "broken": (breaks, breaks)}
+        "served": (at_once, runs(0)),
+        "silent": (never, runs(10_000)),
+        "broken": (breaks, breaks),
+    }
 
     # Where all is to be served, a machine short of time must not make the module refuse: neither what is
     # late nor, with all sixteen out at once, for the threads that they hold.
     wait_s, patient = (30, {"promiseMs": 60_000.0, "giveUpMs": 60_000.0}) if script == "served" else (1, {})
-    settings = SETTINGS | {"categories": [spec | patient for spec in SETTINGS["categories"]],
-                           "extra": SETTINGS["extra"] | {"cpuOfKind": [200]}}
+    settings = SETTINGS | {
+        "categories": [spec | patient for spec in SETTINGS["categories"]],
+        "extra": SETTINGS["extra"] | {"cpuOfKind": [200]},
+    }
 
     async def scene() -> None:
         rest, odata = scripts[script]
-        async with (engine(rest) as one, engine(odata) as two,
-                    appliance(tmp_path, one, two, odata=(1,), settings=settings) as node):
+        async with (
+            engine(rest) as one,
+            engine(odata) as two,
+            appliance(tmp_path, one, two, odata=(1,), settings=settings) as node,
+        ):
             counts: dict[str, Counter[str]] = {"msgpack": Counter(), "odata": Counter()}
             took: dict[tuple[str, str], list[float]] = {}
 
@@ -287,8 +322,9 @@
                 asked = await client.ask(lane, limit=str(wait_s * 1000), txn=f"{number:016x}")
                 error, result = await client.answer(asked)
                 assert error or result == ROWS
-                counts["msgpack"][{"Overloaded": "refused", "Internal": "failed"}[error[0]] if error
-                                  else "served"] += 1
+                counts["msgpack"][
+                    {"Overloaded": "refused", "Internal": "failed"}[error[0]] if error else "served"
+                ] += 1
                 took.setdefault(("msgpack", lane), []).append(time.monotonic() - start)
 
             async def by_odata(number: int, lane: str) -> None:
@@ -298,8 +334,9 @@
                 else:
                     status, headers, told = await ask(node, "GET", "/odata/Settlements", Prefer=wait)
                     assert status != 200 or len(told["value"]) == 2
-                counts["odata"]["served" if status < 300 else "refused" if "Retry-After" in headers
-                                else "failed"] += 1
+                counts["odata"][
+                    "served" if status < 300 else "refused" if "Retry-After" in headers else "failed"
+                ] += 1
                 took.setdefault(("odata", lane), []).append(time.monotonic() - start)
 
             async with trio.open_nursery() as nursery:
@@ -312,17 +349,18 @@
                 assert len(times) == 4 and max(times) < 10.0
                 # a load that may run has only its deadline to end it; a read may be moved and refused before
                 assert script != "silent" or lane != "meter-load" or min(times) > 0.8
-            loads = [headers.get("x-txn") or ujson.loads(body)["Txn"] for headers, body in
-                     (*one.posts, *two.posts) if "meter-load" in (headers.get("x-lane", ""), body.decode())
-                     or b"meter-load" in body]
+            loads = [
+                headers.get("x-txn") or ujson.loads(body)["Txn"]
+                for headers, body in (*one.posts, *two.posts)
+                if "meter-load" in (headers.get("x-lane", ""), body.decode()) or b"meter-load" in body
+            ]
             assert len(loads) == len(set(loads)) == 8  # each once
 
     play(scene)
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /odata/Settlements HTTP/1.1\r\nHost: a\r\n"])
-def test_a_client_that_is_silent_or_stops_in_a_request_is_closed(
-        tmp_path: Path, sent: bytes) -> None:
+def test_a_client_that_is_silent_or_stops_in_a_request_is_closed(tmp_path: Path, sent: bytes) -> None:
     async def scene() -> None:
         async with engine() as one, appliance(tmp_path, one) as node:
             stream = await trio.open_tcp_stream("127.0.0.1", node.ports["odata"])
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -21,10 +21,18 @@
 from tests.standins import SETTINGS, config
 
 many = settings(max_examples=150, derandomize=True, deadline=None)
-plain = st.none() | st.booleans() | st.integers(-2**63, 2**64 - 1) | st.floats(allow_nan=False) | st.binary(
-    max_size=300)
-values = st.recursive(plain, lambda inner: st.lists(inner, max_size=20) | st.dictionaries(
-    st.binary(max_size=5), inner, max_size=20), max_leaves=30)
+plain = (
+    st.none()
+    | st.booleans()
+    | st.integers(-(2**63), 2**64 - 1)
+    | st.floats(allow_nan=False)
+    | st.binary(max_size=300)
+)
+values = st.recursive(
+    plain,
+    lambda inner: st.lists(inner, max_size=20) | st.dictionaries(st.binary(max_size=5), inner, max_size=20),
+    max_leaves=30,
+)
 SETS = {"S": EntitySet("S", "s_1.t", ("a", "b"), "lookup", "lookup")}
 
 
@@ -74,35 +82,52 @@
 
 
 @many
-@given(st.lists(st.tuples(st.integers(0, 2**64 - 1), st.integers(0, 2)), min_size=1, max_size=6),
-       st.integers(1, 40))
+@given(
+    st.lists(st.tuples(st.integers(0, 2**64 - 1), st.integers(0, 2)), min_size=1, max_size=6),
+    st.integers(1, 40),
+)
 def test_frames_survive_any_cut(events: list[tuple[int, int]], size: int) -> None:
     record = struct.pack(">I4sHBBBHIQ", 0xC41F7A, bytes((10, 1, 0, 9)), 6565, 1, 2, 0, 3, 4000, 77)
-    stream = b"".join(struct.pack(">IQB", 9 + 27 * bool(kind), number, kind) + record * bool(kind)
-                      for number, kind in events)
+    stream = b"".join(
+        struct.pack(">IQB", 9 + 27 * bool(kind), number, kind) + record * bool(kind)
+        for number, kind in events
+    )
     seen, buffer = [], b""
     for at in range(0, len(stream), size):
-        buffer += stream[at:at + size]
+        buffer += stream[at : at + size]
         while (frame := read_frame(memoryview(buffer))) is not None:
             number, kind, payload, length = frame
             seen.append((number, kind))
             for engine in read_records(payload):
                 entry = engine.entry
                 assert (entry.engine, entry.state, engine.address) == (
-                    "s-00c41f7a", EngineState.DRAINING, "10.1.0.9:6565")
+                    "s-00c41f7a",
+                    EngineState.DRAINING,
+                    "10.1.0.9:6565",
+                )
                 assert (entry.zone, entry.cell, entry.weight, engine.started) == (2, 3, 4.0, UnixMs(77.0))
             buffer = buffer[length:]
     assert seen == events and not buffer
 
 
-@pytest.mark.parametrize(("statement", "group"), [
-    ("SELECT * FROM sales_17.orders", 17), ("select 'a_3.b' from x_4.y", 4),
-    ("-- from q_1.z\nselect 1 from staging.a join q_2.b on 1=1", 2),
-    ("INSERT INTO staging.t SELECT * FROM m_9.k", 9), ("INSERT INTO m_9.k SELECT * FROM staging.t", 9),
-    ("/* from a_1.b /* x */ from a_2.c */ select t_1.x, 'it''s from z_8.q' from \"real_5\".\"o\" t_1", 5),
-    ("update  w_12 . t set x=1", 12), ("select 1", 0), ("select a.x from staging.q a, big_7.t b", 7),
-    ("select t_1.a from staging.x t_1 join foo_44.b using (c)", 44), ("select 'unclosed from a_6.b", 0),
-    ("with c as (select * from r_8.x) select t_1.a from c t_1", 8), ("select t_3.a from s_4.b as t_3", 4)])
+@pytest.mark.parametrize(
+    ("statement", "group"),
+    [
+        ("SELECT * FROM sales_17.orders", 17),
+        ("select 'a_3.b' from x_4.y", 4),
+        ("-- from q_1.z\nselect 1 from staging.a join q_2.b on 1=1", 2),
+        ("INSERT INTO staging.t SELECT * FROM m_9.k", 9),
+        ("INSERT INTO m_9.k SELECT * FROM staging.t", 9),
+        ("/* from a_1.b /* x */ from a_2.c */ select t_1.x, 'it''s from z_8.q' from \"real_5\".\"o\" t_1", 5),
+        ("update  w_12 . t set x=1", 12),
+        ("select 1", 0),
+        ("select a.x from staging.q a, big_7.t b", 7),
+        ("select t_1.a from staging.x t_1 join foo_44.b using (c)", 44),
+        ("select 'unclosed from a_6.b", 0),
+        ("with c as (select * from r_8.x) select t_1.a from c t_1", 8),
+        ("select t_3.a from s_4.b as t_3", 4),
+    ],
+)
 def test_group_of_tables(statement: str, group: float) -> None:
     assert table_group(statement) == group
 
@@ -118,17 +143,28 @@
 
 def test_settings_are_flattened_as_the_modules_reader_takes_them() -> None:
     assert dict(flatten({"a": {"b": [1, 2], "c": [{"d": True}]}, "e": "x, y"})) == {
-        "a.b": "1,2", "a.c.count": "1", "a.c.0.d": "true", "e": "x__y"}
+        "a.b": "1,2",
+        "a.c.count": "1",
+        "a.c.0.d": "true",
+        "e": "x__y",
+    }
     told = parse(config("127.0.0.1:1"))
     assert [spec.threads for spec in told.settings.classes] == [1, 4, 2] and told.connect_timeout_ms == 250.0
     assert told.known[0][2][0].entry.engine == "s-00000000"
 
 
-@pytest.mark.parametrize(("change", "named"), [
-    ({"listen": "nowhere"}, "listen"), ({"settings": 7}, "settings"),
-    ({"limits": {"sockets": "x"}}, "limits.sockets"),
-    ({"known": {"cmds": [{}]}}, "known.cmds"), ({"seed": "zz"}, "seed"), ({"channel": "x"}, "channel"),
-    ({"settings": SETTINGS | {"instances": "many"}}, "instances")])
+@pytest.mark.parametrize(
+    ("change", "named"),
+    [
+        ({"listen": "nowhere"}, "listen"),
+        ({"settings": 7}, "settings"),
+        ({"limits": {"sockets": "x"}}, "limits.sockets"),
+        ({"known": {"cmds": [{}]}}, "known.cmds"),
+        ({"seed": "zz"}, "seed"),
+        ({"channel": "x"}, "channel"),
+        ({"settings": SETTINGS | {"instances": "many"}}, "instances"),
+    ],
+)
 def test_a_configuration_that_cannot_be_used_names_its_field(change: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError, match=named) as error:
         parse(config() | change)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -15,6 +15,7 @@
 
 def play(scene: Callable[[], Awaitable[None]], within_s: float = 60.0) -> None:
     """Run one scene, with an end to it in any case."""
+
     async def bounded() -> None:
         with trio.fail_after(within_s):
             await scene()
@@ -53,8 +54,9 @@
     play(scene)
 
 
-@pytest.mark.parametrize(("lane", "posts", "word"), [("meter-load", 1, "Internal"),
-                                                     ("lookup", 4, "Overloaded")])
+@pytest.mark.parametrize(
+    ("lane", "posts", "word"), [("meter-load", 1, "Internal"), ("lookup", 4, "Overloaded")]
+)
 def test_a_broken_connection_proves_nothing(lane: str, posts: int, word: str) -> None:
     async def scene() -> None:
         async with engine(breaks) as one, program(config(one.address)) as node:
@@ -66,8 +68,9 @@
 
 
 def test_a_load_goes_out_again_where_it_never_ran() -> None:
-    async def full_once(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                        body: bytes) -> tuple[int, dict[str, str], bytes] | None:
+    async def full_once(
+        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> tuple[int, dict[str, str], bytes] | None:
         if len(one.posts) == 1 and method == "POST":
             return 503, {"X-Unrun": "1"}, b""
         return await at_once(one, method, path, headers, body)
@@ -85,9 +88,17 @@
     async def scene() -> None:
         async with engine() as one, program(config(one.address)) as node:
             client, other = await node.client(), await node.client()
-            bad = [await client.ask("nonsense"), await client.ask(limit="soon"), await client.ask(txn="xyz"),
-                   await client.ask(team="nobody"), await client.ask(body=7), await client.ask(cpu="1e3"),
-                   await client.ask(need_mb="nan"), await client.ask(cpu="-1"), await client.ask(limit="")]
+            bad = [
+                await client.ask("nonsense"),
+                await client.ask(limit="soon"),
+                await client.ask(txn="xyz"),
+                await client.ask(team="nobody"),
+                await client.ask(body=7),
+                await client.ask(cpu="1e3"),
+                await client.ask(need_mb="nan"),
+                await client.ask(cpu="-1"),
+                await client.ask(limit=""),
+            ]
             for number in bad:
                 error, _ = await client.answer(number)
                 assert error[0] == "Invalid"
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -17,8 +17,9 @@
 def test_readme_example_runs() -> None:
     example = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert example
-    done = subprocess.run([sys.executable, "-c", example[1]], cwd=ROOT, capture_output=True, text=True,
-                          timeout=30, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", example[1]], cwd=ROOT, capture_output=True, text=True, timeout=30, check=True
+    )
     assert done.stdout == "send request 1 to one of 2 engines\n"
 
 
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -47,8 +47,9 @@
     """An engine that spoils its first answer to such a call, and serves all others."""
     spoilt: list[str] = []
 
-    async def script(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                     body: bytes) -> Answered | bytes | None:
+    async def script(
+        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answered | bytes | None:
         if f"{method} {path}".startswith(where) and not spoilt:
             spoilt.append(path)
             return first
@@ -60,11 +61,20 @@
 
 
 @pytest.mark.parametrize("where", ["POST", "GET /o/0000000000000001/1"])
-@pytest.mark.parametrize("first", [
-    None, b"\x00\xffnoise\r\n\r\n", b"HTTP/1.1 200 OK\r\n" + b"X-Noise: 1\r\n" * 3_000,
-    GOOD[:-2], GOOD.replace(b": 6", b": 3000000000") + b"x" * 9_000,
-    GOOD.replace(b": 6", b": 4"), GOOD.replace(b"Content-Length: 6\r\n", b""),
-    GOOD.replace(PAGE, b"a\xff\x00\tb\n"), GOOD.replace(b"X-Sheets: 2", b"X-Sheets: 0")])
+@pytest.mark.parametrize(
+    "first",
+    [
+        None,
+        b"\x00\xffnoise\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\n" + b"X-Noise: 1\r\n" * 3_000,
+        GOOD[:-2],
+        GOOD.replace(b": 6", b": 3000000000") + b"x" * 9_000,
+        GOOD.replace(b": 6", b": 4"),
+        GOOD.replace(b"Content-Length: 6\r\n", b""),
+        GOOD.replace(PAGE, b"a\xff\x00\tb\n"),
+        GOOD.replace(b"X-Sheets: 2", b"X-Sheets: 0"),
+    ],
+)
 def test_a_load_whose_answer_is_spoilt_is_asked_for_by_its_id(first: bytes | None, where: str) -> None:
     async def scene() -> None:
         spoilt, script = spoils(first, where)
@@ -76,8 +86,9 @@
     play(scene)
 
 
-@pytest.mark.parametrize("more", [
-    GOOD, b"noise", b"HTTP/1.1 200 OK\r\nX-Sheet: 1\r\nContent-Length: 6\r\n\r\nz\tz\tz\n"])
+@pytest.mark.parametrize(
+    "more", [GOOD, b"noise", b"HTTP/1.1 200 OK\r\nX-Sheet: 1\r\nContent-Length: 6\r\n\r\nz\tz\tz\n"]
+)
 def test_a_good_answer_with_surplus_is_good_and_its_surplus_answers_no_other_call(more: bytes) -> None:
     async def scene() -> None:
         first = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + GOOD + more
@@ -141,8 +152,9 @@
 def test_what_may_still_run_is_given_up_before_a_second_attempt() -> None:
     order: list[str] = []
 
-    async def loses(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                    body: bytes) -> Answered | bytes | None:
+    async def loses(
+        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answered | bytes | None:
         order.append(method)
         if method != "DELETE" and len(one.posts) == 1:
             return None
@@ -163,8 +175,9 @@
     """The engine has the query, or reset the POST's connection; then nothing of the machine is heard."""
     posts: list[str] = []
 
-    async def cut_off(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                      body: bytes) -> Answered | bytes | None:
+    async def cut_off(
+        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answered | bytes | None:
         if method == "POST":
             posts.append(one.address)
             if len(posts) == 1:
@@ -174,8 +187,11 @@
         return await at_once(one, method, path, headers, body)
 
     async def scene() -> None:
-        async with (engine(cut_off) as one, engine(cut_off) as two,
-                    program(config(one.address, two.address)) as node):
+        async with (
+            engine(cut_off) as one,
+            engine(cut_off) as two,
+            program(config(one.address, two.address)) as node,
+        ):
             client = await node.client()
             error, _ = await client.answer(await client.ask(limit="5000"))
             assert error[0] == "Overloaded" and len(posts) == 1  # refused at once: a repeat does no harm
@@ -304,8 +320,9 @@
         return one
 
     front = RpcFront(Coordinator(parse(config()).settings, 1, {}, Deadlines(lambda: 10_000.0), Counters()))
-    new, held, used, silent = (client(front, *each) for each in (
-        (5.0, False), (900.0, True), (100.0, True), (700.0, False)))
+    new, held, used, silent = (
+        client(front, *each) for each in ((5.0, False), (900.0, True), (100.0, True), (700.0, False))
+    )
     for goes in (silent, held, used, new):
         assert front._make_room() and goes not in front.clients
     assert not front._make_room()
@@ -334,8 +351,10 @@
 def test_messages_in_pieces_are_timed_each_by_itself() -> None:
     """A busy connection whose reads always end inside a message is neither overdue nor to be shed."""
     fields = {"limit": "3000", "team": "karri-energy"}
-    sent = b"".join(msgpack.packb([0, number, "lookup", [fields | {"txn": f"{number:016x}"}, b"x"]])
-                    for number in range(1, 31))
+    sent = b"".join(
+        msgpack.packb([0, number, "lookup", [fields | {"txn": f"{number:016x}"}, b"x"]])
+        for number in range(1, 31)
+    )
 
     class Pieces:
         """Each piece ends one message and begins the next."""
@@ -346,7 +365,7 @@
         async def receive_some(self, most: int) -> bytes:
             await trio.sleep(0.2)
             self.at += self.size
-            return sent[self.at - self.size:self.at]
+            return sent[self.at - self.size : self.at]
 
         async def send_all(self, data: bytes) -> None:
             pass
@@ -462,8 +481,9 @@
 def test_a_drain_ends_before_the_platform_kills(longest_ms: int, least_s: float, most_s: float) -> None:
     """SIGKILL comes after the longest deadline, at most 3 s, and 0.7 s more."""
     told = config()
-    told["settings"] = SETTINGS | {"categories": [
-        spec | {"giveUpMs": longest_ms} for spec in SETTINGS["categories"]]}
+    told["settings"] = SETTINGS | {
+        "categories": [spec | {"giveUpMs": longest_ms} for spec in SETTINGS["categories"]]
+    }
 
     async def scene() -> None:
         one, clock = Coordination(parse(told), None, lambda: parse(told)), trio.current_time
@@ -493,8 +513,13 @@
 
 def test_sighup_moves_the_channel_keeps_its_engines_and_refuses_a_bad_file() -> None:
     async def scene() -> None:
-        async with (engine() as one, engine() as two, channel() as (old, before), channel() as (new, after),
-                    program(config(one.address, channel=before)) as node):
+        async with (
+            engine() as one,
+            engine() as two,
+            channel() as (old, before),
+            channel() as (new, after),
+            program(config(one.address, channel=before)) as node,
+        ):
             await old.connected(1)
             client = await node.client()
             await reload(node, "{", 1)
@@ -519,8 +544,10 @@
 
 def test_a_moved_channel_and_a_planned_end_under_traffic_lose_no_request_and_answer_none_twice() -> None:
     """Requests go out all the while, on open connections and new ones; each gets one whole answer."""
-    async def takes_a_while(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                            body: bytes) -> Answered | bytes | None:
+
+    async def takes_a_while(
+        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answered | bytes | None:
         await trio.sleep(0.03 if method == "POST" else 0.0)
         return await at_once(one, method, path, headers, body)
 
@@ -537,9 +564,13 @@
                 assert result == ROWS or error[0] == "Overloaded"
                 asked["served" if result == ROWS else "refused"] += 1
 
-        async with (engine(takes_a_while) as one, engine(takes_a_while) as two, channel() as (old, before),
-                    channel() as (new, after),
-                    program(config(one.address, two.address, channel=before)) as node):
+        async with (
+            engine(takes_a_while) as one,
+            engine(takes_a_while) as two,
+            channel() as (old, before),
+            channel() as (new, after),
+            program(config(one.address, two.address, channel=before)) as node,
+        ):
             await old.connected(1)
             async with trio.open_nursery() as nursery:
                 for number in range(4):
@@ -562,8 +593,12 @@
 
 def test_a_whole_list_under_the_number_at_hand_holds() -> None:
     async def scene() -> None:
-        async with (engine(never) as one, engine() as two, channel() as (commands, where),
-                    program(config(one.address, channel=where)) as node):
+        async with (
+            engine(never) as one,
+            engine() as two,
+            channel() as (commands, where),
+            program(config(one.address, channel=where)) as node,
+        ):
             await commands.connected(1)
             await commands.tell(frame(1, (7, two.address, 0), kind=1))
             await trio.sleep(0.1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -179,8 +179,9 @@
 def test_random_histories_keep_the_rules(seed: int, engines: int) -> None:
     """Random arrivals, outcomes, departures and list changes; every rule is checked on the log."""
     chance = Random(seed)
-    keyed = RequestClass("keyed", Effect.KEYED, give_up_ms=6000.0, late_worth=0.3, memory_span_ms=3000.0,
-                         ordered=True)
+    keyed = RequestClass(
+        "keyed", Effect.KEYED, give_up_ms=6000.0, late_worth=0.3, memory_span_ms=3000.0, ordered=True
+    )
     config = settings(classes=(*CLASSES[:2], keyed), attempt_budget=AttemptBudget(3.0, 0.1, 5000.0))
     rig = Rig(config, engines, seed)
     out: dict[tuple[int, int], float] = {}
@@ -206,8 +207,11 @@
                     for q, (_, c, k, _) in born.items():
                         if q < r and k == key and c != SAFE:
                             assert q in over and not [o for o in out if o[0] == q], "out of order"
-                            rests = [v[0] for o, v in ended.items() if o[0] == q and v[1] in (
-                                Status.TIMEOUT, Status.RESET, Status.CANCELLED)]
+                            rests = [
+                                v[0]
+                                for o, v in ended.items()
+                                if o[0] == q and v[1] in (Status.TIMEOUT, Status.RESET, Status.CANCELLED)
+                            ]
                             assert number or all(at >= t + 500.0 for t in rests), "the key had no rest"
                 out[(r, number)] = at
             elif isinstance(action, Refuse | Fail):
@@ -254,8 +258,11 @@
             for _ in range(chance.randrange(1, 60)):
                 rig.pass_time(5.0)
                 take_in()
-                for k in [k for k in out if rig.of(Cancel, k[0]) and k[1] in
-                          {c.attempt for c in rig.of(Cancel, k[0])}]:
+                for k in [
+                    k
+                    for k in out
+                    if rig.of(Cancel, k[0]) and k[1] in {c.attempt for c in rig.of(Cancel, k[0])}
+                ]:
                     sent = out.pop(k)
                     ended[k] = (rig.now, Status.CANCELLED)
                     rig.end(k[0], Status.CANCELLED, rig.now - sent, k[1])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -262,7 +262,7 @@
     listed = [entry(i, started=500.0 if i % 2 else 0.0) for i in range(1, engines + 1)]
     rig.feed(MembersChanged(ListKind.FULL, tuple(listed)))
     for step in range(30):
-        rig.feed(MembersChanged(ListKind.FULL, tuple(listed[step % 2::2] or listed)))
+        rig.feed(MembersChanged(ListKind.FULL, tuple(listed[step % 2 :: 2] or listed)))
         r = rig.ask(SAFE, 50.0 * (1 + step % 3))
         rig.pass_time(HOLD_MS + 1.0)
         assert bool(rig.sends(r)) != bool(rig.answers(r))
