--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -36,15 +36,25 @@
 from tests.test_platform import play as played
 
 many = settings(max_examples=120, derandomize=True, deadline=None)
-steps = st.lists(st.tuples(
-    st.sampled_from(["arrive", "arrive", "arrive", "release", "release", "leave", "end", "late", "budget"]),
-    st.integers(0, 2), st.integers(0, 1), st.floats(0.1, 900.0), st.floats(-20.0, 300.0)), max_size=120)
+steps = st.lists(
+    st.tuples(
+        st.sampled_from(
+            ["arrive", "arrive", "arrive", "release", "release", "leave", "end", "late", "budget"]
+        ),
+        st.integers(0, 2),
+        st.integers(0, 1),
+        st.floats(0.1, 900.0),
+        st.floats(-20.0, 300.0),
+    ),
+    max_size=120,
+)
 
 
 @many
 @given(steps, st.floats(2.0, 40.0))
 def test_whatever_comes_each_request_has_one_end_and_its_wait_is_bounded(
-        taken: list[tuple[str, int, int, float, float]], capacity: float) -> None:
+    taken: list[tuple[str, int, int, float, float]], capacity: float
+) -> None:
     """Ends are counted once; order within team and class; no ghosts; the bound on releases; debt bounded."""
     one, now, number = Scheduler(dict(enumerate(SHARES)), capacity), 1e6, 0
     ends, waiting, running = Counter[int](), dict[int, Told](), list[int]()
@@ -93,8 +103,10 @@
         for account in one.budgets.accounts.values():
             assert account.balance >= -account.rate * one.budgets.debt_ms - 1e-6
             assert account.balance <= max(0.0, account.rate * one.budgets.burst_ms) + 1e-6
-        assert all(flow.cost == pytest.approx(sum(c.cost for c in flow.classes.values()), abs=1e-3)
-                   for flow in one.queues.teams.values())
+        assert all(
+            flow.cost == pytest.approx(sum(c.cost for c in flow.classes.values()), abs=1e-3)
+            for flow in one.queues.teams.values()
+        )
     assert set(ends.values()) <= {1}
     assert set(ends) | set(waiting) | set(running) == set(range(1, number + 1))
 
@@ -164,7 +176,8 @@
 @many
 @given(st.dictionaries(st.integers(0, 4), st.floats(0.0, 500.0), min_size=1), st.floats(0.0, 500.0))
 def test_the_fluid_forecast_lies_between_being_alone_and_being_last(
-        costs: dict[int, float], ahead: float) -> None:
+    costs: dict[int, float], ahead: float
+) -> None:
     own = min(costs)
     ahead = min(ahead, costs[own])
     done = fluid(ahead, own, costs, {flow: 1.0 + flow for flow in costs})
@@ -192,14 +205,25 @@
     assert not shedding.too_costly(0, 160.0, 500.0, 1_000.0, True)
 
 
-runs = st.lists(st.tuples(st.integers(0, 2), st.booleans(), st.floats(0.0, 2_000.0), st.floats(0.0, 400.0),
-                          st.sets(st.integers(0, 2)), st.sets(st.integers(0, 2))), min_size=1, max_size=40)
+runs = st.lists(
+    st.tuples(
+        st.integers(0, 2),
+        st.booleans(),
+        st.floats(0.0, 2_000.0),
+        st.floats(0.0, 400.0),
+        st.sets(st.integers(0, 2)),
+        st.sets(st.integers(0, 2)),
+    ),
+    min_size=1,
+    max_size=40,
+)
 
 
 @many
 @given(runs)
 def test_preemption_is_bounded_holds_and_never_slows_a_load_that_others_wait_for(
-        turns: list[tuple[int, bool, float, float, set[int], set[int]]]) -> None:
+    turns: list[tuple[int, bool, float, float, set[int], set[int]]],
+) -> None:
     one, now, changed = Preemption(), 1e6, list[tuple[float, int, bool]]()
     for team, is_load, left, ahead, within, waiting in turns:
         now += ahead
@@ -247,11 +271,18 @@
     async def scene() -> None:
         engines = [StandIn("engine-0", Machine(4.0))]
         async with appliance(tmp_path, engines, "[budgets]\n") as one:
-            flood = Traffic("127.0.0.1", one.ports["listens"], [
-                Kind("lookup", "karri-energy", 90.0, 60.0, 4_000.0),
-                Kind("meter-load", "karri-energy", 6.0, 200.0, 4_000.0)], 1)
-            small = Traffic("127.0.0.1", one.ports["listens"], [
-                Kind("lookup", "pindan-retail", 6.0, 30.0, 4_000.0)], 2)
+            flood = Traffic(
+                "127.0.0.1",
+                one.ports["listens"],
+                [
+                    Kind("lookup", "karri-energy", 90.0, 60.0, 4_000.0),
+                    Kind("meter-load", "karri-energy", 6.0, 200.0, 4_000.0),
+                ],
+                1,
+            )
+            small = Traffic(
+                "127.0.0.1", one.ports["listens"], [Kind("lookup", "pindan-retail", 6.0, 30.0, 4_000.0)], 2
+            )
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(flood.run, 5.0)
                 nursery.start_soon(small.run, 5.0)
@@ -266,8 +297,6 @@
     played(scene)
 
 
-
-
 def test_replay_plays_traffic_against_a_file_and_names_what_it_cannot_use(tmp_path: Path) -> None:
     async def scene() -> None:
         close = str(tmp_path / "close.jsonl")
@@ -277,8 +306,12 @@
         for how in ("without", "with"):
             figures = told[f"{how} all"]
             assert figures["asked"] == figures["served"] + figures["refused"] + figures["failed"] > 100
-        Path(close).write_text(ujson.dumps({"at_ms": 1, "team": "nobody", "lane": "lookup", "work_ms": 1,
-                                            "told_ms": 1, "limit_ms": 9}) + "\n")
+        Path(close).write_text(
+            ujson.dumps(
+                {"at_ms": 1, "team": "nobody", "lane": "lookup", "work_ms": 1, "told_ms": 1, "limit_ms": 9}
+            )
+            + "\n"
+        )
         done = await command("replay", close, "--against", "deploy/appliance.toml")
         assert done.returncode == 2 and b"line 1" in done.stderr and b"Traceback" not in done.stderr
 
@@ -316,7 +349,8 @@
     for number, reply in enumerate(replies):
         query = Query(f"{number:016x}", "lookup", 0, 0, 6_000.0, b"", cost_ms=10.0)
         live = one.live[number] = queue._lives[number] = LiveRequest(
-            number, query, reply, 1e6, 1e6 + 6_000.0, SendGuard(Effect.SAFE, 0.0))
+            number, query, reply, 1e6, 1e6 + 6_000.0, SendGuard(Effect.SAFE, 0.0)
+        )
         assert queue.scheduler.arrive(Told(number, 0, 0, 1, 10.0, math.inf), 1e6).refused is None
         assert live.order is None
     assert queue.withdraw(one.live[0]) and not queue.withdraw(one.live[0])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -37,13 +37,20 @@
     config, operator = site.config(file), site.operator(file)
     told = config.settings
     assert [(each.name, each.effect, each.threads, each.is_load) for each in told.classes] == [
-        ("lookup", Effect.SAFE, 1, False), ("settlement", Effect.SAFE, 4, False),
-        ("meter-load", Effect.UNSAFE, 2, True)]
+        ("lookup", Effect.SAFE, 1, False),
+        ("settlement", Effect.SAFE, 4, False),
+        ("meter-load", Effect.UNSAFE, 2, True),
+    ]
     assert [(each.name, round(each.quota_per_s, 6)) for each in told.tenants] == [
-        ("karri-energy", 43.8), ("saltbush-power", 9.6), ("pindan-retail", 6.6)]
+        ("karri-energy", 43.8),
+        ("saltbush-power", 9.6),
+        ("pindan-retail", 6.6),
+    ]
     assert told.cores_by_kind == (8.0,) and told.memory_mb_by_kind == (16384.0,)
     assert [(each.entry.engine, each.address) for each in config.known[0][2]] == [
-        ("garden-1", "127.0.0.1:7001"), ("garden-2", "127.0.0.1:7002")]
+        ("garden-1", "127.0.0.1:7001"),
+        ("garden-2", "127.0.0.1:7002"),
+    ]
     assert operator.sets["Readings"].write == "meter-load" and operator.listen == ("127.0.0.1", 8480)
 
 
@@ -71,9 +78,19 @@
         socket = 7
         """)
     assert set(found) == {
-        "colour", "site.name", "site.listen", "class.0.worth", "class.0.threads", "class.1.promise_ms",
-        "class.1.name", "team.0.share", "engine.0.cores", "engine.0.protocol", "odata.listen",
-        "console.socket"}
+        "colour",
+        "site.name",
+        "site.listen",
+        "class.0.worth",
+        "class.0.threads",
+        "class.1.promise_ms",
+        "class.1.name",
+        "team.0.share",
+        "engine.0.cores",
+        "engine.0.protocol",
+        "odata.listen",
+        "console.socket",
+    }
     assert "known are" in found["colour"] and found["class.1.name"] == "is missing"
 
 
@@ -81,16 +98,24 @@
     base = APPLIANCE.read_text()
     wrong = {
         'read = "settlement"    # the class': ('read = "none" #', {"set.0.read": "no class 'none'"}),
-        'write = "meter-load"': ('write = "lookup"', {"set.1.write": "an unsafe class is wanted, "
-                                                      "and 'lookup' is not"}),
+        'write = "meter-load"': (
+            'write = "lookup"',
+            {"set.1.write": "an unsafe class is wanted, " "and 'lookup' is not"},
+        ),
         "share = 0.73": ("share = 0.9", {"team": "the shares add up to 1.17, over 1"}),
         'id = "garden-2"': ('id = "garden-1"', {"engine.1.id": "'garden-1' stands at engine.0 already"}),
         '"127.0.0.1:7002"': ('"127.0.0.1:6565"', {"engine.1.address": "is the same as site.listen"}),
         '"127.0.0.1:7001"': ('"127.0.0.1:99999"', {"engine.0.address": "port 99999 is over 65535"}),
-        'effect = "unsafe" ': ("", {"class.2.effect": "a load is unsafe: it must never run twice",
-                                    "set.1.write": "an unsafe class is wanted, and 'meter-load' is not"}),
+        'effect = "unsafe" ': (
+            "",
+            {
+                "class.2.effect": "a load is unsafe: it must never run twice",
+                "set.1.write": "an unsafe class is wanted, and 'meter-load' is not",
+            },
+        ),
         'team = ""': ('team = "who"', {"odata.team": "no team 'who'"}),
-        '"/tmp/': ('"tmp/', {"console.socket": "a path from the root is wanted"})}
+        '"/tmp/': ('"tmp/', {"console.socket": "a path from the root is wanted"}),
+    }
     assert faults(base, whole=True) == {}
     for before, (after, expected) in wrong.items():
         assert base.count(before) >= 1
@@ -101,13 +126,34 @@
 values: st.SearchStrategy[Any] = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=6), inner, max_size=3),
-    max_leaves=8)
+    max_leaves=8,
+)
 
 
 @many
-@given(st.dictionaries(st.sampled_from([
-    "site", "limits", "cold", "reports", "class", "team", "engine", "odata", "set", "identity", "console",
-    "log", "other"]), values), st.booleans())
+@given(
+    st.dictionaries(
+        st.sampled_from(
+            [
+                "site",
+                "limits",
+                "cold",
+                "reports",
+                "class",
+                "team",
+                "engine",
+                "odata",
+                "set",
+                "identity",
+                "console",
+                "log",
+                "other",
+            ]
+        ),
+        values,
+    ),
+    st.booleans(),
+)
 def test_whatever_stands_in_a_file_a_fault_is_named(told: dict[str, Any], whole: bool) -> None:
     try:
         file = read(told, whole=whole)
@@ -132,24 +178,43 @@
     assert path in {fault.path for fault in faulty.value.faults}
 
 
-@pytest.mark.parametrize(("content", "said"), [
-    (b"[site\n", "is not TOML"), (b"\xff\xfe", "is not UTF-8"), (b"a=" + b"[" * 5_000, "is not TOML"),
-    (None, "No such file"), (b"#" * 1_100_000, "is over")], ids=["cut", "bytes", "deep", "none", "large"])
+@pytest.mark.parametrize(
+    ("content", "said"),
+    [
+        (b"[site\n", "is not TOML"),
+        (b"\xff\xfe", "is not UTF-8"),
+        (b"a=" + b"[" * 5_000, "is not TOML"),
+        (None, "No such file"),
+        (b"#" * 1_100_000, "is over"),
+    ],
+    ids=["cut", "bytes", "deep", "none", "large"],
+)
 def test_a_file_that_cannot_be_read_is_told_in_a_line(
-        tmp_path: Path, content: bytes | None, said: str) -> None:
+    tmp_path: Path, content: bytes | None, said: str
+) -> None:
     path = tmp_path / "f.toml"
     if content is not None:
         path.write_bytes(content)
-    done = subprocess.run([sys.executable, "-m", "fordstair.cli", "check", str(path)], cwd=ROOT,
-                          capture_output=True, text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-m", "fordstair.cli", "check", str(path)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     assert done.returncode == 2 and "Traceback" not in done.stderr
     assert done.stderr.startswith(f"{path}: {said}")
 
 
 def test_check_and_schema_on_the_command_line(tmp_path: Path) -> None:
     def run(*arguments: str) -> subprocess.CompletedProcess[str]:
-        return subprocess.run([sys.executable, "-m", "fordstair.cli", *arguments], cwd=ROOT,
-                              capture_output=True, text=True, timeout=60)
+        return subprocess.run(
+            [sys.executable, "-m", "fordstair.cli", *arguments],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
 
     assert run("check", str(APPLIANCE)).returncode == 0
     bad = tmp_path / "bad.toml"
@@ -163,24 +228,58 @@
 
 
 def test_all_faults_of_a_fleet_are_told_at_once_and_a_good_one_is_read() -> None:
-    ledger = {"listen": "10.0.0.4:7947", "store": "ledger", "claim_ms": 5_000.0, "repeat_seconds": 10.0,
-              "holders": {"south": "10.0.0.5:0", "east": "10.0.0.5:0"}}
-    told = {"fleet": {"cluster": "gardens", "member": "north", "listen": "0.0.0.0:7946", "timeout_ms": 800.0,
-                      "seeds": ["10.0.0.5:7946", "10.0.0.6:99999", "10.0.0.5:7946"], "ledger": ledger}}
+    ledger = {
+        "listen": "10.0.0.4:7947",
+        "store": "ledger",
+        "claim_ms": 5_000.0,
+        "repeat_seconds": 10.0,
+        "holders": {"south": "10.0.0.5:0", "east": "10.0.0.5:0"},
+    }
+    told = {
+        "fleet": {
+            "cluster": "gardens",
+            "member": "north",
+            "listen": "0.0.0.0:7946",
+            "timeout_ms": 800.0,
+            "seeds": ["10.0.0.5:7946", "10.0.0.6:99999", "10.0.0.5:7946"],
+            "ledger": ledger,
+        }
+    }
     with pytest.raises(Faulty) as caught:
         read(told, whole=False)
     assert {fault.path for fault in caught.value.faults} == {
-        "fleet.timeout_ms", "fleet.advertise", "fleet.seeds.1", "fleet.seeds.2", "fleet.ledger.store",
-        "fleet.ledger.holders", "fleet.ledger.holders.south", "fleet.ledger.holders.east",
-        "fleet.ledger.repeat_seconds", "fleet.ledger"}
+        "fleet.timeout_ms",
+        "fleet.advertise",
+        "fleet.seeds.1",
+        "fleet.seeds.2",
+        "fleet.ledger.store",
+        "fleet.ledger.holders",
+        "fleet.ledger.holders.south",
+        "fleet.ledger.holders.east",
+        "fleet.ledger.repeat_seconds",
+        "fleet.ledger",
+    }
     with pytest.raises(Faulty) as caught:
         read({"fleet": {"cluster": "9", "listen": "nowhere", "probe_ms": 1.0, "unknown": 1}}, whole=False)
     assert {fault.path for fault in caught.value.faults} == {
-        "fleet.cluster", "fleet.listen", "fleet.probe_ms", "fleet.unknown"}
-    good = read({"odata": {"listen": "127.0.0.1:0"}, "fleet": {
-        "cluster": "gardens", "member": "north", "listen": "10.0.0.4:7946",
-        "ledger": ledger | {"store": "/var/ledger", "repeat_seconds": 600.0, "holders": {
-            "north": "10.0.0.4:7947"}}}}, whole=False)
+        "fleet.cluster",
+        "fleet.listen",
+        "fleet.probe_ms",
+        "fleet.unknown",
+    }
+    good = read(
+        {
+            "odata": {"listen": "127.0.0.1:0"},
+            "fleet": {
+                "cluster": "gardens",
+                "member": "north",
+                "listen": "10.0.0.4:7946",
+                "ledger": ledger
+                | {"store": "/var/ledger", "repeat_seconds": 600.0, "holders": {"north": "10.0.0.4:7947"}},
+            },
+        },
+        whole=False,
+    )
     operator = site.operator(good)
     assert operator.fleet is not None and operator.fleet.address == "10.0.0.4:7946"
     assert operator.ledger is not None and operator.ledger.holders == {"north": "10.0.0.4:7947"}
@@ -192,21 +291,51 @@
     told: dict[str, Any] = {
         "team": [{"name": "karri-energy", "share": 0.5}],
         "class": [{"name": "settlement", "promise_ms": 1.0, "give_up_ms": 2.0, "threads": 4}],
-        "fleet": {"cluster": "gardens", "member": "north", "listen": "10.0.0.4:7946", "budgets": {
-            "listen": "10.0.0.4:7948", "audit": "audit", "members": {
-                "north": "10.0.0.4:7948", "south": "10.0.0.4:7948", "east": "10.0.0.6:0"},
-            "whole": [whole, whole, {"threads": 2}, {"threads": 8, "requests_per_s": 1.0}, {"team": "nobody",
-                      "class": "nothing", "requests_per_s": 5.0}]}}}
+        "fleet": {
+            "cluster": "gardens",
+            "member": "north",
+            "listen": "10.0.0.4:7946",
+            "budgets": {
+                "listen": "10.0.0.4:7948",
+                "audit": "audit",
+                "members": {"north": "10.0.0.4:7948", "south": "10.0.0.4:7948", "east": "10.0.0.6:0"},
+                "whole": [
+                    whole,
+                    whole,
+                    {"threads": 2},
+                    {"threads": 8, "requests_per_s": 1.0},
+                    {"team": "nobody", "class": "nothing", "requests_per_s": 5.0},
+                ],
+            },
+        },
+    }
     with pytest.raises(Faulty) as caught:
         read(told, whole=False)
     assert {fault.path for fault in caught.value.faults} == {
-        "fleet.budgets", "fleet.budgets.members", "fleet.budgets.members.east", "fleet.budgets.audit",
-        "fleet.budgets.whole.1", "fleet.budgets.whole.2.threads", "fleet.budgets.whole.3",
-        "fleet.budgets.whole.4.team", "fleet.budgets.whole.4.class"}
-    good = told | {"budgets": {}, "fleet": told["fleet"] | {"budgets": {
-        "listen": "10.0.0.4:7948", "members": {"north": "10.0.0.4:7948"},
-        "whole": [whole, {"class": "settlement", "requests_per_s": 2.5}]}}}
+        "fleet.budgets",
+        "fleet.budgets.members",
+        "fleet.budgets.members.east",
+        "fleet.budgets.audit",
+        "fleet.budgets.whole.1",
+        "fleet.budgets.whole.2.threads",
+        "fleet.budgets.whole.3",
+        "fleet.budgets.whole.4.team",
+        "fleet.budgets.whole.4.class",
+    }
+    good = told | {
+        "budgets": {},
+        "fleet": told["fleet"]
+        | {
+            "budgets": {
+                "listen": "10.0.0.4:7948",
+                "members": {"north": "10.0.0.4:7948"},
+                "whole": [whole, {"class": "settlement", "requests_per_s": 2.5}],
+            }
+        },
+    }
     part = site.operator(read(good, whole=False)).shares
     assert part is not None and part.member == "north" and part.plan.members == ("north",)
     assert [(each.name, each.units, each.quantum) for each in part.plan.wholes] == [
-        ("threads:karri-energy:*", 64, 4), ("rate:*:settlement", 2_500, 1)]
+        ("threads:karri-energy:*", 64, 4),
+        ("rate:*:settlement", 2_500, 1),
+    ]
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -16,8 +16,10 @@
 def test_a_play_is_repeated_exactly_by_its_seed() -> None:
     def once(seed: int) -> list[tuple[object, ...]]:
         _, records = run(2, 3.0, seed, fleet=True)
-        return [(record.how, record.reason, record.answered_ms, record.likely_ms == record.likely_ms)
-                for record in records]
+        return [
+            (record.how, record.reason, record.answered_ms, record.likely_ms == record.likely_ms)
+            for record in records
+        ]
 
     first = once(3)
     assert first == once(3) and first != once(4)
@@ -52,10 +54,21 @@
 def test_a_member_that_was_idle_lets_a_lookup_through_at_once_while_others_hold_all() -> None:
     """The smallest request needs no share to move: a thread is kept for it wherever anything is wanted."""
     busy = generate(Shape(seconds=10.0, rate_per_s=60.0, shares=(0.0, 0.0, 1.0)), 1)
-    quiet = [each for each in generate(Shape(seconds=10.0, rate_per_s=2.0, mix=(1.0, 0.0, 0.0),
-                                             shares=(0.0, 0.0, 1.0)), 2) if each.work_ms < 300.0]
-    site = Site(told(), [Server(f"e-{n}", Machine(8.0)) for n in range(20)], 5, 1,
-                Queueing(dict(enumerate((0.73, 0.16, 0.11)))), plan(5))
+    quiet = [
+        each
+        for each in generate(
+            Shape(seconds=10.0, rate_per_s=2.0, mix=(1.0, 0.0, 0.0), shares=(0.0, 0.0, 1.0)), 2
+        )
+        if each.work_ms < 300.0
+    ]
+    site = Site(
+        told(),
+        [Server(f"e-{n}", Machine(8.0)) for n in range(20)],
+        5,
+        1,
+        Queueing(dict(enumerate((0.73, 0.16, 0.11)))),
+        plan(5),
+    )
     records: list[list[Record]] = play(partial(site.play, [busy, quiet, [], [], []], 15_000.0), 1)
     assert sum(record.how == "refused" for record in records[0]) > 50  # far more than the team's whole
     waits = sorted(record.released_ms for record in records[1] if record.how == "served")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -58,30 +58,34 @@
     return record
 
 
-@pytest.mark.parametrize(("record", "broken"), [
-    (served, []),
-    (lambda: again(served(), "unasked", 2.0), ["duplicate"]),
-    (lambda: again(served(how="refused"), "served", 2.0), []),
-    (lambda: again(served(lane="lookup"), "served", 2.0), []),
-    (lambda: again(served(lane="lookup"), "served", 1.2), ["parallel"]),
-    (lambda: served(answers=[]), ["lost"]),
-    (lambda: served(answers=[(5.6, "served")]), ["lost"]),
-    (lambda: with_fault(served(answers=[(5.6, "served")]), FaultKind.PAUSE, 2.0, 2.5), []),
-    (lambda: with_fault(served(answers=[]), FaultKind.KILL, 1.2, 1.3), []),
-    (lambda: with_fault(served(answers=[], closed_s=1.6), FaultKind.TERMINATE, 0.5, 2.0), ["lost"]),
-    (lambda: with_fault(served(answers=[], closed_s=1.05), FaultKind.TERMINATE, 0.5, 2.0), []),
-    (lambda: served(answers=[(1.5, "served"), (1.6, "served")]), ["second answer"]),
-    (lambda: served(answers=[(1.5, "spoilt")]), ["spoilt answer"]),
-    (lambda: served(gone_s=0.8), ["begun for nobody"]),
-    (lambda: served(gone_s=1.5, answers=[]), []),
-    (lambda: served(limit_ms=4_300.0), ["limit"]),
-    (lambda: with_drain(served(), 0.3), ["drain"]),
-    (lambda: with_drain(served(), 0.9), []),
-    (lambda: with_fault(with_drain(served(), 0.3), FaultKind.SILENCE_DISCOVERY, 0.0, 0.9), []),
-    (lambda: ended(served()), ["crash"]),
-])
-def test_the_oracle_finds_each_broken_rule_and_no_other(record: Callable[[], SoakRecord],
-                                                        broken: list[str]) -> None:
+@pytest.mark.parametrize(
+    ("record", "broken"),
+    [
+        (served, []),
+        (lambda: again(served(), "unasked", 2.0), ["duplicate"]),
+        (lambda: again(served(how="refused"), "served", 2.0), []),
+        (lambda: again(served(lane="lookup"), "served", 2.0), []),
+        (lambda: again(served(lane="lookup"), "served", 1.2), ["parallel"]),
+        (lambda: served(answers=[]), ["lost"]),
+        (lambda: served(answers=[(5.6, "served")]), ["lost"]),
+        (lambda: with_fault(served(answers=[(5.6, "served")]), FaultKind.PAUSE, 2.0, 2.5), []),
+        (lambda: with_fault(served(answers=[]), FaultKind.KILL, 1.2, 1.3), []),
+        (lambda: with_fault(served(answers=[], closed_s=1.6), FaultKind.TERMINATE, 0.5, 2.0), ["lost"]),
+        (lambda: with_fault(served(answers=[], closed_s=1.05), FaultKind.TERMINATE, 0.5, 2.0), []),
+        (lambda: served(answers=[(1.5, "served"), (1.6, "served")]), ["second answer"]),
+        (lambda: served(answers=[(1.5, "spoilt")]), ["spoilt answer"]),
+        (lambda: served(gone_s=0.8), ["begun for nobody"]),
+        (lambda: served(gone_s=1.5, answers=[]), []),
+        (lambda: served(limit_ms=4_300.0), ["limit"]),
+        (lambda: with_drain(served(), 0.3), ["drain"]),
+        (lambda: with_drain(served(), 0.9), []),
+        (lambda: with_fault(with_drain(served(), 0.3), FaultKind.SILENCE_DISCOVERY, 0.0, 0.9), []),
+        (lambda: ended(served()), ["crash"]),
+    ],
+)
+def test_the_oracle_finds_each_broken_rule_and_no_other(
+    record: Callable[[], SoakRecord], broken: list[str]
+) -> None:
     assert rules(record()) == broken
 
 
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -52,8 +52,9 @@
     with TemporaryDirectory() as folder:
         path = Path(folder) / "faults.json"
         path.write_text(ujson.dumps(faults))
-        async with program(told, module="fordstair.lab.fault_shim",
-                           environ={ENVIRONMENT_VARIABLE: str(path)}) as node:
+        async with program(
+            told, module="fordstair.lab.fault_shim", environ={ENVIRONMENT_VARIABLE: str(path)}
+        ) as node:
             yield node, Faults(node, path)
 
 
@@ -63,8 +64,9 @@
     def __init__(self, end: Answered) -> None:
         self.end, self.gate, self.begun = end, trio.Event(), trio.Event()
 
-    async def __call__(self, one: RestEngine, method: str, path: str, headers: dict[str, str],
-                       body: bytes) -> Answered | bytes | None:
+    async def __call__(
+        self, one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answered | bytes | None:
         if method == "POST":
             self.begun.set()
         if method == "GET" and path.endswith("/1"):
@@ -84,10 +86,14 @@
 @pytest.mark.parametrize("step_ms", STEPS_MS)
 def test_a_load_that_may_have_run_is_never_sent_again_over_a_step(step_ms: float) -> None:
     """The incident: the first attempt ends without proof after the step, and another engine has room."""
+
     async def scene() -> None:
         held = HeldEngine(LOST)
-        async with engine(held) as one, engine(held) as two, \
-                faulty_program(config(one.address, two.address)) as (node, faults):
+        async with (
+            engine(held) as one,
+            engine(held) as two,
+            faulty_program(config(one.address, two.address)) as (node, faults),
+        ):
             client = await node.client()
             number = await client.ask("meter-load", limit="20000")
             await held.begun.wait()
@@ -240,14 +246,14 @@
 
 
 def test_what_the_module_orders_against_the_rule_is_counted_and_not_sent(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("cairnhoist.logic.must_not_repeat", lambda request: False)
 
     async def scene() -> None:
         held = HeldEngine(LOST)
         held.gate.set()
-        async with engine(held) as one, engine(held) as two, \
-                inside(config(one.address, two.address)) as node:
+        async with engine(held) as one, engine(held) as two, inside(config(one.address, two.address)) as node:
             client = await connect(node)
             error, _ = await client.answer(await client.ask("meter-load", limit="20000"))
             assert (error[0], len(one.posts) + len(two.posts)) == ("Internal", 1)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -62,8 +62,13 @@
     path, later = tmp_path / "config", tmp_path / "later"
     os.mkfifo(path)
     later.write_text(ujson.dumps(config()))
-    with subprocess.Popen([sys.executable, "-m", "fordstair"], cwd=ROOT, stderr=subprocess.PIPE, text=True,
-                          env=os.environ | {"RELAY_CONFIG": str(path)}) as process:
+    with subprocess.Popen(
+        [sys.executable, "-m", "fordstair"],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        text=True,
+        env=os.environ | {"RELAY_CONFIG": str(path)},
+    ) as process:
         guard = threading.Timer(30.0, process.kill)
         guard.start()
         with path.open("w") as writer:  # opens once the program reads
@@ -78,8 +83,9 @@
         guard.cancel()
 
 
-async def at_once_on_fresh_connections(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                                       body: bytes) -> Answered | bytes | None:
+async def at_once_on_fresh_connections(
+    one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+) -> Answered | bytes | None:
     """Serve in one page, and end the connection after each answer."""
     head = b"HTTP/1.1 200 OK\r\nX-Sheets: 1\r\nConnection: close\r\nContent-Length: 12\r\n\r\n"
     return head + b"a\tb\tc\nd\te\tf\n"
@@ -133,16 +139,21 @@
 
 def test_a_reset_that_comes_late_does_not_show_that_the_engine_has_read_the_post() -> None:
     """It may start the query yet: a further attempt would run beside it (soak, seed 9)."""
+
     async def scene() -> None:
-        async def silent_then_gone(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                                   body: bytes) -> Answered | bytes | None:
+        async def silent_then_gone(
+            one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        ) -> Answered | bytes | None:
             if method == "POST":
                 await trio.sleep(0.4)
                 return None
             return (500, {}, b"") if method == "GET" else (204, {}, b"")
 
-        async with engine(silent_then_gone) as one, engine(silent_then_gone) as two, \
-                program(config(one.address, two.address)) as node:
+        async with (
+            engine(silent_then_gone) as one,
+            engine(silent_then_gone) as two,
+            program(config(one.address, two.address)) as node,
+        ):
             client = await node.client()
             error, _ = await client.answer(await client.ask(limit="3000"))
             assert (error[0], len(one.posts) + len(two.posts)) == ("Overloaded", 1)
@@ -152,9 +163,11 @@
 
 def test_an_engine_that_takes_a_call_up_before_an_earlier_post_is_asked_again() -> None:
     """It hung with both before it, and did not know the query yet (soak, seeds 9 and 12)."""
+
     async def scene() -> None:
-        async def asks_first(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                             body: bytes) -> Answered | bytes | None:
+        async def asks_first(
+            one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        ) -> Answered | bytes | None:
             if method == "POST":
                 return None
             if path.endswith("/0") and one.calls["GET"] == 1:
@@ -171,11 +184,13 @@
 
 def test_a_reset_that_comes_during_a_pause_does_not_show_that_the_engine_has_read_the_post() -> None:
     """The wait for the answer ends with the pause, just as the reset is seen (soak, seed 12)."""
+
     async def scene() -> None:
         reset = trio.Event()
 
-        async def hangs(one: RestEngine, method: str, path: str, headers: dict[str, str],
-                        body: bytes) -> Answered | bytes | None:
+        async def hangs(
+            one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        ) -> Answered | bytes | None:
             if method == "POST":
                 await reset.wait()
                 return None
@@ -184,8 +199,11 @@
             await trio.sleep_forever()
             return None
 
-        async with engine(hangs) as one, engine(hangs) as two, \
-                program(config(one.address, two.address)) as node:
+        async with (
+            engine(hangs) as one,
+            engine(hangs) as two,
+            program(config(one.address, two.address)) as node,
+        ):
             client = await node.client()
             number = await client.ask(limit="6000")
             with trio.fail_after(5.0):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -47,8 +47,12 @@
 
 
 SWITCH = record("0d 00000003")
-ENTRIES = bytes.fromhex("000000000a124a071f4301" + "00" * 8 + "3f8000000000"
-                        + "000000000a9011f21f6c0140b7d400000000003fc000000000")
+ENTRIES = bytes.fromhex(
+    "000000000a124a071f4301"
+    + "00" * 8
+    + "3f8000000000"
+    + "000000000a9011f21f6c0140b7d400000000003fc000000000"
+)
 
 
 def read(*records: bytes, tail: bytes = b"") -> list[object]:
@@ -71,10 +75,16 @@
 
 
 def test_example_frames_of_two_instances() -> None:
-    body = (SWITCH
-            + record("03 5d3a91c4 0000 4028000000000000 41300000 0001 91f03b7c55d20a64 0000"
-                     "406e000000000000 43c00000")
-            + record("07 000000000000004d") + record("0d 00000005") + record("06 0e6f2b19"))
+    body = (
+        SWITCH
+        + record(
+            "03 5d3a91c4 0000 4028000000000000 41300000 0001 91f03b7c55d20a64 0000"
+            "406e000000000000 43c00000"
+        )
+        + record("07 000000000000004d")
+        + record("0d 00000005")
+        + record("06 0e6f2b19")
+    )
     assert list(Decoder().batch(5, body)) == [
         (3, RequestArrived(0x5D3A91C4, 0, 240.0, 0, 12.0, 384.0, 11.0, 0x91F03B7C55D20A64)),
         (3, TimerFired(77)),
@@ -84,14 +94,18 @@
 
 def test_other_example_events() -> None:
     assert read(record("04 5d3a91c4 00 0a124a07 1f43 4022800000000000")) == [
-        StreamStarted(0x5D3A91C4, 0, "10.18.74.7:8003", 9.25)]
+        StreamStarted(0x5D3A91C4, 0, "10.18.74.7:8003", 9.25)
+    ]
     assert read(record("08 0000 3ff6666666666666 0a9011f2 1f6c 01 3f1eb852")) == [
-        ProbeEnded("10.144.17.242:8044", Status.OK, 1.4, (pytest.approx(0.62),))]  # type: ignore[arg-type]
+        ProbeEnded("10.144.17.242:8044", Status.OK, 1.4, (pytest.approx(0.62),))
+    ]  # type: ignore[arg-type]
     assert read(record("0b 5d3a91c4 01 00 0a124a07 1f43 3f000000")) == [
-        AttemptNote(0x5D3A91C4, 0, "10.18.74.7:8003", NoteKind.PROGRESS, 0.5)]
+        AttemptNote(0x5D3A91C4, 0, "10.18.74.7:8003", NoteKind.PROGRESS, 0.5)
+    ]
     assert read(record("09 00000002 00000000 00000004"), tail=b"hi 7") == [PeerMessage(2, b"hi 7")]
     assert read(record("05 5d3a91c4 00 0a124a07 1f43 0000 4032800000000000 01 00011060 00")) == [
-        AttemptEnded(0x5D3A91C4, 0, "10.18.74.7:8003", Status.OK, 18.5, True, 17.0, 384.0)]
+        AttemptEnded(0x5D3A91C4, 0, "10.18.74.7:8003", Status.OK, 18.5, True, 17.0, 384.0)
+    ]
     assert read(record("0a")) == [Shutdown()]
 
 
@@ -112,19 +126,36 @@
     encoder.action(SetTimer(77, 500.0))
     encoder.at(5)
     encoder.action(Log("two servers known"))
-    assert encoder.reply(12) == bytes.fromhex("00000089 00000005 0000000c") + b"".join((
-        record("0e 00000003", 24), record("01 5d3a91c4 4054000000000000 0a124a07 1f43", 24),
-        record("05 000000000000004d 407f400000000000", 24), record("0e 00000005", 24),
-        record("09 00000000 00000011", 24))) + b"two servers known"
-
-
-@pytest.mark.parametrize(("action", "text"), [
-    (Post(None, b"hi 7"), "08 ffffffff 00000000 00000004"), (Probe("10.144.17.242:8044"), "06 0a9011f2 1f6c"),
-    (Fail(0x0E6F2B19), "03 0e6f2b19"), (Disconnect("10.144.17.242:8044"), "07 0a9011f2 1f6c"),
-    (Fetch(), "0c"),
-    (SetTerms(0x5D3A91C4, 640.0, 2), "0d 5d3a91c4 44200000 02"), (Watch(), "0b 01"),
-    (Refuse(0x0E6F2B19, 250.0), "02 0e6f2b19 406f400000000000"), (Cancel(0x5D3A91C4, 0), "04 5d3a91c4 00"),
-])
+    assert (
+        encoder.reply(12)
+        == bytes.fromhex("00000089 00000005 0000000c")
+        + b"".join(
+            (
+                record("0e 00000003", 24),
+                record("01 5d3a91c4 4054000000000000 0a124a07 1f43", 24),
+                record("05 000000000000004d 407f400000000000", 24),
+                record("0e 00000005", 24),
+                record("09 00000000 00000011", 24),
+            )
+        )
+        + b"two servers known"
+    )
+
+
+@pytest.mark.parametrize(
+    ("action", "text"),
+    [
+        (Post(None, b"hi 7"), "08 ffffffff 00000000 00000004"),
+        (Probe("10.144.17.242:8044"), "06 0a9011f2 1f6c"),
+        (Fail(0x0E6F2B19), "03 0e6f2b19"),
+        (Disconnect("10.144.17.242:8044"), "07 0a9011f2 1f6c"),
+        (Fetch(), "0c"),
+        (SetTerms(0x5D3A91C4, 640.0, 2), "0d 5d3a91c4 44200000 02"),
+        (Watch(), "0b 01"),
+        (Refuse(0x0E6F2B19, 250.0), "02 0e6f2b19 406f400000000000"),
+        (Cancel(0x5D3A91C4, 0), "04 5d3a91c4 00"),
+    ],
+)
 def test_example_actions(action: Send, text: str) -> None:
     encoder = Encoder()
     encoder.action(action)
@@ -132,9 +163,11 @@
 
 
 def test_settings_skip_the_unknown_and_take_the_optional() -> None:
-    told = parse_settings(SETTINGS + "obligations.furtherRatio=0.1\nobligations.budgetFree=5\n"
-                          "categories.0.hostTypesAllowed=0,2\nextra.loads=true\nreport.fields=util\n"
-                          "report.source=pull\nobligations.lookBackMs=4000.0\n")
+    told = parse_settings(
+        SETTINGS + "obligations.furtherRatio=0.1\nobligations.budgetFree=5\n"
+        "categories.0.hostTypesAllowed=0,2\nextra.loads=true\nreport.fields=util\n"
+        "report.source=pull\nobligations.lookBackMs=4000.0\n"
+    )
     assert told.attempt_budget is not None and told.attempt_budget.window_ms == 4000.0
     (only,) = told.classes
     assert only.kinds == frozenset({0, 2}) and only.zones is None and only.is_load
@@ -142,12 +175,18 @@
     assert parse_settings(SETTINGS).attempt_budget is None
 
 
-@pytest.mark.parametrize(("line", "named"), [
-    ("instances=many", "instances"), ("categories.0.worth=nan", "categories.0.worth"),
-    ("nonsense", "nonsense"),
-    ("categories.0.effect=odd", "categories.0.effect"), ("limits.probes=1", "limits.probes"),
-    ("instances=0", "instances"), ("categories.0.giveUpMs=-1.0", "give_up_ms"),
-])
+@pytest.mark.parametrize(
+    ("line", "named"),
+    [
+        ("instances=many", "instances"),
+        ("categories.0.worth=nan", "categories.0.worth"),
+        ("nonsense", "nonsense"),
+        ("categories.0.effect=odd", "categories.0.effect"),
+        ("limits.probes=1", "limits.probes"),
+        ("instances=0", "instances"),
+        ("categories.0.giveUpMs=-1.0", "give_up_ms"),
+    ],
+)
 def test_settings_that_cannot_be_read_are_named(line: str, named: str) -> None:
     with pytest.raises(WireError, match=named):
         parse_settings(SETTINGS + line)
@@ -165,32 +204,45 @@
     records = [record(f"0c 0000 {len(text):08x} 00000002")]
     for i in range(40):
         records += [record(f"0d {i:08x}"), up(), record("02 0000 00000001 00")]
-    records += [record(f"03 {n:08x} 0000" + "00" * 12 + "0000" + "00" * 8 + "0000 40a7700000000000")
-                for n in range(5000)]
+    records += [
+        record(f"03 {n:08x} 0000" + "00" * 12 + "0000" + "00" * 8 + "0000 40a7700000000000")
+        for n in range(5000)
+    ]
     reply = play(frame(records, text + ENTRIES))
-    sends = {reply[12 + 24 * i + 1:12 + 24 * i + 5] for i in range((len(reply) - 12) // 24)
-             if reply[12 + 24 * i] in (1, 2)}
+    sends = {
+        reply[12 + 24 * i + 1 : 12 + 24 * i + 5]
+        for i in range((len(reply) - 12) // 24)
+        if reply[12 + 24 * i] in (1, 2)
+    }
     assert len(sends) == 5000
 
 
-@pytest.mark.parametrize(("data", "named"), [
-    (b"\0\0", "header"), (frame([SWITCH])[:-3], "body"), (frame([SWITCH, record("63")]), "code 99"),
-    (frame([record("0a")]), "SwitchTo"), (frame([SWITCH, up()]), "outside the tail"),
-    (frame([SWITCH, record("06 00000001")]), "not up"),
-    (frame([SWITCH, record("02 0004 00000001 01")]), "list 4"),
-    (frame([SWITCH, up("instances=x")], b"instances=x"), "instances"),
-    (struct.pack(">IdII", 0, 1.0, 3, 1), "3 records"),
-])
+@pytest.mark.parametrize(
+    ("data", "named"),
+    [
+        (b"\0\0", "header"),
+        (frame([SWITCH])[:-3], "body"),
+        (frame([SWITCH, record("63")]), "code 99"),
+        (frame([record("0a")]), "SwitchTo"),
+        (frame([SWITCH, up()]), "outside the tail"),
+        (frame([SWITCH, record("06 00000001")]), "not up"),
+        (frame([SWITCH, record("02 0004 00000001 01")]), "list 4"),
+        (frame([SWITCH, up("instances=x")], b"instances=x"), "instances"),
+        (struct.pack(">IdII", 0, 1.0, 3, 1), "3 records"),
+    ],
+)
 def test_bad_input_ends_with_one_plain_line(data: bytes, named: str) -> None:
-    done = subprocess.run([sys.executable, "-m", "cairnhoist.drill"], input=data, capture_output=True,
-                          timeout=30, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "cairnhoist.drill"], input=data, capture_output=True, timeout=30, check=False
+    )
     lines = done.stderr.decode().splitlines()
     assert done.returncode == 1 and len(lines) == 1 and named in lines[0]
 
 
 def test_end_of_input_is_a_clean_end() -> None:
-    done = subprocess.run([sys.executable, "-m", "cairnhoist.drill"], input=b"", capture_output=True,
-                          timeout=30, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "cairnhoist.drill"], input=b"", capture_output=True, timeout=30, check=False
+    )
     assert (done.returncode, done.stdout, done.stderr) == (0, b"", b"")
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -76,11 +76,19 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
-@given(st.lists(st.tuples(
-    st.sampled_from(sorted(ENGINES)), st.sampled_from(["heard", "missed", "tried", "listed"]),
-    st.floats(0.0, 500.0)), max_size=60))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(sorted(ENGINES)),
+            st.sampled_from(["heard", "missed", "tried", "listed"]),
+            st.floats(0.0, 500.0),
+        ),
+        max_size=60,
+    )
+)
 def test_one_hall_is_always_left_and_what_was_heard_last_is_not_avoided(
-        told: list[tuple[str, str, float]]) -> None:
+    told: list[tuple[str, str, float]],
+) -> None:
     known, now, engines = halls(), 0.0, dict(ENGINES)
     for engine, what, later in told:
         now += later
@@ -114,9 +122,13 @@
     watch = coordinator.zone_watch = ZoneWatch(coordinator)
 
     def listed(**starts: float) -> None:
-        coordinator.members(ListKind.FULL, [
-            Engine(EngineEntry(name, zone=zone, started_ms=starts.get(name, 0.0)), name)
-            for name, zone in ENGINES.items()])
+        coordinator.members(
+            ListKind.FULL,
+            [
+                Engine(EngineEntry(name, zone=zone, started_ms=starts.get(name, 0.0)), name)
+                for name, zone in ENGINES.items()
+            ],
+        )
 
     def states() -> set[EngineState]:
         return {coordinator.gateway.engines[name].entry.state for name in ENGINES if name.startswith("a")}
@@ -152,8 +164,11 @@
 def test_a_program_avoids_a_hall_that_falls_silent_and_takes_it_back() -> None:
     async def scene() -> None:
         with tempfile.TemporaryDirectory(prefix="hal") as folder:
-            engines = [StandIn(f"e-{hall}{n}", Machine(64.0), sessions=512, hall=f"hall-{hall}")
-                       for hall in "abc" for n in range(3)]
+            engines = [
+                StandIn(f"e-{hall}{n}", Machine(64.0), sessions=512, hall=f"hall-{hall}")
+                for hall in "abc"
+                for n in range(3)
+            ]
             async with appliance(Path(folder), engines, "[routing]\navoid_silent_halls = true\n") as node:
                 kinds = [Kind("lookup", "karri-energy", 60.0, 60.0, 5_000.0)]
 
