--- a/Makefile
+++ b/Makefile
@@ -6,6 +6,7 @@
 	.venv/bin/pip -q install --no-deps -e .
 
 lint:
+	.venv/bin/ruff format --check -q .
 	.venv/bin/ruff check cairnhoist fordstair benchmarks tests
 	.venv/bin/mypy
 	.venv/bin/lint-imports --no-logo
