--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -18,14 +18,14 @@
 from collections import Counter
 from typing import Any
 
-from cairnhoist.interface import Settings
+from fordstair.configuration.operator_file import settings as site_settings
+from fordstair.configuration.operator_validation import read
+from fordstair.decisions.interface import Settings
 from fordstair.lab.billing_close import TEAMS, Arrival, Shape, generate
 from fordstair.lab.machine import Machine
 from fordstair.lab.replay import worth
 from fordstair.lab.virtual import FULL_FROM, Record, World
 from fordstair.scheduling.scheduler import AGE_EVERY, Room, Scheduler, Told
-from fordstair.settings.faults import read
-from fordstair.settings.site import settings as site_settings
 
 SHARES = (0.73, 0.16, 0.11)
 CORES, ENGINES, WINDOW_S = 8.0, 4, 10
--- a/fordstair/__init__.py
+++ b/fordstair/__init__.py
@@ -1,1 +1,1 @@
-"""fordstair: the coordinator that puts the cairnhoist decision module to work on sockets."""
+"""fordstair: the coordinator that puts the fordstair.decisions decision module to work on sockets."""
--- a/fordstair/budgets/caps.py
+++ b/fordstair/budgets/caps.py
@@ -65,7 +65,7 @@
             (team, klass): tuple(
                 index
                 for index, whole in enumerate(wholes)
-                if whole.team in ("", of_team) and whole.klass in ("", of_class)
+                if whole.team in ("", of_team) and whole.class_name in ("", of_class)
             )
             for team, of_team in enumerate(teams)
             for klass, of_class in enumerate(classes)
@@ -174,7 +174,7 @@
                         bucket.threads,
                         bucket.hold_ms,
                         bool(whole.team),
-                        bool(whole.klass),
+                        bool(whole.class_name),
                         self.moves_ms,
                     )
                 )
--- a/fordstair/budgets/transport.py
+++ b/fordstair/budgets/transport.py
@@ -14,10 +14,10 @@
 from fordstair.budgets.holding import Share
 from fordstair.budgets.node import Node
 from fordstair.budgets.whole import MILLI, Part
-from fordstair.core.clock import unix_now
-from fordstair.core.events import Events
 from fordstair.membership.messages import LARGEST
 from fordstair.membership.transport import BUFFER_BYTES, address_text, cannot_reach
+from fordstair.runtime.clock import unix_now
+from fordstair.runtime.event_log import Events
 
 log = Events(__name__)
 
--- a/fordstair/budgets/whole.py
+++ b/fordstair/budgets/whole.py
@@ -24,14 +24,14 @@
     kind: Literal["threads", "rate"]
     units: int
     team: str = ""  # empty: all teams together
-    klass: str = ""  # empty: all classes together
+    class_name: str = ""  # empty: all classes together
     quantum: int = 1  # a share smaller than that would be of no use to some: threads of the largest request
     least: int = 1  # one smaller than that would be of use to none: threads of the smallest request
 
     @property
     def name(self) -> str:
         """Its name in logs and on the console."""
-        return f"{self.kind}:{self.team or '*'}:{self.klass or '*'}"
+        return f"{self.kind}:{self.team or '*'}:{self.class_name or '*'}"
 
 
 @dataclass(frozen=True)  # without slots: what is derived is kept, since each datagram asks for it
--- a/fordstair/cli/app.py
+++ b/fordstair/cli/app.py
@@ -11,7 +11,7 @@
 
 import typer
 
-from fordstair.config import ConfigError
+from fordstair.configuration.platform import ConfigError
 from fordstair.console.link import LinkError, ask
 
 DEFAULT_FILE = "deploy/appliance.toml"
@@ -73,7 +73,7 @@
     """Return the console's socket: as told, else as the operator's file names it."""
     if socket:
         return socket
-    from fordstair.settings.site import load_checked
+    from fordstair.configuration.operator_file import load_checked
 
     try:
         console = load_checked(str(file), whole=False).console
@@ -98,8 +98,8 @@
 @app.command()
 def check(file: File, as_json: Json = False) -> None:
     """Check an operator's file and list all its faults."""
-    from fordstair.settings.faults import Fault, Faulty
-    from fordstair.settings.site import config, load_file, operator
+    from fordstair.configuration.operator_file import config, load_file, operator
+    from fordstair.configuration.operator_validation import Fault, Faulty
 
     faults: tuple[Fault, ...] = ()
     try:
@@ -130,7 +130,7 @@
 @app.command()
 def schema() -> None:
     """Print the JSON Schema of the operator's file."""
-    from fordstair.settings.schema import json_schema
+    from fordstair.configuration.operator_schema import json_schema
 
     typer.echo(json.dumps(json_schema(), indent=2))
 
@@ -190,8 +190,8 @@
     as_json: Json = False,
 ) -> None:
     """Play traffic against a file's classes, teams and engines in virtual time, with budgets and without."""
+    from fordstair.configuration.operator_file import load_checked
     from fordstair.lab.replay import compare
-    from fordstair.settings.site import load_checked
 
     try:
         told = compare(traffic, load_checked(str(against), whole=True), seed)
@@ -303,7 +303,7 @@
 
 @app.command()
 def limit(
-    klass: Annotated[str, typer.Argument(metavar="CLASS")],
+    class_name: Annotated[str, typer.Argument(metavar="CLASS")],
     threads: Annotated[str, typer.Argument(metavar="THREADS", help="A number, or 'none'.")],
     socket: Socket = "",
     file: FileOption = Path(DEFAULT_FILE),
@@ -314,7 +314,7 @@
     if threads != "none" and not (threads.isascii() and threads.isdecimal() and len(threads) < 10):
         end(Exit.UNUSABLE, f"THREADS: {threads!r} is neither a number nor 'none'")
     told = None if threads == "none" else int(threads)
-    adjust("limit", socket, file, yes, as_json, **{"class": klass, "threads": told})
+    adjust("limit", socket, file, yes, as_json, **{"class": class_name, "threads": told})
 
 
 @app.command()
--- a/fordstair/cli/serve.py
+++ b/fordstair/cli/serve.py
@@ -4,18 +4,18 @@
 
 import trio
 
-from fordstair.config import Config, ConfigError
+from fordstair.configuration import operator_file
+from fordstair.configuration.platform import Config, ConfigError
 from fordstair.logs import setup
 from fordstair.program import Program
-from fordstair.settings import site
 
 
 def run(path: str) -> None:
     """Run until SIGTERM or drain; raise ConfigError where the file, or what it names, cannot be used."""
-    file = site.load_checked(path, whole=True)
+    file = operator_file.load_checked(path, whole=True)
     log = setup.start(file.log.form, file.log.level, file.log.repeat_seconds, file.log.lines_most)
     try:
-        program = Program(site.config(file), site.operator(file), lambda: _again(path))
+        program = Program(operator_file.config(file), operator_file.operator(file), lambda: _again(path))
         if program.console_server is not None:
             log.watchers.append(program.console_server.note)
         trio.run(program.run)
@@ -27,7 +27,7 @@
 
 
 def _again(path: str) -> Config:
-    return site.config(site.load_checked(path, whole=True))
+    return operator_file.config(operator_file.load_checked(path, whole=True))
 
 
 def _leaves(group: BaseExceptionGroup[ConfigError]) -> list[ConfigError]:
--- a/fordstair/cli/tables.py
+++ b/fordstair/cli/tables.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from fordstair.console.panes import PANES, Pane, Rows
-from fordstair.feed.picture import TABLES, Picture
+from fordstair.snapshots.snapshot import TABLES, Picture
 
 
 def shown(pane: Pane, lines: Rows) -> Table:
--- a/fordstair/settings/site.py
+++ b/fordstair/configuration/operator_file.py
@@ -7,7 +7,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from cairnhoist.interface import (
+from fordstair.configuration.operator_schema import ClassTable, EngineTable, File, SetTable, member_of
+from fordstair.configuration.operator_validation import Fault, Faulty, read
+from fordstair.configuration.platform import Budgets, Config, ConfigError, address
+from fordstair.core.ports import Engine
+from fordstair.decisions.interface import (
     Effect,
     EngineEntry,
     ListKind,
@@ -15,11 +19,7 @@
     Settings,
     Tenant,
 )
-from fordstair.config import Budgets, Config, ConfigError, address
-from fordstair.core.ports import Engine
 from fordstair.net.clients.odata_model import EntitySet, Operator
-from fordstair.settings.faults import Fault, Faulty, read
-from fordstair.settings.schema import ClassTable, EngineTable, File, SetTable, member_of
 
 if TYPE_CHECKING:
     from fordstair.budgets.whole import Part
--- a/fordstair/settings/faults.py
+++ b/fordstair/configuration/operator_validation.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from fordstair.settings.schema import File, Table, member_of
+from fordstair.configuration.operator_schema import File, Table, member_of
 
 FAULTS_MOST = 200
 _AT = re.compile(r" - at `[^`]*`\Z")
--- a/fordstair/config.py
+++ b/fordstair/configuration/platform.py
@@ -10,9 +10,9 @@
 
 import ujson
 
-from cairnhoist.interface import ListKind, Settings
-from cairnhoist.wire import WireError, parse_settings
+from fordstair.configuration.settings_document import SettingsDocumentError, parse_settings
 from fordstair.core.ports import Engine
+from fordstair.decisions.interface import ListKind, Settings
 from fordstair.net.command_channel import read_command
 
 
@@ -99,7 +99,7 @@
     pairs = dict(flatten(settings))
     try:
         parsed = parse_settings("\n".join(f"{path}={value}" for path, value in pairs.items()))
-    except (WireError, ValueError) as error:
+    except SettingsDocumentError as error:
         raise ConfigError(str(error)) from None
     limits, known = _object(told, "limits"), _object(told, "known")
     zones, kinds = settings.get("areas") or [], settings.get("hostTypes") or []
--- a/fordstair/console/app.py
+++ b/fordstair/console/app.py
@@ -27,8 +27,8 @@
     Pane,
     headline,
 )
-from fordstair.feed.pacing import Freshness
-from fordstair.feed.picture import Picture
+from fordstair.snapshots.publishing import Freshness
+from fordstair.snapshots.snapshot import Picture
 
 AGAIN_S = 0.5  # between two tries to reach the program
 REFRESH_S = 0.25  # ages grow, and a lost feed is noticed, without a frame
@@ -134,14 +134,14 @@
 
     BINDINGS: ClassVar[list[BindingType]] = [Binding("escape", "leave", "leave")]
 
-    def __init__(self, klass: str, now: str) -> None:
+    def __init__(self, class_name: str, now: str) -> None:
         super().__init__()
-        self.klass, self.now = klass, now
+        self.class_name, self.now = class_name, now
 
     def compose(self) -> ComposeResult:
         """Show the field."""
         with Vertical(id="question"):
-            yield Label(f"Threads that {self.klass} may hold (now {self.now}); empty lifts the limit")
+            yield Label(f"Threads that {self.class_name} may hold (now {self.now}); empty lifts the limit")
             yield Input(type="integer", id="threads")
 
     def on_input_submitted(self, event: Input.Submitted) -> None:
@@ -264,12 +264,13 @@
     @work
     async def action_limit(self) -> None:
         """Limit the marked class."""
-        if not (klass := self.query_one("#classes", Table).marked):
+        if not (class_name := self.query_one("#classes", Table).marked):
             return
-        limit = self.picture.table("classes")[klass].limit
-        text = await self.push_screen_wait(LimitBox(klass, "no limit" if limit is None else str(limit)))
+        limit = self.picture.table("classes")[class_name].limit
+        text = await self.push_screen_wait(LimitBox(class_name, "no limit" if limit is None else str(limit)))
         if text is not None:
-            self.adjust(f"Limit {klass}", "limit", **{"class": klass, "threads": int(text) if text else None})
+            threads = int(text) if text else None
+            self.adjust(f"Limit {class_name}", "limit", **{"class": class_name, "threads": threads})
 
     def adjust(self, what: str, command: str, **fields: Any) -> None:
         """Ask the program for an adjustment, beside what is shown."""
--- a/fordstair/console/link.py
+++ b/fordstair/console/link.py
@@ -10,7 +10,7 @@
 
 import ujson
 
-from fordstair.feed.picture import Frame, Gap, Picture, decode, follow
+from fordstair.snapshots.snapshot import Frame, Gap, Picture, decode, follow
 
 ANSWER_S = 5.0
 FRAME_BYTES = 16 * 1024 * 1024
--- a/fordstair/console/panes.py
+++ b/fordstair/console/panes.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from fordstair.feed.picture import EngineView, MemberView, Picture
+from fordstair.snapshots.snapshot import EngineView, MemberView, Picture
 
 Rows = list[tuple[str, tuple[str, ...]]]  # key and cells
 
--- a/fordstair/core/coordinator.py
+++ b/fordstair/core/coordinator.py
@@ -9,7 +9,13 @@
 
 import trio
 
-from cairnhoist.interface import (
+from fordstair.core.extensions import AttemptWatch, RequestQueue
+from fordstair.core.invariants import Invariant, Invariants
+from fordstair.core.live_request import AttemptOutcome, LiveRequest
+from fordstair.core.ports import AttemptFailed, Call, Engine, Errand, Query, Reply, Transport
+from fordstair.core.send_guard import Denial, SendGuard
+from fordstair.decisions.gateway import Gateway
+from fordstair.decisions.interface import (
     AttemptEnded,
     AttemptNote,
     Cancel,
@@ -33,15 +39,9 @@
     TimerFired,
     Withdrawn,
 )
-from cairnhoist.logic import Gateway
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
-from fordstair.core.events import Events
-from fordstair.core.extensions import AttemptWatch, RequestQueue
-from fordstair.core.invariants import Invariant, Invariants
-from fordstair.core.live_request import AttemptOutcome, LiveRequest
-from fordstair.core.ports import AttemptFailed, Call, Engine, Errand, Query, Reply, Transport
-from fordstair.core.send_guard import Denial, SendGuard
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+from fordstair.runtime.event_log import Events
 
 log = Events(__name__)
 
--- a/fordstair/core/invariants.py
+++ b/fordstair/core/invariants.py
@@ -5,8 +5,8 @@
 from enum import Enum
 from typing import Any
 
-from fordstair.core.counters import Counters
-from fordstair.core.events import Events
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.event_log import Events
 
 log = Events(__name__)
 
--- a/fordstair/core/live_request.py
+++ b/fordstair/core/live_request.py
@@ -6,9 +6,9 @@
 
 import trio
 
-from cairnhoist.interface import Send, Status
 from fordstair.core.ports import Call, Query, Reply
 from fordstair.core.send_guard import SendGuard
+from fordstair.decisions.interface import Send, Status
 
 
 @dataclass(slots=True, eq=False)
--- a/fordstair/core/ports.py
+++ b/fordstair/core/ports.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from cairnhoist.interface import EngineEntry, EngineState, NoteKind, Status
-from fordstair.core.clock import UnixMs
+from fordstair.decisions.interface import EngineEntry, EngineState, NoteKind, Status
+from fordstair.runtime.clock import UnixMs
 
 
 @dataclass(slots=True, frozen=True)
--- a/fordstair/core/send_guard.py
+++ b/fordstair/core/send_guard.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from cairnhoist.interface import Effect, Status
 from fordstair.core.invariants import Invariant
+from fordstair.decisions.interface import Effect, Status
 
 
 class Denial(Enum):
--- a/fordstair/core/start_times.py
+++ b/fordstair/core/start_times.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from fordstair.core.clock import AnchoredClock, MonotonicMs, UnixMs, monotonic_now
+from fordstair.runtime.clock import AnchoredClock, MonotonicMs, UnixMs, monotonic_now
 
 # News of a start that is older than this by the wall clock shows the wall clock to be ahead, not the news
 # to be late: then the engine counts as just started. A long outage of discovery holds news back for less.
--- a/fordstair/core/zone_watch.py
+++ b/fordstair/core/zone_watch.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
-from cairnhoist.interface import ListKind, MembersChanged
-from fordstair.core.events import Events
+from fordstair.decisions.interface import ListKind, MembersChanged
 from fordstair.routing.zones import SILENCE_MS, ZoneFailures
+from fordstair.runtime.event_log import Events
 
 if TYPE_CHECKING:
     from fordstair.core.coordinator import Coordinator
--- a/cairnhoist/logic.py
+++ b/fordstair/decisions/gateway.py
@@ -1,4 +1,4 @@
-"""All decisions of one gateway. Its settings, events and actions are in cairnhoist/interface.py."""
+"""All decisions of one gateway. Its settings, events and actions are in fordstair.decisions/interface.py."""
 
 import math
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 from typing import Any
 from zlib import crc32
 
-from cairnhoist.interface import (
+from fordstair.decisions.interface import (
     Action,
     AttemptBudget,
     AttemptEnded,
@@ -30,16 +30,27 @@
     Scope,
     Send,
     SetTerms,
-    Settings,
     SetTimer,
+    Settings,
     Status,
     StreamStarted,
     TimerFired,
     Watch,
     Withdrawn,
 )
-from cairnhoist.repeats import may_have_run, must_not_repeat, window_end
-from cairnhoist.state import Attempt, Engine, Learned, Line, Mean, RecentMeans, Request, Rule, Window, usable
+from fordstair.decisions.retries import may_have_run, must_not_repeat, window_end
+from fordstair.decisions.state import (
+    Attempt,
+    Engine,
+    Learned,
+    Line,
+    Mean,
+    RecentMeans,
+    Request,
+    Rule,
+    Window,
+    usable,
+)
 
 CALM_LOAD, FULL_LOAD = 1.2, 2.0  # threads a core at which pressure starts, and at which it is 1
 MULTIPLE_CALM, MULTIPLE_FULL = 3.0, 0.3  # times the class mean that counts as expensive, by pressure
--- a/cairnhoist/repeats.py
+++ b/fordstair/decisions/retries.py
@@ -4,8 +4,8 @@
 
 import math
 
-from cairnhoist.interface import Effect
-from cairnhoist.state import Request
+from fordstair.decisions.interface import Effect
+from fordstair.decisions.state import Request
 
 WINDOW_PART = 0.9  # of the span in which engines discard a keyed request's duplicates; the rest is margin
 
--- a/cairnhoist/state.py
+++ b/fordstair/decisions/state.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from cairnhoist.interface import EngineEntry, EngineId, RequestArrived, RequestClass, Settings
+from fordstair.decisions.interface import EngineEntry, EngineId, RequestArrived, RequestClass, Settings
 
 
 def usable(value: float) -> bool:
--- a/fordstair/entry_point.py
+++ b/fordstair/entry_point.py
@@ -10,9 +10,9 @@
 
 import trio
 
-from fordstair.config import Config, ConfigError, load
-from fordstair.core.events import PlainFormatter
+from fordstair.configuration.platform import Config, ConfigError, load
 from fordstair.program import Program
+from fordstair.runtime.event_log import PlainFormatter
 
 if TYPE_CHECKING:
     from fordstair.net.clients.odata_model import Operator
@@ -22,9 +22,11 @@
     """Read what the platform tells, and the operator's file if there is one."""
     if path is None:
         return load(), None
-    from fordstair.settings import site  # the platform's program holds none of what only this needs
+    from fordstair.configuration import (
+        operator_file,  # the platform's program holds none of what only this needs
+    )
 
-    return load(), site.operator(site.load_checked(path, whole=False))
+    return load(), operator_file.operator(operator_file.load_checked(path, whole=False))
 
 
 def main() -> int:
--- a/fordstair/feed/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The state feed: immutable pictures of the running program, sent as one full frame and then changes."""
--- a/fordstair/lab/engine.py
+++ b/fordstair/lab/engine.py
@@ -19,8 +19,8 @@
 import h11
 import trio
 
-from fordstair.core.clock import monotonic_now
 from fordstair.lab.machine import Job, Machine
+from fordstair.runtime.clock import monotonic_now
 
 READ_BYTES = 65_536
 NEWS_MS, UNASKED_MS, NOTE_MS, REPORT_MS = 250.0, 2_000.0, 500.0, 250.0
--- a/fordstair/lab/ledger_trial.py
+++ b/fordstair/lab/ledger_trial.py
@@ -22,7 +22,6 @@
 import msgspec
 import trio
 
-from fordstair.core.clock import unix_now
 from fordstair.lab.appliance import ask_door, end, operator_file, ports_of
 from fordstair.lab.engine import StandIn
 from fordstair.lab.history import How, Operation
@@ -30,6 +29,7 @@
 from fordstair.lab.relay import Faults, Relay
 from fordstair.replication.ledger import Entry
 from fordstair.replication.records import CLAIM, of_entry
+from fordstair.runtime.clock import unix_now
 from fordstair.store.disk import Disk, Record, Spoilt
 
 FRONTS = 4  # of a member: MessagePack-RPC, OData, the fleet's and the ledger's
--- a/fordstair/lab/replay.py
+++ b/fordstair/lab/replay.py
@@ -7,13 +7,13 @@
 from pathlib import Path
 from typing import Any
 
-from cairnhoist.interface import Settings
+from fordstair.configuration.operator_file import settings as site_settings
+from fordstair.configuration.operator_schema import BudgetsTable, File
+from fordstair.decisions.interface import Settings
 from fordstair.lab.billing_close import Arrival, read
 from fordstair.lab.machine import Machine
 from fordstair.lab.virtual import Record, World
 from fordstair.scheduling.scheduler import Scheduler
-from fordstair.settings.schema import BudgetsTable, File
-from fordstair.settings.site import settings as site_settings
 
 
 def compare(path: Path, file: File, seed: int) -> dict[str, dict[str, Any]]:
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -16,21 +16,21 @@
 
 import trio
 
-from cairnhoist.interface import EngineEntry, ListKind, NoteKind, Settings, Status
 from fordstair.budgets.caps import Caps
 from fordstair.budgets.node import ASKS_A_TERM
 from fordstair.budgets.whole import Plan
 from fordstair.core.admission_queue import AdmissionQueue
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
 from fordstair.core.ports import AttemptFailed, Engine, Errand, News, Query
 from fordstair.core.zone_watch import ZoneWatch
+from fordstair.decisions.interface import EngineEntry, ListKind, NoteKind, Settings, Status
 from fordstair.lab.billing_close import Arrival
 from fordstair.lab.clockwork import now_ms
 from fordstair.lab.machine import Job, Machine
 from fordstair.lab.shares import Fleet
 from fordstair.lab.virtual import Record
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
 from fordstair.scheduling.queues import Item
 from fordstair.scheduling.scheduler import Admission, Room, Scheduler, Told
 
--- a/fordstair/lab/virtual.py
+++ b/fordstair/lab/virtual.py
@@ -10,7 +10,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from cairnhoist.interface import (
+from fordstair.decisions.gateway import Gateway
+from fordstair.decisions.interface import (
     AttemptEnded,
     Cancel,
     EngineEntry,
@@ -27,7 +28,6 @@
     Status,
     TimerFired,
 )
-from cairnhoist.logic import Gateway
 from fordstair.lab.billing_close import Arrival
 from fordstair.lab.machine import Job, Machine
 from fordstair.scheduling.preemption import Preemption, Runs
--- a/fordstair/logs/setup.py
+++ b/fordstair/logs/setup.py
@@ -9,10 +9,10 @@
 import structlog
 from structlog.typing import EventDict, WrappedLogger
 
-from fordstair.core.clock import monotonic_now
-from fordstair.core.events import FIELDS
 from fordstair.logs.repeats import Repeats
 from fordstair.logs.sink import Sink
+from fordstair.runtime.clock import monotonic_now
+from fordstair.runtime.event_log import FIELDS
 
 _PLAIN = (str, int, float, bool, type(None))
 Watcher = Callable[[float, str, str], None]  # monotonic time in ms, level, text
--- a/fordstair/membership/transport.py
+++ b/fordstair/membership/transport.py
@@ -9,10 +9,10 @@
 
 import trio
 
-from fordstair.core.clock import monotonic_now, unix_now
-from fordstair.core.events import Events
 from fordstair.membership.messages import DEAD, LARGEST, STATES
 from fordstair.membership.swim import Changed, Fleet, Swim
+from fordstair.runtime.clock import monotonic_now, unix_now
+from fordstair.runtime.event_log import Events
 
 log = Events(__name__)
 
--- a/fordstair/net/clients/closing.py
+++ b/fordstair/net/clients/closing.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from fordstair.core.deadlines import Deadlines
+from fordstair.runtime.deadlines import Deadlines
 
 READ_BYTES = 65_536
 LINGER_MS = 1_000.0  # for what still comes after the last answer
--- a/fordstair/net/clients/listener.py
+++ b/fordstair/net/clients/listener.py
@@ -6,11 +6,11 @@
 
 import trio
 
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
-from fordstair.core.events import Events
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.net.system_errors import Backoff, Scope, scope_of
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+from fordstair.runtime.event_log import Events
 
 log = Events(__name__)
 
--- a/fordstair/net/clients/odata_front.py
+++ b/fordstair/net/clients/odata_front.py
@@ -18,7 +18,6 @@
 import ujson
 
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.events import Events
 from fordstair.core.live_request import LiveRequest
 from fordstair.core.ports import Query
 from fordstair.core.statements import table_group
@@ -34,6 +33,7 @@
     understand,
 )
 from fordstair.net.clients.repeatable_requests import OwnRepeats, Repeats
+from fordstair.runtime.event_log import Events
 
 log = Events(__name__)
 
--- a/fordstair/net/clients/poll_watch.py
+++ b/fordstair/net/clients/poll_watch.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from fordstair.core.clock import monotonic_now
+from fordstair.runtime.clock import monotonic_now
 
 # While it waits for bytes the program wakes up so often. A wait that took clearly longer was not one for
 # bytes alone: the program did not run, and whatever has come may have come at its beginning.
--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -10,14 +10,14 @@
 import trio
 
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.deadlines import Ticket
-from fordstair.core.events import Events
 from fordstair.core.invariants import Invariant
 from fordstair.core.live_request import LiveRequest
 from fordstair.net.clients.closing import linger, shut
 from fordstair.net.clients.messagepack import Incomplete, Malformed, read
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.net.clients.rpc_query import BadRequest, read_query
+from fordstair.runtime.deadlines import Ticket
+from fordstair.runtime.event_log import Events
 
 log = Events(__name__)
 
--- a/fordstair/net/clients/rpc_front.py
+++ b/fordstair/net/clients/rpc_front.py
@@ -7,9 +7,9 @@
 import trio
 
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.events import Events
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.net.clients.rpc_connection import RpcClient
+from fordstair.runtime.event_log import Events
 
 log = Events(__name__)
 
--- a/fordstair/net/command_channel.py
+++ b/fordstair/net/command_channel.py
@@ -8,12 +8,12 @@
 
 import trio
 
-from cairnhoist.interface import EngineEntry, EngineState, ListKind
-from fordstair.core.clock import UnixMs
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
-from fordstair.core.events import Events
 from fordstair.core.ports import Engine
+from fordstair.decisions.interface import EngineEntry, EngineState, ListKind
+from fordstair.runtime.clock import UnixMs
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+from fordstair.runtime.event_log import Events
 
 log = Events(__name__)
 
--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -21,7 +21,9 @@
 import trio
 import ujson
 
-from fordstair.adjust.ledger import (
+from fordstair.configuration.platform import ConfigError
+from fordstair.core.coordinator import Coordinator
+from fordstair.overrides.register import (
     BringBack,
     Change,
     Drain,
@@ -32,13 +34,11 @@
     Standing,
     Verdict,
 )
-from fordstair.config import ConfigError
-from fordstair.core.clock import WallClock
-from fordstair.core.coordinator import Coordinator
-from fordstair.core.events import Events
-from fordstair.feed.observe import Observer
-from fordstair.feed.pacing import CUT_MS, Pace
-from fordstair.feed.picture import TABLES, NoteView, Picture, encode, step
+from fordstair.runtime.clock import WallClock
+from fordstair.runtime.event_log import Events
+from fordstair.snapshots.collector import Observer
+from fordstair.snapshots.publishing import CUT_MS, Pace
+from fordstair.snapshots.snapshot import TABLES, NoteView, Picture, encode, step
 
 if TYPE_CHECKING:
     from fordstair.budgets.transport import FleetBudgets
@@ -298,8 +298,8 @@
                 self.coordinator.set_aside(engine, True)
             case BringBack(engine):
                 self.coordinator.set_aside(engine, False)
-            case Limit(klass, threads):
-                self.coordinator.limit(self.coordinator.classes[klass], threads)
+            case Limit(class_name, threads):
+                self.coordinator.limit(self.coordinator.classes[class_name], threads)
             case Drain():
                 self.drain()
 
--- a/fordstair/net/engines/call.py
+++ b/fordstair/net/engines/call.py
@@ -10,11 +10,11 @@
 
 import trio
 
-from cairnhoist.interface import Status
-from fordstair.core.deadlines import Deadlines
 from fordstair.core.ports import AttemptFailed, Engine, Errand, News
+from fordstair.decisions.interface import Status
 from fordstair.net.engines.http_client import Answer, Broken, Connection
 from fordstair.net.engines.pool import ConnectFailed, Pool, PooledConnection
+from fordstair.runtime.deadlines import Deadlines
 
 # An engine answers within 250 ms; one that has not by then is silent. A query must be asked for every
 # 2 s, so a silent call is given up early enough to ask again on another connection.
--- a/fordstair/net/engines/odata.py
+++ b/fordstair/net/engines/odata.py
@@ -7,8 +7,8 @@
 
 import ujson
 
-from cairnhoist.interface import Status
 from fordstair.core.ports import Call, Errand, News
+from fordstair.decisions.interface import Status
 from fordstair.net.engines.call import HttpCall, HttpTransport
 from fordstair.net.engines.http_client import Answer, Broken
 from fordstair.net.engines.rest import parse_report
--- a/fordstair/net/engines/pool.py
+++ b/fordstair/net/engines/pool.py
@@ -10,10 +10,10 @@
 
 import trio
 
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
 from fordstair.net.engines.http_client import Connection
 from fordstair.net.system_errors import Backoff, Scope, refused, scope_of
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
 
 IDLE_MARGIN_MS = 1_000.0  # closed here before the engine closes it: a POST must not cross such a close
 # A connection that its call no longer waits for may come up yet, and serve the next: a SYN that was lost goes
--- a/fordstair/net/engines/rest.py
+++ b/fordstair/net/engines/rest.py
@@ -4,8 +4,8 @@
 
 import math
 
-from cairnhoist.interface import NoteKind, Status
 from fordstair.core.ports import Call, Errand, News
+from fordstair.decisions.interface import NoteKind, Status
 from fordstair.net.engines.call import DROP_MS, HttpCall, HttpTransport
 from fordstair.net.engines.http_client import Answer, Broken
 
--- a/fordstair/net/identity.py
+++ b/fordstair/net/identity.py
@@ -16,10 +16,10 @@
 from cryptography import x509
 from cryptography.x509.oid import ExtendedKeyUsageOID
 
-from fordstair.config import ConfigError
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
-from fordstair.core.events import Events
+from fordstair.configuration.platform import ConfigError
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+from fordstair.runtime.event_log import Events
 
 log = Events(__name__)
 
--- a/fordstair/adjust/ledger.py
+++ b/fordstair/overrides/register.py
@@ -47,7 +47,7 @@
 class Limit:
     """Bound the threads that a class may have out; None lifts the bound."""
 
-    klass: str
+    class_name: str
     threads: int | None
 
 
@@ -123,8 +123,8 @@
             and not (isinstance(change, BringBack) and target in self.in_force)
         ):
             return Ruling(Verdict.UNKNOWN, f"no engine {change.engine!r}")
-        if isinstance(change, Limit) and change.klass not in standing.classes:
-            return Ruling(Verdict.UNKNOWN, f"no class {change.klass!r}")
+        if isinstance(change, Limit) and change.class_name not in standing.classes:
+            return Ruling(Verdict.UNKNOWN, f"no class {change.class_name!r}")
         if isinstance(change, Limit) and change.threads is not None and not 0 <= change.threads <= 1_000_000:
             return Ruling(Verdict.REFUSED, "a limit is 0 to 1000000 threads")
         if self._is_so(change):
@@ -187,8 +187,10 @@
             return "no other engine is ready: all new requests will be refused"
         case SetAside(engine) if engine in standing.ready and len(standing.ready) <= 2:
             return "one engine alone is left ready"
-        case Limit(klass, threads) if threads is not None and threads < standing.classes[klass]:
-            return f"one {klass} takes {standing.classes[klass]} threads: all of them will be refused"
+        case Limit(class_name, threads) if threads is not None and threads < standing.classes[class_name]:
+            return (
+                f"one {class_name} takes {standing.classes[class_name]} threads: all of them will be refused"
+            )
     return ""
 
 
@@ -196,7 +198,7 @@
     match change:
         case SetAside(engine) | BringBack(engine):
             return f"engine:{engine}"
-        case Limit(klass, _):
-            return f"class:{klass}"
+        case Limit(class_name, _):
+            return f"class:{class_name}"
         case Drain():
             return SITE
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -10,15 +10,11 @@
 
 import trio
 
-from cairnhoist.interface import EngineState, ListKind
-from fordstair.config import Config, ConfigError
-from fordstair.core.clock import AnchoredClock, WallClock
+from fordstair.configuration.platform import Config, ConfigError
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
-from fordstair.core.events import Events
 from fordstair.core.ports import Engine, Transport
 from fordstair.core.start_times import StartTimes
+from fordstair.decisions.interface import EngineState, ListKind
 from fordstair.held_signals import deliver
 from fordstair.net.clients.listener import ClientListener, Serve, open_listeners
 from fordstair.net.clients.poll_watch import PollWatch
@@ -26,6 +22,10 @@
 from fordstair.net.command_channel import CommandChannel
 from fordstair.net.engines.pool import Pool
 from fordstair.net.engines.rest import RestTransport
+from fordstair.runtime.clock import AnchoredClock, WallClock
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+from fordstair.runtime.event_log import Events
 
 if TYPE_CHECKING:  # what only an operator's file turns on is not loaded on the platform
     from fordstair.budgets.transport import FleetBudgets
--- a/fordstair/replication/costs.py
+++ b/fordstair/replication/costs.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from cairnhoist.logic import Gateway
-from cairnhoist.state import Mean
+from fordstair.decisions.gateway import Gateway
+from fordstair.decisions.state import Mean
 
 LEAST_OUTCOMES = 5  # fewer tell too little to be passed on
 WEIGHT_MOST = 30  # outcomes that a value taken over counts as at most: it must not outlast what is seen
--- a/fordstair/replication/engines.py
+++ b/fordstair/replication/engines.py
@@ -18,10 +18,10 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from cairnhoist.interface import EngineEntry, EngineState
-from fordstair.core.clock import UnixMs
 from fordstair.core.ports import Engine
+from fordstair.decisions.interface import EngineEntry, EngineState
 from fordstair.replication.clock import AHEAD_MOST_MS, Milliseconds
+from fordstair.runtime.clock import UnixMs
 
 OLDEST_MS = 24 * 3_600_000.0  # a list that is older is not used
 ENGINES_MOST, MEMBERS_MOST = 1_000, 512
--- a/fordstair/replication/records.py
+++ b/fordstair/replication/records.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from fordstair.core.events import Events
 from fordstair.replication.engines import OLDEST_MS, Roster
 from fordstair.replication.ledger import UNKNOWN_TOKEN, Entry
 from fordstair.replication.registers import Register
+from fordstair.runtime.event_log import Events
 from fordstair.store.disk import Disk, Record, Spoilt
 
 log = Events(__name__)
--- a/fordstair/replication/server.py
+++ b/fordstair/replication/server.py
@@ -9,9 +9,9 @@
 
 import trio
 
-from fordstair.core.events import Events
 from fordstair.replication.link import no_delay
 from fordstair.replication.messages import Frame, Hello, Malformed, Reader, Told, encode
+from fordstair.runtime.event_log import Events
 from fordstair.store.disk import StoreFailed
 from fordstair.store.writer import Batch
 
--- a/fordstair/replication/service.py
+++ b/fordstair/replication/service.py
@@ -14,8 +14,6 @@
 
 import trio
 
-from fordstair.core.clock import AnchoredClock
-from fordstair.core.events import Events
 from fordstair.replication.clock import AHEAD_MOST_MS
 from fordstair.replication.engines import EngineSet, Kept, Roster
 from fordstair.replication.ledger import (
@@ -55,6 +53,8 @@
 from fordstair.replication.records import CLAIM, VALUE, Stored, of_entry, of_roster, of_value, read
 from fordstair.replication.registers import Register, Registers
 from fordstair.replication.server import Decided, Server
+from fordstair.runtime.clock import AnchoredClock
+from fordstair.runtime.event_log import Events
 from fordstair.store.disk import Disk, Record, StoreDamaged, StoreFailed
 from fordstair.store.writer import Batch, Writer
 
--- a/fordstair/core/deadlines.py
+++ b/fordstair/runtime/deadlines.py
@@ -12,8 +12,8 @@
 import trio
 from sortedcontainers import SortedDict
 
-from fordstair.core.clock import monotonic_now
-from fordstair.core.events import Events
+from fordstair.runtime.clock import monotonic_now
+from fordstair.runtime.event_log import Events
 
 log = Events(__name__)
 
--- a/fordstair/scheduling/queues.py
+++ b/fordstair/scheduling/queues.py
@@ -70,11 +70,11 @@
         team = self.teams[item.team]
         if not len(team):  # what was idle starts now, and has saved nothing up
             team.tag = max(team.tag, self.virtual)
-        klass = team.classes.setdefault(item.klass, Flow())
-        if not klass.items:
-            klass.tag = max(klass.tag, team.virtual)
-        klass.items[item.number] = item
-        klass.cost += item.cost
+        class_flow = team.classes.setdefault(item.klass, Flow())
+        if not class_flow.items:
+            class_flow.tag = max(class_flow.tag, team.virtual)
+        class_flow.items[item.number] = item
+        class_flow.cost += item.cost
         team.cost += item.cost
         self._items[item.id] = item
         self._by_age[item.number] = item
@@ -87,9 +87,9 @@
         del self._by_age[item.number]
         del self._by_end[item.last_start_ms, item.number]
         team = self.teams[item.team]
-        klass = team.classes[item.klass]
-        del klass.items[item.number]
-        for flow in (klass, team):
+        class_flow = team.classes[item.klass]
+        del class_flow.items[item.number]
+        for flow in (class_flow, team):
             flow.cost = max(0.0, flow.cost - item.cost) if len(flow) else 0.0
         return item
 
@@ -97,13 +97,13 @@
         """Take an item out because its turn has come, and move its flows' tags on."""
         self.pop(item.id)
         team = self.teams[item.team]
-        klass = team.classes[item.klass]
+        class_flow = team.classes[item.klass]
         start = max(team.tag, self.virtual)
         self.virtual = start
         team.tag = start + item.cost / team.weight
-        start = max(klass.tag, team.virtual)
+        start = max(class_flow.tag, team.virtual)
         team.virtual = start
-        klass.tag = start + item.cost
+        class_flow.tag = start + item.cost
 
     def last_of(self, teams: Iterable[int]) -> Item | None:
         """The item that came last, of the one of these teams that has most waiting."""
--- a/fordstair/scheduling/scheduler.py
+++ b/fordstair/scheduling/scheduler.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from cairnhoist.interface import RequestClass
+from fordstair.decisions.interface import RequestClass
 from fordstair.scheduling.budgets import Budgets
 from fordstair.scheduling.queues import Item, Queues
 from fordstair.scheduling.shedding import Shedding
--- /dev/null
+++ b/fordstair/simulator/__main__.py
@@ -0,0 +1,8 @@
+"""Runs the simulator's host: ``python -m fordstair.simulator``."""
+
+import sys
+
+from fordstair.simulator.host import main
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/cairnhoist/drill.py
+++ b/fordstair/simulator/host.py
@@ -1,13 +1,13 @@
-"""Hosts independent gateways on the drill's wire: python -m cairnhoist.drill."""
+"""Hosts independent gateways on the simulator's wire: ``python -m fordstair.simulator``."""
 
 from __future__ import annotations
 
 import sys
 from typing import BinaryIO
 
-from cairnhoist.interface import Action
-from cairnhoist.logic import Gateway
-from cairnhoist.wire import HEADER, Decoder, Encoder, Shutdown, Up, WireError
+from fordstair.decisions.gateway import Gateway
+from fordstair.decisions.interface import Action
+from fordstair.simulator.codec import HEADER, Decoder, Encoder, Shutdown, Up, WireError
 
 
 def _read(source: BinaryIO, size: int, what: str) -> bytes:
@@ -57,10 +57,6 @@
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"cairnhoist.drill: {error}", file=sys.stderr)
+        print(f"fordstair.simulator: {error}", file=sys.stderr)
         return 1
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/fordstair/feed/observe.py
+++ b/fordstair/snapshots/collector.py
@@ -9,15 +9,15 @@
 
 import msgspec
 
-from cairnhoist.interface import EngineState
-from cairnhoist.logic import SOUND
-from cairnhoist.state import Engine as Believed
-from fordstair.adjust.ledger import Ledger
-from fordstair.core.clock import WallClock
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.live_request import LiveRequest
 from fordstair.core.ports import Engine
-from fordstair.feed.picture import (
+from fordstair.decisions.gateway import SOUND
+from fordstair.decisions.interface import EngineState
+from fordstair.decisions.state import Engine as Believed
+from fordstair.overrides.register import Ledger
+from fordstair.runtime.clock import WallClock
+from fordstair.snapshots.snapshot import (
     AdjustmentView,
     ClassView,
     EngineView,
--- a/fordstair/store/writer.py
+++ b/fordstair/store/writer.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from fordstair.core.events import Events
+from fordstair.runtime.event_log import Events
 from fordstair.store.disk import Disk, Record, StoreFailed
 
 log = Events(__name__)
--- a/tests/decisions/recording.py
+++ b/tests/decisions/recording.py
@@ -8,7 +8,9 @@
 import struct
 from random import Random
 
-from cairnhoist.interface import (
+from fordstair.configuration.settings_document import parse_settings
+from fordstair.decisions.gateway import Gateway
+from fordstair.decisions.interface import (
     Action,
     AttemptEnded,
     AttemptNote,
@@ -36,8 +38,6 @@
     Watch,
     Withdrawn,
 )
-from cairnhoist.logic import Gateway
-from cairnhoist.wire import parse_settings
 from tests.decisions.recorded_sites import SETTINGS_DOCUMENTS
 
 EVENTS = 24_000
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,7 +4,8 @@
 
 from typing import Any, TypeVar
 
-from cairnhoist.interface import (
+from fordstair.decisions.gateway import Gateway
+from fordstair.decisions.interface import (
     Action,
     AttemptEnded,
     Cancel,
@@ -25,7 +26,6 @@
     Status,
     TimerFired,
 )
-from cairnhoist.logic import Gateway
 
 A = TypeVar("A")
 SAFE, LOAD, KEYED = 0, 1, 2
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -20,7 +20,7 @@
 import trio
 import ujson
 
-from fordstair.config import parse
+from fordstair.configuration.platform import parse
 from fordstair.lab import platform_settings
 from fordstair.program import Program as Coordination
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -21,11 +21,11 @@
 
 from fordstair.console.app import ConsoleApp, Question, Table
 from fordstair.console.link import LinkError, ask
-from fordstair.feed.picture import Picture, decode, follow
 from fordstair.lab.appliance import Appliance, appliance, end, operator_file
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
 from fordstair.lab.traffic import Kind, Tally, Traffic
+from fordstair.snapshots.snapshot import Picture, decode, follow
 from tests.standins import ROOT, config, engine, program
 from tests.test_odata import OPERATOR
 from tests.test_platform import play
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,9 +15,9 @@
 import trio
 from trio.testing import wait_all_tasks_blocked
 
-from fordstair.core.clock import monotonic_now
 from fordstair.net.engines.pool import ConnectFailed, Pool, PooledConnection
 from fordstair.program import Program as Coordination
+from fordstair.runtime.clock import monotonic_now
 from tests.standins import (
     SETTINGS,
     Answered,
--- a/tests/test_failings.py
+++ b/tests/test_failings.py
@@ -15,12 +15,12 @@
 import trio
 import ujson
 
-from cairnhoist.interface import EngineEntry
-from fordstair.core.deadlines import Deadlines
 from fordstair.core.ports import Engine, Errand, Query
+from fordstair.decisions.interface import EngineEntry
 from fordstair.net.engines.http_client import Connection
 from fordstair.net.engines.pool import ConnectFailed
 from fordstair.net.engines.rest import RestTransport
+from fordstair.runtime.deadlines import Deadlines
 from tests.standins import ROOT, Answered, RestEngine, at_once, config, engine, never, program
 from tests.test_platform import ROWS, play
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cairnhoist.interface import (
+from fordstair.decisions.interface import (
     AttemptBudget,
     AttemptNote,
     Effect,
@@ -22,7 +22,7 @@
     Status,
     Tenant,
 )
-from cairnhoist.state import Engine, Request
+from fordstair.decisions.state import Engine, Request
 from tests.helpers import CLASSES, LOAD, SAFE, Rig, entry, settings
 
 HEAVY = RequestClass(
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -14,9 +14,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cairnhoist.interface import ListKind, Status
-from cairnhoist.logic import SOUND
-from fordstair.adjust.ledger import (
+from fordstair.configuration.operator_file import load_file
+from fordstair.configuration.operator_file import settings as site_settings
+from fordstair.core.coordinator import Coordinator
+from fordstair.core.ports import Engine
+from fordstair.decisions.gateway import SOUND
+from fordstair.decisions.interface import ListKind, Status
+from fordstair.lab.machine import Job, Machine
+from fordstair.logs.repeats import Repeats
+from fordstair.logs.setup import Log
+from fordstair.logs.sink import Sink
+from fordstair.overrides.register import (
     BringBack,
     Change,
     Drain,
@@ -26,21 +34,23 @@
     Standing,
     Verdict,
 )
-from fordstair.core.clock import WallClock
-from fordstair.core.coordinator import Coordinator
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
-from fordstair.core.events import Events
-from fordstair.core.ports import Engine
-from fordstair.feed.observe import Observer, engine_state
-from fordstair.feed.pacing import BEAT_MS, EVERY_MS, Freshness, Pace
-from fordstair.feed.picture import TABLES, Gap, NoteView, Picture, TeamView, decode, encode, follow, step
-from fordstair.lab.machine import Job, Machine
-from fordstair.logs.repeats import Repeats
-from fordstair.logs.setup import Log
-from fordstair.logs.sink import Sink
-from fordstair.settings.site import load_file
-from fordstair.settings.site import settings as site_settings
+from fordstair.runtime.clock import WallClock
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+from fordstair.runtime.event_log import Events
+from fordstair.snapshots.collector import Observer, engine_state
+from fordstair.snapshots.publishing import BEAT_MS, EVERY_MS, Freshness, Pace
+from fordstair.snapshots.snapshot import (
+    TABLES,
+    Gap,
+    NoteView,
+    Picture,
+    TeamView,
+    decode,
+    encode,
+    follow,
+    step,
+)
 from tests.helpers import CLASSES, Rig, entry
 from tests.test_settings import APPLIANCE
 
@@ -166,7 +176,7 @@
 
 
 def test_a_class_can_be_limited_in_the_module_and_an_unsafe_one_is_refused_before_it_ran() -> None:
-    from cairnhoist.interface import LimitSet
+    from fordstair.decisions.interface import LimitSet
 
     rig = Rig()
     rig.feed(LimitSet(1, 4))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from random import Random
 
-from cairnhoist.interface import Cancel, ListKind, Send, Status
+from fordstair.decisions.interface import Cancel, ListKind, Send, Status
 from fordstair.lab.machine import Job, Machine
 from tests.helpers import SAFE, Rig, entry, settings
 
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -17,9 +17,9 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
 from fordstair.net.identity import Identity, IdentityError, parse_id, read_files, spiffe_id
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
 from tests.standins import RestEngine, config, program
 from tests.test_odata import OPERATOR, runs
 from tests.test_platform import play
--- /dev/null
+++ b/tests/test_layout.py
@@ -0,0 +1,29 @@
+"""The layout that the operators' engineers asked for: no module grows large again."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent
+LINES_MOST = 400
+STILL_LARGER = {
+    "fordstair/core/coordinator.py",
+    "fordstair/decisions/gateway.py",
+    "fordstair/decisions/interface.py",
+    "fordstair/lab/site.py",
+    "fordstair/membership/swim.py",
+    "fordstair/net/clients/odata_front.py",
+    "fordstair/net/console_server.py",
+    "fordstair/program.py",
+    "fordstair/replication/service.py",
+}
+
+
+def test_no_module_is_over_four_hundred_lines() -> None:
+    larger = {
+        str(path.relative_to(ROOT))
+        for folder in ("fordstair", "benchmarks")
+        for path in (ROOT / folder).rglob("*.py")
+        if len(path.read_text().splitlines()) > LINES_MOST
+    }
+    assert larger == STILL_LARGER
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -18,7 +18,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fordstair.core.clock import UnixMs
 from fordstair.lab.history import Operation, check
 from fordstair.replication.clock import HybridClock, Stamp
 from fordstair.replication.costs import is_news, learned, restore
@@ -39,6 +38,7 @@
 from fordstair.replication.records import read
 from fordstair.replication.registers import Register, Registers, newer
 from fordstair.replication.service import Ledger, Service, running
+from fordstair.runtime.clock import UnixMs
 from fordstair.store.disk import Disk, Record, Spoilt, StoreFailed
 from tests.helpers import Rig
 from tests.helpers import settings as settings_of
--- a/tests/test_odata.py
+++ b/tests/test_odata.py
@@ -14,9 +14,9 @@
 import trio
 import ujson
 
-from fordstair.core.deadlines import Deadlines
 from fordstair.net.clients.odata_front import Result, Results
 from fordstair.net.clients.odata_model import EntitySet, ODataError
+from fordstair.runtime.deadlines import Deadlines
 from tests.standins import (
     SETTINGS,
     Answered,
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,14 +10,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cairnhoist.interface import EngineState
-from fordstair.config import ConfigError, flatten, parse
-from fordstair.core.clock import UnixMs
+from fordstair.configuration.platform import ConfigError, flatten, parse
 from fordstair.core.statements import table_group
+from fordstair.decisions.interface import EngineState
 from fordstair.net.clients.messagepack import Incomplete, Malformed, read
 from fordstair.net.clients.odata_model import EntitySet, ODataError, understand
 from fordstair.net.command_channel import FrameError, read_frame, read_records
 from fordstair.net.engines.rest import parse_note, parse_report
+from fordstair.runtime.clock import UnixMs
 from tests.standins import SETTINGS, config
 
 many = settings(max_examples=150, derandomize=True, deadline=None)
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -14,16 +14,16 @@
 import ujson
 from trio.testing import MockClock
 
-from cairnhoist.interface import EngineEntry, EngineState, ListKind
-from fordstair.config import parse
+from fordstair.configuration.platform import parse
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
 from fordstair.core.ports import Call, Engine, Errand, News, Query
+from fordstair.decisions.interface import EngineEntry, EngineState, ListKind
 from fordstair.net.clients.odata_front import Reply
 from fordstair.net.clients.rpc_connection import RpcClient
 from fordstair.net.clients.rpc_front import RpcFront
 from fordstair.program import Program as Coordination
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
 from tests.standins import (
     SETTINGS,
     Answered,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from cairnhoist.interface import (
+from fordstair.decisions.interface import (
     AttemptBudget,
     AttemptEnded,
     Cancel,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from cairnhoist.interface import (
+from fordstair.decisions.gateway import HOLD_MS, LOOK_AT, PROBES_SAVED
+from fordstair.decisions.interface import (
     AttemptBudget,
     EngineState,
     ListKind,
@@ -15,8 +16,7 @@
     Status,
     Tenant,
 )
-from cairnhoist.logic import HOLD_MS, LOOK_AT, PROBES_SAVED
-from cairnhoist.state import Engine, Request
+from fordstair.decisions.state import Engine, Request
 from tests.helpers import CLASSES, LOAD, SAFE, Rig, entry, settings
 
 MANY = 250  # gateways
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -13,20 +13,20 @@
 from hypothesis import strategies as st
 
 from benchmarks.budgets import SHARES, play, told
-from cairnhoist.interface import Effect
 from fordstair.core.admission_queue import AdmissionQueue
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
 from fordstair.core.live_request import LiveRequest
 from fordstair.core.ports import Query
 from fordstair.core.send_guard import SendGuard
+from fordstair.decisions.interface import Effect
 from fordstair.lab.appliance import appliance
 from fordstair.lab.billing_close import Shape, generate, read, write
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
 from fordstair.lab.traffic import Kind, Traffic
 from fordstair.net.clients.odata_front import Reply
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
 from fordstair.scheduling.budgets import Budgets
 from fordstair.scheduling.preemption import CHANGES_PER_S, HOLD_MS, Preemption, Runs
 from fordstair.scheduling.scheduler import AGE_EVERY, Refused, Room, Scheduler, Told, last_start
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,19 +10,19 @@
 from hypothesis import strategies as st
 
 from benchmarks.budgets import told as told_settings
-from benchmarks.halls import figures, run
-from cairnhoist.interface import EngineEntry, EngineState, ListKind
+from benchmarks.zones import figures, run
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.counters import Counters
-from fordstair.core.deadlines import Deadlines
 from fordstair.core.ports import Call, Engine, Errand
 from fordstair.core.zone_watch import ZoneWatch
-from fordstair.feed.observe import engine_state
+from fordstair.decisions.interface import EngineEntry, EngineState, ListKind
 from fordstair.lab.appliance import appliance
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
 from fordstair.lab.traffic import Kind, Traffic
 from fordstair.routing.zones import ELSEWHERE_MS, HOLD_MOST_MS, HOLD_MS, QUIET_MS, ZoneFailures
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+from fordstair.snapshots.collector import engine_state
 from tests.test_platform import play as bounded
 
 ENGINES = {f"{hall}{n}": number for number, hall in enumerate("abc") for n in range(4)}
