--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -20,10 +20,10 @@
 
 from fordstair.configuration.operator_file import settings as site_settings
 from fordstair.configuration.operator_validation import read
-from fordstair.decisions.interface import Settings
+from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import TEAMS, Arrival, Shape, generate
 from fordstair.lab.machine import Machine
-from fordstair.lab.replay import worth
+from fordstair.lab.replay import priority_weight
 from fordstair.lab.virtual import FULL_FROM, Record, World
 from fordstair.scheduling.scheduler import AGE_EVERY, Room, Scheduler, Told
 
@@ -199,7 +199,9 @@
         "wait_within_20pct": round(share, 3),
         "wait_within_20pct_after_jump": round(jump, 3),
         "longest_wait_over_bound": round(longest_over_bound(1_000, seed), 3),
-        "worth_ratio": round(worth(after, settings) / max(1e-9, worth(before, settings)), 3),
+        "worth_ratio": round(
+            priority_weight(after, settings) / max(1e-9, priority_weight(before, settings)), 3
+        ),
         "us_per_request": {str(n): round(us, 1) for n, (us, _) in costs.items()},
         "bytes_per_waiting": {str(n): round(size) for n, (_, size) in costs.items() if size},
         "served_part_without_with": by_team,
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -19,11 +19,13 @@
 
 from benchmarks.budgets import CORES, told
 from benchmarks.command import run as run_command
-from fordstair.decisions.interface import ListKind, Settings, Status
+from fordstair.decisions.engine_list import ListUpdateKind
+from fordstair.decisions.events import Status
+from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import Shape, generate
 from fordstair.lab.clockwork import play
 from fordstair.lab.machine import Machine
-from fordstair.lab.replay import worth
+from fordstair.lab.replay import priority_weight
 from fordstair.lab.site import Server, Site
 from fordstair.lab.virtual import Record
 
@@ -38,10 +40,10 @@
     return replace(
         told(),
         instances=coordinators,
-        cold_from=COLD_FROM,
-        cold_ms=COLD_MS,
-        fall_multiple=FALL_MULTIPLE,
-        fall_ms=FALL_MS,
+        slow_start_initial_capacity=COLD_FROM,
+        slow_start_ms=COLD_MS,
+        slow_start_overload_factor=FALL_MULTIPLE,
+        slow_start_window_ms=FALL_MS,
     )
 
 
@@ -56,11 +58,11 @@
     def back() -> None:
         for server in lost:
             server.come_back_cold()
-        site.tell(ListKind.FULL, site.servers, (100.0, 1_500.0))
+        site.tell(ListUpdateKind.FULL, site.servers, (100.0, 1_500.0))
 
     site.at(DARK_MS, dark)
     left = [name for name, server in site.servers.items() if server not in lost]
-    site.at(DARK_MS + LISTED_MS, lambda: site.tell(ListKind.FULL, left, (0.0, 1_000.0)))
+    site.at(DARK_MS + LISTED_MS, lambda: site.tell(ListUpdateKind.FULL, left, (0.0, 1_000.0)))
     site.at(BACK_MS, back)
 
 
@@ -87,8 +89,8 @@
 
     def part(start: float, end: float) -> float:
         rows = [record for record in records if start <= record.arrival.at_ms < end]
-        asked = sum(settings.classes[record.klass].worth for record in rows)
-        return round(worth(rows, settings) / max(1e-9, asked), 3)
+        asked = sum(settings.classes[record.class_index].priority_weight for record in rows)
+        return round(priority_weight(rows, settings) / max(1e-9, asked), 3)
 
     spans = [(at, at + 5_000.0) for at in range(0, int(seconds * 1e3) - 5_000, 1_000)]
     dark = [record for record in records if DARK_MS <= record.arrival.at_ms < DARK_MS + LISTED_MS]
--- a/fordstair/budgets/caps.py
+++ b/fordstair/budgets/caps.py
@@ -41,7 +41,7 @@
     """A request that is out."""
 
     indexes: tuple[int, ...]
-    klass: int
+    class_index: int
     threads: int
     since_ms: float
 
@@ -62,19 +62,19 @@
         self.buckets = [Bucket() for _ in wholes]
         self._held: dict[int, Held] = {}  # by request
         self._of: dict[tuple[int, int], tuple[int, ...]] = {
-            (team, klass): tuple(
+            (team, class_index): tuple(
                 index
                 for index, whole in enumerate(wholes)
                 if whole.team in ("", of_team) and whole.class_name in ("", of_class)
             )
             for team, of_team in enumerate(teams)
-            for klass, of_class in enumerate(classes)
+            for class_index, of_class in enumerate(classes)
         }
 
-    def arrives(self, now: float, team: int, klass: int, threads: int) -> None:
+    def arrives(self, now: float, team: int, class_index: int, threads: int) -> None:
         """Note a request that will want its turn."""
-        for index in self._of.get((team, klass), ()):
-            bucket, held_ms = self.buckets[index], threads * self.holds_ms[klass]
+        for index in self._of.get((team, class_index), ()):
+            bucket, held_ms = self.buckets[index], threads * self.holds_ms[class_index]
             self._fade(bucket, now)
             if self.wholes[index].kind == "threads":
                 bucket.rate += held_ms / DEMAND_MS
@@ -83,18 +83,18 @@
                 bucket.rate += 1_000.0 / DEMAND_MS
                 bucket.waiting += 1
 
-    def gives_up(self, team: int, klass: int, threads: int) -> None:
+    def gives_up(self, team: int, class_index: int, threads: int) -> None:
         """Note that one waits no more."""
-        for index in self._of.get((team, klass), ()):
+        for index in self._of.get((team, class_index), ()):
             bucket = self.buckets[index]
             if self.wholes[index].kind == "threads":
                 bucket.waiting = max(0, bucket.waiting - threads)
             else:
                 bucket.waiting = max(0, bucket.waiting - 1)
 
-    def fits(self, now: float, team: int, klass: int, threads: int) -> bool:
+    def fits(self, now: float, team: int, class_index: int, threads: int) -> bool:
         """Whether one may go now."""
-        indexes = self._of.get((team, klass), ())
+        indexes = self._of.get((team, class_index), ())
         if not indexes:
             return True
         shares = self.shares(now)
@@ -107,10 +107,10 @@
                 return False
         return True
 
-    def starts(self, now: float, id: int, team: int, klass: int, threads: int) -> None:
+    def starts(self, now: float, id: int, team: int, class_index: int, threads: int) -> None:
         """Note that one goes; it has waited until now."""
-        indexes, shares = self._of.get((team, klass), ()), self.shares(now)
-        self.gives_up(team, klass, threads)
+        indexes, shares = self._of.get((team, class_index), ()), self.shares(now)
+        self.gives_up(team, class_index, threads)
         for index in indexes:
             bucket = self.buckets[index]
             if self.wholes[index].kind == "threads":
@@ -119,14 +119,14 @@
                 self._earn(bucket, now, shares[index])
                 bucket.tokens -= 1.0
         if indexes:
-            self._held[id] = Held(indexes, klass, threads, now)
+            self._held[id] = Held(indexes, class_index, threads, now)
 
     def ends(self, now: float, id: int) -> None:
         """Note that one holds nothing any more."""
         if (held := self._held.pop(id, None)) is None:
             return
         took_ms = max(0.0, now - held.since_ms)
-        self.holds_ms[held.klass] += (took_ms - self.holds_ms[held.klass]) * HOLD_STEP
+        self.holds_ms[held.class_index] += (took_ms - self.holds_ms[held.class_index]) * HOLD_STEP
         for index in held.indexes:
             if self.wholes[index].kind == "threads":
                 bucket, part = self.buckets[index], held.threads / self.wholes[index].quantum
@@ -162,10 +162,10 @@
             told.append(min(whole.units, max(WANT_LEAST, rate) if bucket.rate > 0.05 else 0))
         return tuple(told)
 
-    def binding(self, now: float, team: int, klass: int) -> tuple[Cap | Meter, ...]:
+    def binding(self, now: float, team: int, class_index: int) -> tuple[Cap | Meter, ...]:
         """Return the shares that one which comes now needs, for the forecast of its wait."""
         told, shares = list[Cap | Meter](), self.shares(now)
-        for index in self._of.get((team, klass), ()):
+        for index in self._of.get((team, class_index), ()):
             bucket, share, whole = self.buckets[index], shares[index], self.wholes[index]
             if whole.kind == "threads":
                 told.append(
--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -11,14 +11,8 @@
 from fordstair.configuration.operator_validation import Fault, Faulty, read
 from fordstair.configuration.platform import Budgets, Config, ConfigError, address
 from fordstair.core.ports import Engine
-from fordstair.decisions.interface import (
-    Effect,
-    EngineEntry,
-    ListKind,
-    RequestClass,
-    Settings,
-    Tenant,
-)
+from fordstair.decisions.engine_list import EngineEntry, ListUpdateKind
+from fordstair.decisions.settings import Idempotency, RequestClass, Settings, Tenant
 from fordstair.net.clients.odata_model import EntitySet, Operator
 
 if TYPE_CHECKING:
@@ -65,17 +59,17 @@
         cores_by_kind=tuple(cores for cores, _ in kinds),
         memory_mb_by_kind=tuple(mb for _, mb in kinds),
         priorities=file.reports.priorities,
-        notes_every_ms=file.reports.notes_ms,
-        report_fields=tuple(file.reports.fields),
+        progress_interval_ms=file.reports.notes_ms,
+        load_report_fields=tuple(file.reports.fields),
         may_cancel=file.limits.may_cancel,
-        retry_advice=file.limits.retry_advice,
+        sends_retry_after=file.limits.retry_advice,
         max_retry_after_ms=file.limits.retry_most_ms,
         max_attempts=file.limits.attempts,
-        over_share_worth=file.site.over_share_worth,
-        cold_from=file.cold.start_part,
-        cold_ms=file.cold.warm_ms,
-        fall_multiple=file.cold.fall_multiple,
-        fall_ms=file.cold.fall_ms,
+        over_quota_weight=file.site.over_share_worth,
+        slow_start_initial_capacity=file.cold.start_part,
+        slow_start_ms=file.cold.warm_ms,
+        slow_start_overload_factor=file.cold.fall_multiple,
+        slow_start_window_ms=file.cold.fall_ms,
     )
 
 
@@ -91,7 +85,7 @@
         memory_mb=file.limits.memory_mb,
         channel="",
         cursor=1,
-        known=((1, ListKind.FULL, engines),),
+        known=((1, ListUpdateKind.FULL, engines),),
         settings=settings(file),
         connect_timeout_ms=file.limits.connect_timeout_ms,
         idle_ms=file.limits.idle_ms,
@@ -148,7 +142,7 @@
         },
         console=file.console.socket if file.console is not None else "",
         watchers=file.console.watchers if file.console is not None else 0,
-        avoid_silent_halls=file.routing.avoid_silent_halls,
+        eject_silent_zones=file.routing.avoid_silent_halls,
         fleet=_fleet(file),
         ledger=_ledger(file),
         shares=_shares(file),
@@ -244,12 +238,12 @@
 def _class(told: ClassTable) -> RequestClass:
     return RequestClass(
         told.name,
-        Effect.SAFE if told.effect == "safe" else Effect.UNSAFE,
-        promise_ms=told.promise_ms,
-        aim_stretch=told.aim_stretch,
-        give_up_ms=told.give_up_ms,
-        worth=told.worth,
-        late_worth=told.late_worth,
+        Idempotency.IDEMPOTENT if told.effect == "safe" else Idempotency.NON_IDEMPOTENT,
+        latency_objective_ms=told.promise_ms,
+        latency_objective_work_factor=told.aim_stretch,
+        client_timeout_ms=told.give_up_ms,
+        priority_weight=told.worth,
+        late_weight=told.late_worth,
         threads=told.threads,
         is_load=told.load,
         waits_for_loads=told.waits_for_loads,
--- a/fordstair/configuration/platform.py
+++ b/fordstair/configuration/platform.py
@@ -12,7 +12,8 @@
 
 from fordstair.configuration.settings_document import SettingsDocumentError, parse_settings
 from fordstair.core.ports import Engine
-from fordstair.decisions.interface import ListKind, Settings
+from fordstair.decisions.engine_list import ListUpdateKind
+from fordstair.decisions.settings import Settings
 from fordstair.net.command_channel import read_command
 
 
@@ -31,7 +32,7 @@
     memory_mb: float
     channel: str
     cursor: int
-    known: tuple[tuple[int, ListKind, list[Engine]], ...]  # events: number, kind, engines
+    known: tuple[tuple[int, ListUpdateKind, list[Engine]], ...]  # events: number, kind, engines
     settings: Settings
     connect_timeout_ms: float
     idle_ms: float
--- a/fordstair/configuration/settings_document.py
+++ b/fordstair/configuration/settings_document.py
@@ -5,19 +5,23 @@
 import math
 from typing import TypeVar
 
-from fordstair.decisions.interface import (
-    AttemptBudget,
+from fordstair.decisions.settings import (
+    DeduplicationScope,
     Discovery,
-    Effect,
+    Idempotency,
     RequestClass,
-    Scope,
+    RetryBudget,
     Settings,
     Tenant,
 )
 
 T = TypeVar("T")
 
-_EFFECT = {"read_like": Effect.SAFE, "idempotency_key": Effect.KEYED, "non_idempotent": Effect.UNSAFE}
+_IDEMPOTENCY = {
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.WITH_KEY,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
+}
 
 
 class SettingsDocumentError(ValueError):
@@ -84,7 +88,7 @@
     pairs = _Pairs(text)
     budget = None
     if "obligations.furtherRatio" in pairs.values or "obligations.budgetFree" in pairs.values:
-        budget = AttemptBudget(
+        budget = RetryBudget(
             free=pairs.number("obligations.budgetFree"),
             ratio=pairs.number("obligations.furtherRatio"),
             window_ms=pairs.number("obligations.lookBackMs", 5000.0),
@@ -101,26 +105,26 @@
             instances=pairs.whole("instances", 1),
             cores_by_kind=pairs.numbers("extra.cpuOfKind"),
             memory_mb_by_kind=pairs.numbers("extra.kindMemoryMb"),
-            largest_grant_share=pairs.number("extra.largestShare", 1.0),
+            largest_memory_grant_share=pairs.number("extra.largestShare", 1.0),
             grants=pairs.flag("extra.grants"),
             priorities=pairs.flag("extra.priorities"),
-            notes_every_ms=pairs.number("extra.tellsEveryMs"),
-            report_fields=fields if source != "silent" else (),
+            progress_interval_ms=pairs.number("extra.tellsEveryMs"),
+            load_report_fields=fields if source != "silent" else (),
             reports_by_probe_only=source == "pull",
             discovery=pairs.choice("discovery", {"push": Discovery.PUSH, "ask": Discovery.ASK}, "push"),
-            ask_within_ms=pairs.number("obligations.askWithinMs", 10000.0),
+            poll_within_ms=pairs.number("obligations.askWithinMs", 10000.0),
             probes=pairs.flag("limits.probes"),
             may_cancel=pairs.flag("limits.mayCancel"),
-            retry_advice=pairs.flag("limits.retryAfter"),
+            sends_retry_after=pairs.flag("limits.retryAfter"),
             max_retry_after_ms=pairs.number("limits.maxRetryAfterMs"),
             max_attempts=pairs.whole("limits.sendCap", 1),
-            over_share_worth=pairs.number("overShareWorth", 1.0),
-            attempt_budget=budget,
-            order_settle_ms=pairs.number("obligations.orderSettleMs"),
-            cold_from=pairs.number("obligations.coldFrom", 1.0),
-            cold_ms=pairs.number("obligations.coldMs"),
-            fall_multiple=pairs.number("obligations.fallMultiple", 1.0),
-            fall_ms=pairs.number("obligations.fallMs", 1000.0),
+            over_quota_weight=pairs.number("overShareWorth", 1.0),
+            retry_budget=budget,
+            ordering_settle_ms=pairs.number("obligations.orderSettleMs"),
+            slow_start_initial_capacity=pairs.number("obligations.coldFrom", 1.0),
+            slow_start_ms=pairs.number("obligations.coldMs"),
+            slow_start_overload_factor=pairs.number("obligations.fallMultiple", 1.0),
+            slow_start_window_ms=pairs.number("obligations.fallMs", 1000.0),
         )
     except ValueError as error:
         raise SettingsDocumentError(f"settings: {error}") from None
@@ -138,14 +142,14 @@
 
     return RequestClass(
         name=pairs.text(f"{path}.name", str(index)),
-        effect=pairs.choice(f"{path}.effect", _EFFECT, "non_idempotent"),
-        promise_ms=pairs.number(f"{path}.promiseMs", 1000.0),
-        aim_stretch=pairs.number(f"{path}.aimStretch"),
-        give_up_ms=pairs.number(f"{path}.giveUpMs", 10000.0),
-        worth=pairs.number(f"{path}.worth", 1.0),
-        late_worth=pairs.number(f"{path}.lateWorth"),
-        scope=pairs.choice(f"{path}.group", {s.value: s for s in Scope}, "all"),
-        memory_span_ms=pairs.number(f"{path}.memorySpanMs"),
+        idempotency=pairs.choice(f"{path}.effect", _IDEMPOTENCY, "non_idempotent"),
+        latency_objective_ms=pairs.number(f"{path}.promiseMs", 1000.0),
+        latency_objective_work_factor=pairs.number(f"{path}.aimStretch"),
+        client_timeout_ms=pairs.number(f"{path}.giveUpMs", 10000.0),
+        priority_weight=pairs.number(f"{path}.worth", 1.0),
+        late_weight=pairs.number(f"{path}.lateWorth"),
+        deduplication_scope=pairs.choice(f"{path}.group", {s.value: s for s in DeduplicationScope}, "all"),
+        deduplication_window_ms=pairs.number(f"{path}.memorySpanMs"),
         ordered=pairs.flag(f"{path}.serialByKey"),
         zones=places("areasOpen"),
         kinds=places("hostTypesAllowed"),
--- a/fordstair/console/panes.py
+++ b/fordstair/console/panes.py
@@ -120,7 +120,7 @@
             str(view.id),
             (
                 view.txn,
-                view.lane,
+                view.class_name,
                 view.team,
                 age(view.taken_ms, now_ms),
                 span(view.deadline_ms - now_ms),
@@ -135,7 +135,10 @@
 def _refusals(picture: Picture, now_ms: float, stale: bool) -> Rows:
     views = picture.rows("refusals")
     return [
-        (f"{view.lane}|{view.reason}", (view.lane, view.reason or "no reason told", str(view.count)))
+        (
+            f"{view.class_name}|{view.reason}",
+            (view.class_name, view.reason or "no reason told", str(view.count)),
+        )
         for view in views
     ]
 
--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -44,15 +44,15 @@
     async def wait(self, live: LiveRequest) -> None:
         """Wait until the module has been told of the request, or it is over."""
         told, now = self.coordinator.arrival(live), self.coordinator.deadlines.clock()
-        gateway, spec = self.coordinator.gateway, self.coordinator.settings.classes[told.klass]
-        work_ms = gateway.cache.forecast(told.klass, told.group, told.cost_ms)
+        gateway, spec = self.coordinator.gateway, self.coordinator.settings.classes[told.class_index]
+        work_ms = gateway.cache.forecast(told.class_index, told.group, told.cost_ms)
         self._resize()
-        caps = () if self.caps is None else self.caps.binding(now, told.tenant, told.klass)
+        caps = () if self.caps is None else self.caps.binding(now, told.tenant, told.class_index)
         admission = self.scheduler.arrive(
             Told(
                 live.id,
                 told.tenant,
-                told.klass,
+                told.class_index,
                 spec.threads,
                 work_ms,
                 last_start(spec, work_ms, now, live.deadline_ms),
@@ -61,7 +61,7 @@
             now,
         )
         if self.caps is not None:
-            self.caps.arrives(now, told.tenant, told.klass, spec.threads)
+            self.caps.arrives(now, told.tenant, told.class_index, spec.threads)
         if admission.refused is not None:
             self._gives_up(live)
             return self._refuse(live, admission.refused, admission.wait.likely_ms)
@@ -93,7 +93,7 @@
         while (released := self.scheduler.release(now, self._room)) is not None:
             live = self._lives.pop(released.id)
             if self.caps is not None:
-                self.caps.starts(now, released.id, released.team, released.klass, released.threads)
+                self.caps.starts(now, released.id, released.team, released.class_index, released.threads)
             self.coordinator.counters.add("turns.released")
             self.coordinator.tell(self.coordinator.arrival(live))
             live.ordered.set()
@@ -115,18 +115,18 @@
 
     def _gives_up(self, live: LiveRequest) -> None:
         if self.caps is not None:
-            threads = self.coordinator.settings.classes[live.query.klass].threads
-            self.caps.gives_up(live.query.tenant, live.query.klass, threads)
+            threads = self.coordinator.settings.classes[live.query.class_index].threads
+            self.caps.gives_up(live.query.tenant, live.query.class_index, threads)
 
     def _room(self, item: Item) -> Room:
         gateway = self.coordinator.gateway
         if self.caps is not None and not self.caps.fits(
-            self.coordinator.deadlines.clock(), item.team, item.klass, item.threads
+            self.coordinator.deadlines.clock(), item.team, item.class_index, item.threads
         ):
             return Room.BUDGET_FULL
         if gateway.has_room(self.coordinator.arrival(self._lives[item.id])):
             return Room.FITS
-        return Room.CLASS_FULL if item.klass in gateway.limits else Room.FULL
+        return Room.CLASS_FULL if item.class_index in gateway.limits else Room.FULL
 
     def _refuse(self, live: LiveRequest, why: Refused, later_ms: float) -> None:
         """Answer at once, with the time from which there is room: nothing of it ever ran."""
@@ -137,7 +137,7 @@
             self.scheduler.turns_a_ms,
             settings.max_retry_after_ms,
         )
-        self.coordinator.refuse(live, later if settings.retry_advice else 0.0, why.value)
+        self.coordinator.refuse(live, later if settings.sends_retry_after else 0.0, why.value)
 
     def _resize(self) -> None:
         """Follow the engines that take new work."""
@@ -190,7 +190,7 @@
             live.id,
             query.tenant,
             query.group,
-            coordinator.settings.classes[query.klass].is_load,
+            coordinator.settings.classes[query.class_index].is_load,
             left_ms,
             engine is not None and engine.protocol != "odata",
         )
--- a/fordstair/core/coordinator.py
+++ b/fordstair/core/coordinator.py
@@ -12,33 +12,33 @@
 from fordstair.core.extensions import AttemptWatch, RequestQueue
 from fordstair.core.invariants import Invariant, Invariants
 from fordstair.core.live_request import AttemptOutcome, LiveRequest
-from fordstair.core.ports import AttemptFailed, Call, Engine, Errand, Query, Reply, Transport
+from fordstair.core.ports import AttemptFailed, AttemptRequest, Call, Engine, Query, Reply, Transport
 from fordstair.core.send_guard import Denial, SendGuard
-from fordstair.decisions.gateway import Gateway
-from fordstair.decisions.interface import (
+from fordstair.decisions.actions import (
+    CancelAttempt,
+    FailRequest,
+    LogMessage,
+    RejectRequest,
+    SendAttempt,
+    SetQueryResources,
+    StartTimer,
+)
+from fordstair.decisions.engine_list import EngineEntry, EngineState, ListUpdateKind
+from fordstair.decisions.events import (
     AttemptEnded,
     AttemptNote,
-    Cancel,
-    ClientGone,
-    EngineEntry,
-    EngineState,
+    ClientDisconnected,
+    ConcurrencyLimitSet,
+    EngineListChanged,
     Event,
-    Fail,
-    LimitSet,
-    ListKind,
-    Log,
-    MembersChanged,
-    ProbeEnded,
-    Refuse,
+    HealthCheckEnded,
     RequestArrived,
-    Send,
-    SetTerms,
-    SetTimer,
-    Settings,
+    RequestWithdrawn,
     Status,
     TimerFired,
-    Withdrawn,
 )
+from fordstair.decisions.gateway import Gateway
+from fordstair.decisions.settings import Settings
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.runtime.event_log import Events
@@ -76,7 +76,7 @@
         self.tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         self.draining = False
         self.closed = False  # what still comes is answered, and nothing of it sent on
-        self.aside: set[str] = set()  # ids of engines that an operator has set aside, listed or not
+        self.cordoned: set[str] = set()  # ids of engines that an operator has set aside, listed or not
         self.refusals: Counter[tuple[str, str]] = Counter()  # by class and the module's reason
         self.on_change: Callable[[], None] = _nobody  # called at each transition, for those who look on
         self.admission_queue: RequestQueue | None = None
@@ -95,14 +95,19 @@
         assert self._nursery is not None, "the coordinator is not running"
         self._last_id += 1
         now = self.deadlines.clock()
-        spec = self.settings.classes[query.klass]
+        spec = self.settings.classes[query.class_index]
         left_ms = max(0.0, query.limit_ms - TRANSIT_MS - query.waited_ms)
         live = LiveRequest(
-            self._last_id, query, reply, now, now + left_ms, SendGuard(spec.effect, spec.memory_span_ms)
+            self._last_id,
+            query,
+            reply,
+            now,
+            now + left_ms,
+            SendGuard(spec.idempotency, spec.deduplication_window_ms),
         )
         self.live[live.id] = live
         self._txns.add(query.txn.lower())
-        self.counters.add(f"taken.{query.lane}")
+        self.counters.add(f"taken.{query.class_name}")
         self._nursery.start_soon(self._guarded, live)
         return live
 
@@ -120,7 +125,7 @@
             self.counters.add("client.left")
             live.end()
             if self.admission_queue is None or not self.admission_queue.forget(live):
-                self.tell(ClientGone(live.id))
+                self.tell(ClientDisconnected(live.id))
 
     @property
     def open(self) -> int:
@@ -132,7 +137,7 @@
         self.closed = True
         for live in [live for live in self.live.values() if not live.over]:
             if self.admission_queue is None or not self.admission_queue.withdraw(live):
-                self.tell(Withdrawn(live.id))
+                self.tell(RequestWithdrawn(live.id))
 
     async def _guarded(self, live: LiveRequest) -> None:
         """Keep a fault in one request from taking down the others: it becomes a failed answer."""
@@ -156,7 +161,7 @@
     def _write_off(self, live: LiveRequest) -> None:
         """Tell the module that nothing is out; else it would count the attempt's threads for good."""
         try:
-            self.tell(ClientGone(live.id))
+            self.tell(ClientDisconnected(live.id))
             self.tell(AttemptEnded(live.id, live.attempts - 1, live.engine, Status.ERROR, 0.0, complete=True))
         except Exception:
             log.exception("module.broke", txn=live.query.txn)
@@ -170,11 +175,11 @@
         else:
             await self.admission_queue.wait(live)
         if self.closed:
-            self.tell(Withdrawn(live.id))
+            self.tell(RequestWithdrawn(live.id))
         while (order := await live.next_order()) is not None:
             self.tell(await self._attempt(live, order))
 
-    async def _attempt(self, live: LiveRequest, order: Send) -> AttemptEnded:
+    async def _attempt(self, live: LiveRequest, order: SendAttempt) -> AttemptEnded:
         """Carry one attempt out; return its end, of which the module must hear whatever it was."""
         number, live.attempts = live.attempts, live.attempts + 1
         live.engine, live.lowered = order.engine, False
@@ -197,8 +202,8 @@
         if live.scope.cancelled_caught and self.deadlines.clock() >= until_ms:
             outcome.status = Status.TIMEOUT
         if outcome.status is not Status.OK:  # what may still run must be given up before the next attempt
-            outcome.loose = not await call.drop()
-        live.guard.end(outcome.status, loose=outcome.loose)
+            outcome.may_still_run = not await call.drop()
+        live.guard.end(outcome.status, may_still_run=outcome.may_still_run)
         live.scope, live.call = None, None
         took_ms = self.deadlines.clock() - sent_ms
         self._note_end(live, order, number, outcome, took_ms)
@@ -212,20 +217,20 @@
             took_ms,
             complete=live.over,
             report=outcome.report,
-            loose=outcome.loose,
+            may_still_run=outcome.may_still_run,
             late=outcome.late,
         )
 
-    def _call(self, live: LiveRequest, engine: Engine, order: Send, limit_ms: float) -> Call:
+    def _call(self, live: LiveRequest, engine: Engine, order: SendAttempt, limit_ms: float) -> Call:
         # The transport asks the guard right before bytes go out: an engine may have begun to drain while a
         # connection came up, and the request may have been given up meanwhile.
         may_go = partial(self._may_go, live, engine, order)
         return self.transports[engine.protocol].call(
-            Errand(live.query, engine, live.urgency, limit_ms, may_go)
+            AttemptRequest(live.query, engine, live.urgency, limit_ms, may_go)
         )
 
     async def _follow(
-        self, live: LiveRequest, order: Send, number: int, call: Call, outcome: AttemptOutcome
+        self, live: LiveRequest, order: SendAttempt, number: int, call: Call, outcome: AttemptOutcome
     ) -> None:
         """Ask for an attempt until it has ended, and put down how."""
         try:
@@ -249,7 +254,7 @@
             if self.zone_watch is not None and not failure.reached:
                 self.zone_watch.missed(order.engine)
 
-    def _held(self, live: LiveRequest, order: Send, denial: Denial) -> None:
+    def _held(self, live: LiveRequest, order: SendAttempt, denial: Denial) -> None:
         """Count an attempt that was not begun; whoever ordered one that no rule allows has a fault."""
         self.counters.add(f"held.{denial.name.lower()}")
         if (rule := denial.violates) is None:
@@ -257,26 +262,26 @@
         self.invariants.violated(rule, txn=live.query.txn, engine=order.engine, attempt=live.attempts - 1)
         self.answer(live, "failed", partial(live.reply.failed, denial.value))
 
-    def _note_sent(self, live: LiveRequest, order: Send, number: int) -> None:
-        self.counters.add(f"sent.{live.query.lane}")
+    def _note_sent(self, live: LiveRequest, order: SendAttempt, number: int) -> None:
+        self.counters.add(f"sent.{live.query.class_name}")
         if self.zone_watch is not None:
             self.zone_watch.sent(live.id)
         if number:
-            self.counters.add(f"repeated.{live.query.lane}")
+            self.counters.add(f"repeated.{live.query.class_name}")
             log.info(
                 "attempt.repeated",
                 txn=live.query.txn,
-                lane=live.query.lane,
+                class_name=live.query.class_name,
                 attempt=number,
                 engine=order.engine,
                 left_ms=round(live.deadline_ms - self.deadlines.clock()),
             )
 
     def _note_end(
-        self, live: LiveRequest, order: Send, number: int, outcome: AttemptOutcome, took_ms: float
+        self, live: LiveRequest, order: SendAttempt, number: int, outcome: AttemptOutcome, took_ms: float
     ) -> None:
         status = outcome.status
-        live.held_ms += took_ms * self.settings.classes[live.query.klass].threads
+        live.held_ms += took_ms * self.settings.classes[live.query.class_index].threads
         self.counters.add(f"outcome.{status.value}")
         if self.zone_watch is not None:
             self.zone_watch.ended(live.id)
@@ -286,12 +291,12 @@
             log.info(
                 "attempt.ended",
                 txn=live.query.txn,
-                lane=live.query.lane,
+                class_name=live.query.class_name,
                 attempt=number,
                 engine=order.engine,
                 status=status.value,
-                unrun=status.proves_unrun,
-                loose=outcome.loose,
+                not_run=status.proves_not_run,
+                may_still_run=outcome.may_still_run,
                 after_ms=round(took_ms),
                 why=outcome.why,
             )
@@ -301,7 +306,7 @@
         query = live.query
         return RequestArrived(
             live.id,
-            query.klass,
+            query.class_index,
             live.deadline_ms - self.deadlines.clock(),
             query.tenant,
             query.cost_ms,
@@ -314,45 +319,45 @@
         now = self.deadlines.clock()
         for action in self.gateway.handle(now, event):
             match action:
-                case Send(request):
+                case SendAttempt(request):
                     if (live := self.live.get(request)) is not None:
                         live.order = action
                         live.ordered.set()
-                case Refuse(request, later, reason):
+                case RejectRequest(request, later, reason):
                     if (live := self.live.get(request)) is not None:
                         self.refuse(live, later, reason)
-                case Fail(request, reason):
+                case FailRequest(request, reason):
                     if (live := self.live.get(request)) is not None:
                         log.info(
                             "request.failed",
                             txn=live.query.txn,
-                            lane=live.query.lane,
+                            class_name=live.query.class_name,
                             why=reason,
                             attempts=live.attempts,
                         )
                         self.answer(live, "failed", partial(live.reply.failed, reason or "given up"))
-                case Cancel(request, attempt):
+                case CancelAttempt(request, attempt):
                     live = self.live.get(request)
                     if live is not None and live.scope is not None and live.attempts == attempt + 1:
                         live.scope.cancel()
-                case SetTerms(request, _, priority):
+                case SetQueryResources(request, _, priority):
                     self._set_urgency(request, priority)
-                case SetTimer(token, delay):
+                case StartTimer(token, delay):
                     self.deadlines.add(now + delay, partial(self.tell, TimerFired(token)))
-                case Log(text):
+                case LogMessage(text):
                     log.info("module.says", text=text)
                 case _:  # this deployment knows neither probes nor peers, and its register pushes
                     log.warning("module.asks_in_vain", action=action)
         self.on_change()
 
-    def members(self, kind: ListKind, engines: Iterable[Engine]) -> None:
+    def members(self, kind: ListUpdateKind, engines: Iterable[Engine]) -> None:
         """Take news of the register in, and pass it to the module."""
         listed = list(engines)
-        if kind is not ListKind.DELTA:
+        if kind is not ListUpdateKind.DELTA:
             for gone in self.engines.keys() - {engine.entry.engine for engine in listed}:
                 self._retire(self.engines.pop(gone))
         for engine in listed:
-            engine.aside = engine.entry.engine in self.aside
+            engine.cordoned = engine.entry.engine in self.cordoned
             old = self.engines.get(engine.entry.engine)
             if old is not None and (old.address, old.entry.started_ms) == (
                 engine.address,
@@ -371,25 +376,25 @@
         self.counters.add("members.events")
         # As they are kept here: one that is listed again may stand in a hall that is avoided.
         known = (self.engines.get(engine.entry.engine, engine) for engine in listed)
-        self.tell(MembersChanged(kind, tuple(engine.told for engine in known)))
+        self.tell(EngineListChanged(kind, tuple(engine.told for engine in known)))
 
     def unreached(self, address: str, after_ms: float) -> None:
         """A connection there has not come up for long: what answers there next may have started anew."""
         for name in [name for name, engine in self.engines.items() if engine.address == address]:
-            self.tell(ProbeEnded(name, Status.CONNECT_FAILED, after_ms))
+            self.tell(HealthCheckEnded(name, Status.CONNECT_FAILED, after_ms))
 
-    def set_aside(self, name: str, aside: bool) -> None:
+    def set_aside(self, name: str, cordoned: bool) -> None:
         """Send an engine nothing new, or again; what runs there goes on, and its word is heeded as before."""
-        (self.aside.add if aside else self.aside.discard)(name)
+        (self.cordoned.add if cordoned else self.cordoned.discard)(name)
         if (engine := self.engines.get(name)) is not None:
-            engine.aside = aside
-            self.tell(MembersChanged(ListKind.DELTA, (engine.told,)))
+            engine.cordoned = cordoned
+            self.tell(EngineListChanged(ListUpdateKind.DELTA, (engine.told,)))
 
-    def limit(self, klass: int, threads: int | None) -> None:
+    def limit(self, class_index: int, threads: int | None) -> None:
         """Bound the threads that a class may have out; None lifts the bound."""
-        self.tell(LimitSet(klass, threads))
+        self.tell(ConcurrencyLimitSet(class_index, threads))
 
-    async def _may_go(self, live: LiveRequest, engine: Engine, order: Send) -> bool:
+    async def _may_go(self, live: LiveRequest, engine: Engine, order: SendAttempt) -> bool:
         """Whether bytes may go out now; nothing runs between the look and them."""
         await live.reply.caught_up()
         if (denial := self._denial(live, engine, order)) is not None:
@@ -398,7 +403,7 @@
         live.guard.begin(self.deadlines.clock())
         return True
 
-    def _denial(self, live: LiveRequest, engine: Engine, order: Send) -> Denial | None:
+    def _denial(self, live: LiveRequest, engine: Engine, order: SendAttempt) -> Denial | None:
         """Return why an attempt must not begin now; None where it may."""
         if live.over:
             return Denial.REQUEST_OVER
@@ -422,9 +427,13 @@
 
     def refuse(self, live: LiveRequest, later_ms: float, reason: str) -> None:
         """Give the final answer that a retry is harmless, and count why."""
-        self.refusals[live.query.lane, reason] += not live.over
+        self.refusals[live.query.class_name, reason] += not live.over
         log.debug(
-            "request.refused", txn=live.query.txn, lane=live.query.lane, why=reason, attempts=live.attempts
+            "request.refused",
+            txn=live.query.txn,
+            class_name=live.query.class_name,
+            why=reason,
+            attempts=live.attempts,
         )
         self.answer(live, "refused", partial(live.reply.refused, later_ms))
 
@@ -432,7 +441,7 @@
         """Give the one final answer, at once; a second one is never given."""
         if live.over:
             return
-        self.counters.add(f"answered.{how}.{live.query.lane}")
+        self.counters.add(f"answered.{how}.{live.query.class_name}")
         answer()
         live.over = True
         live.ordered.set()
--- a/fordstair/core/live_request.py
+++ b/fordstair/core/live_request.py
@@ -8,7 +8,8 @@
 
 from fordstair.core.ports import Call, Query, Reply
 from fordstair.core.send_guard import SendGuard
-from fordstair.decisions.interface import Send, Status
+from fordstair.decisions.actions import SendAttempt
+from fordstair.decisions.events import Status
 
 
 @dataclass(slots=True, eq=False)
@@ -27,12 +28,12 @@
     held_ms: float = 0.0  # thread-milliseconds at engines so far
     engine: str = ""
     over: bool = False  # its final answer is given, or nobody waits for one
-    order: Send | None = None
+    order: SendAttempt | None = None
     ordered: trio.Event = field(default_factory=trio.Event)
     call: Call | None = None
     scope: trio.CancelScope | None = None  # of the attempt that is out
 
-    async def next_order(self) -> Send | None:
+    async def next_order(self) -> SendAttempt | None:
         """Wait for the module's next send; None once the request is over."""
         while self.order is None and not self.over:
             self.ordered = trio.Event()
@@ -55,6 +56,6 @@
     status: Status = Status.CANCELLED
     pages: list[bytes] = field(default_factory=list)
     report: tuple[float, ...] = ()
-    loose: bool = False  # it may begin or run yet
+    may_still_run: bool = False  # it may begin or run yet
     late: bool = False  # its connection may come up yet
     why: str = ""
--- a/fordstair/core/ports.py
+++ b/fordstair/core/ports.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from fordstair.decisions.interface import EngineEntry, EngineState, NoteKind, Status
+from fordstair.decisions.engine_list import EngineEntry, EngineState
+from fordstair.decisions.events import NoteKind, Status
 from fordstair.runtime.clock import UnixMs
 
 
@@ -15,8 +16,8 @@
     """One request of a client, in no wire's form."""
 
     txn: str
-    lane: str  # the class, by name
-    klass: int
+    class_name: str  # the class, by name
+    class_index: int
     tenant: int
     limit_ms: float  # how long the client waits, from its send
     statement: bytes
@@ -34,13 +35,13 @@
     address: str  # host:port
     protocol: str = "rest"
     started: UnixMs | None = None  # its process, as discovery tells it; None: long past
-    aside: bool = False  # an operator has set it aside
+    cordoned: bool = False  # an operator has set it aside
     avoided: bool = False  # its hall is out of reach
 
     @property
     def ready(self) -> bool:
         """Whether new work may go there."""
-        return self.entry.state is EngineState.READY and not (self.aside or self.avoided)
+        return self.entry.state is EngineState.READY and not (self.cordoned or self.avoided)
 
     @property
     def told(self) -> EngineEntry:
@@ -122,7 +123,7 @@
 
 
 @dataclass(slots=True)
-class Errand:
+class AttemptRequest:
     """What a transport is told of one attempt."""
 
     query: Query
@@ -135,7 +136,7 @@
 class Transport(Protocol):
     """Carries attempts to engines."""
 
-    def call(self, errand: Errand) -> Call:
+    def call(self, attempt_request: AttemptRequest) -> Call:
         """Prepare one attempt; nothing is sent yet."""
 
     def forget(self, engine: Engine) -> None:
--- a/fordstair/core/send_guard.py
+++ b/fordstair/core/send_guard.py
@@ -7,7 +7,8 @@
 from enum import Enum
 
 from fordstair.core.invariants import Invariant
-from fordstair.decisions.interface import Effect, Status
+from fordstair.decisions.events import Status
+from fordstair.decisions.settings import Idempotency
 
 
 class Denial(Enum):
@@ -35,7 +36,7 @@
     It is kept apart from the decision module, which decides on further attempts: both must allow one.
     """
 
-    effect: Effect
+    idempotency: Idempotency
     window_ms: float  # in which engines discard the duplicates of a keyed request
     out: bool = False  # bytes of an attempt have gone, and its end is not known
     may_have_run: bool = False
@@ -46,9 +47,13 @@
         """Return why an attempt must not begin; None where it may."""
         if self.out or self.may_begin_yet:
             return Denial.ANOTHER_OUT
-        if self.effect is Effect.UNSAFE and self.may_have_run:
+        if self.idempotency is Idempotency.NON_IDEMPOTENT and self.may_have_run:
             return Denial.MAY_HAVE_RUN
-        if self.effect is Effect.KEYED and self.may_have_run and now_ms > self.first_sent_ms + self.window_ms:
+        if (
+            self.idempotency is Idempotency.WITH_KEY
+            and self.may_have_run
+            and now_ms > self.first_sent_ms + self.window_ms
+        ):
             return Denial.WINDOW_OVER
         return None
 
@@ -57,12 +62,12 @@
         self.out = True
         self.first_sent_ms = min(self.first_sent_ms, now_ms)
 
-    def end(self, status: Status, *, loose: bool) -> None:
+    def end(self, status: Status, *, may_still_run: bool) -> None:
         """Note how an attempt ended; one that never began leaves all as it was."""
         if not self.out:
             return
         self.out = False
-        if status.proves_unrun:
+        if status.proves_not_run:
             return
         self.may_have_run = True
-        self.may_begin_yet = self.may_begin_yet or loose
+        self.may_begin_yet = self.may_begin_yet or may_still_run
--- a/fordstair/core/zone_watch.py
+++ b/fordstair/core/zone_watch.py
@@ -4,7 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from fordstair.decisions.interface import ListKind, MembersChanged
+from fordstair.decisions.engine_list import ListUpdateKind
+from fordstair.decisions.events import EngineListChanged
 from fordstair.routing.zones import SILENCE_MS, ZoneFailures
 from fordstair.runtime.event_log import Events
 
@@ -92,7 +93,9 @@
             )
             self.coordinator.counters.add("halls.avoided" if avoided else "halls.tried")
         if turned:
-            self.coordinator.tell(MembersChanged(ListKind.DELTA, tuple(engine.told for engine in turned)))
+            self.coordinator.tell(
+                EngineListChanged(ListUpdateKind.DELTA, tuple(engine.told for engine in turned))
+            )
 
     def _now(self) -> float:
         return self.coordinator.deadlines.clock()
--- /dev/null
+++ b/fordstair/decisions/actions.py
@@ -0,0 +1,118 @@
+"""The actions that the decision module answers an event with; its host carries them out in order."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+from typing import TypeAlias
+
+from fordstair.decisions.engine_list import EngineId
+
+
+@dataclass(slots=True, frozen=True)
+class SendAttempt:
+    """Send the request's next attempt; a limit of 0 lets it run until the client leaves."""
+
+    request: int
+    engine: EngineId
+    limit_ms: float = 0.0
+    begin_by: float = math.inf  # from then on it must not begin: what ran before may be forgotten there
+
+
+@dataclass(slots=True, frozen=True)
+class RejectRequest:
+    """Final answer: no, and a retry does no harm."""
+
+    request: int
+    retry_after_ms: float = 0.0
+    reason: str = ""  # one of a few fixed texts, for those who look on
+
+
+@dataclass(slots=True, frozen=True)
+class FailRequest:
+    """Final answer: failed; nothing is promised about the effect."""
+
+    request: int
+    reason: str = ""
+
+
+@dataclass(slots=True, frozen=True)
+class CancelAttempt:
+    """Stop one attempt."""
+
+    request: int
+    attempt: int
+
+
+@dataclass(slots=True, frozen=True)
+class SetQueryResources:
+    """Memory for the next attempts (0: the engine's choice) and priority, 0 to 3."""
+
+    request: int
+    memory_mb: float = 0.0
+    priority: int = 1
+
+
+@dataclass(slots=True, frozen=True)
+class StartTimer:
+    """Ask for a TimerFired after the delay."""
+
+    token: int
+    delay_ms: float
+
+
+@dataclass(slots=True, frozen=True)
+class CheckHealth:
+    """Ask an engine for its state."""
+
+    engine: EngineId
+
+
+@dataclass(slots=True, frozen=True)
+class CloseIdleConnections:
+    """Close idle connections to an engine."""
+
+    engine: EngineId
+
+
+@dataclass(slots=True, frozen=True)
+class SendPeerMessage:
+    """Tell a sibling, or all where peer is None."""
+
+    peer: int | None
+    payload: bytes
+
+
+@dataclass(slots=True, frozen=True)
+class LogMessage:
+    """A line for the operators."""
+
+    text: str
+
+
+@dataclass(slots=True, frozen=True)
+class WatchEngineList:
+    """Start or stop the subscription to discovery."""
+
+    on: bool = True
+
+
+@dataclass(slots=True, frozen=True)
+class FetchEngineList:
+    """Ask discovery for the whole list once."""
+
+
+Action: TypeAlias = (
+    SendAttempt
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | SetQueryResources
+    | StartTimer
+    | CheckHealth
+    | CloseIdleConnections
+    | SendPeerMessage
+    | LogMessage
+    | WatchEngineList
+    | FetchEngineList
+)
--- a/fordstair/decisions/gateway.py
+++ b/fordstair/decisions/gateway.py
@@ -6,39 +6,35 @@
 from typing import Any
 from zlib import crc32
 
-from fordstair.decisions.interface import (
+from fordstair.decisions.actions import (
     Action,
-    AttemptBudget,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SetQueryResources,
+    StartTimer,
+    WatchEngineList,
+)
+from fordstair.decisions.engine_list import EngineId, EngineState, ListUpdateKind
+from fordstair.decisions.events import (
     AttemptEnded,
     AttemptNote,
-    Cancel,
-    ClientGone,
-    Discovery,
-    Effect,
-    EngineId,
-    EngineState,
+    ClientDisconnected,
+    ConcurrencyLimitSet,
+    EngineListChanged,
     Event,
-    Fail,
-    LimitSet,
-    ListKind,
-    MembersChanged,
+    HealthCheckEnded,
     NoteKind,
-    Probe,
-    ProbeEnded,
-    Refuse,
     RequestArrived,
-    Scope,
-    Send,
-    SetTerms,
-    SetTimer,
-    Settings,
+    RequestWithdrawn,
     Status,
     StreamStarted,
     TimerFired,
-    Watch,
-    Withdrawn,
 )
 from fordstair.decisions.retries import may_have_run, must_not_repeat, window_end
+from fordstair.decisions.settings import DeduplicationScope, Discovery, Idempotency, RetryBudget, Settings
 from fordstair.decisions.state import (
     Attempt,
     Engine,
@@ -73,7 +69,7 @@
 FAULTS = (Status.RESET, Status.CONNECT_FAILED, Status.FULL)  # full, since what hangs fills up
 PROVEN = 0.4  # share of errors that the first one is read as which is surely its engine's
 ERRORS_MOST = 2  # engines that may answer with an error before the request counts as at fault
-OWN_RATION = AttemptBudget(1.0, 0.5, 5000.0)  # where none is stated
+OWN_RATION = RetryBudget(1.0, 0.5, 5000.0)  # where none is stated
 IDLE_PART, IDLE_THREADS, TOO_IDLE, SILENT = 0.1, 2.0, 2.0, 0.5  # part of due threads, least due; strikes
 SLOW_COUNT = 2.0  # times the threads by utilisation from which those by count are believed
 PATIENCE, PATIENCE_MIN_MS = 3.0, 300.0  # times the expected latency before an attempt is looked into
@@ -93,11 +89,11 @@
     def mean(self, k: int) -> float:
         """The class mean: outcomes, else estimates seen, else the latency aim."""
         told, c = self.of[k].mean.value or self.of[k].estimate.value, self.classes[k]
-        return max(1.0, told or c.promise_ms * c.threads)
+        return max(1.0, told or c.latency_objective_ms * c.threads)
 
-    def worth(self, k: int) -> float:
+    def priority_weight(self, k: int) -> float:
         """Worth per thread-second, over the lowest of all classes."""
-        rates = [c.worth / self.mean(i) for i, c in enumerate(self.classes)]
+        rates = [c.priority_weight / self.mean(i) for i, c in enumerate(self.classes)]
         return rates[k] / max(1e-9, min(rates))
 
     def predict(self, k: int, group: float, told: float) -> float:
@@ -114,7 +110,7 @@
 
     def learn(self, r: Request, e: Engine, work: float, latency: float, memory: float) -> None:
         """Only served attempts teach: a quick error or a cut attempt would drag the means down."""
-        k, threads = r.klass, r.spec.threads
+        k, threads = r.class_index, r.spec.threads
         cost = max(1.0, work if work > 0.0 else latency * threads)
         if cost < BAD_PLAN * r.cost or not self.of[k].mean.n:  # a bad plan tells nothing of the next
             self.of[k].mean.add(cost)
@@ -130,18 +126,20 @@
 
     def cut(self, r: Request, e: Engine, ran: float) -> None:
         """An attempt that was stopped tells how slow its engine is at least; often nothing else does."""
-        pace = min(10.0, ran * r.spec.threads / r.cost / max(0.1, self.of[r.klass].pace.value))
+        pace = min(10.0, ran * r.spec.threads / r.cost / max(0.1, self.of[r.class_index].pace.value))
         if pace > e.pace.value:
             e.pace.add(pace)
 
     def grant(self, r: Request) -> float:
         """Memory by the estimate, corrected by what was needed, with room for its usual scatter."""
-        ratio = self.of[r.klass].memory_ratio
+        ratio = self.of[r.class_index].memory_ratio
         told = r.memory * (ratio.mean.value + GRANT_SPREADS * ratio.spread.value)
-        return told or self.of[r.klass].memory.value * BLIND_GRANT
+        return told or self.of[r.class_index].memory.value * BLIND_GRANT
 
     def latency(self, r: Request) -> float:
-        pace = max(1.0, self.of[r.klass].pace.value, self.pace.value)  # of all: a class may be seen seldom
+        pace = max(
+            1.0, self.of[r.class_index].pace.value, self.pace.value
+        )  # of all: a class may be seen seldom
         return r.cost / r.spec.threads * pace
 
 
@@ -158,26 +156,32 @@
         self.limits: dict[int, int] = {}  # threads that a class may have out, where an operator says so
         self.rules = [Rule(90, None, t) for t in range(len(settings.tenants))]  # highest priority first
         self.rules += [Rule(50, k, None) for k in range(len(settings.classes))]
-        self.ration = settings.attempt_budget or OWN_RATION
+        self.ration = settings.retry_budget or OWN_RATION
         self.taken, self.extras = (Window(self.ration.window_ms + 2.0) for _ in range(2))
         self.pool, self.late, self.typical, self.busy, self.count = (Mean(BUSY_STEP) for _ in range(5))
-        self.opening: list[Action] = [Watch()] if settings.discovery is Discovery.ASK else []
+        self.opening: list[Action] = [WatchEngineList()] if settings.discovery is Discovery.ASK else []
         self.light = Mean(BUSY_STEP)  # thread-milliseconds of light requests, over all: a part of the typical
         usual = sum(settings.cores_by_kind) / max(1, len(settings.cores_by_kind))
-        self.light_ms = LIGHT_PART * settings.fall_multiple * settings.cold_from * usual * settings.fall_ms
+        self.light_ms = (
+            LIGHT_PART
+            * settings.slow_start_overload_factor
+            * settings.slow_start_initial_capacity
+            * usual
+            * settings.slow_start_window_ms
+        )
         self.salt = self.random.getrandbits(32)
         self.probe_credit, self.now, self.token, self.actions = 0.0, 0.0, 0, list[Action]()
         self.handlers: dict[type, Callable[[Any], None]] = {
             RequestArrived: self.on_request,
             AttemptEnded: self.on_outcome,
             AttemptNote: self.on_note,
-            ProbeEnded: self.on_report,
+            HealthCheckEnded: self.on_report,
             TimerFired: self.on_timer,
-            MembersChanged: self.on_members,
-            ClientGone: self.on_over,
+            EngineListChanged: self.on_members,
+            ClientDisconnected: self.on_over,
             StreamStarted: self.on_over,
-            Withdrawn: self.on_withdrawn,
-            LimitSet: self.on_limit,
+            RequestWithdrawn: self.on_withdrawn,
+            ConcurrencyLimitSet: self.on_limit,
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -186,10 +190,10 @@
         self.handlers.get(type(event), lambda _: None)(event)
         return self.actions
 
-    def take_in(self, mean: Mean, x: float, worth: float = 1.0) -> None:
+    def take_in(self, mean: Mean, x: float, priority_weight: float = 1.0) -> None:
         """Add to a pooled mean: by time where samples are many, by number where they are few."""
         step = min(QUIET_STEP, max(BUSY_STEP, (self.now - mean.at) / POOL_MS))
-        mean.step, mean.at = min(0.5, step * math.sqrt(worth)), self.now
+        mean.step, mean.at = min(0.5, step * math.sqrt(priority_weight)), self.now
         mean.add(x)
 
     def pressure(self, k: int) -> float:
@@ -202,50 +206,55 @@
 
     def turned_away(self, r: Request) -> str:
         """Why not to admit it; empty to admit. The highest-priority rule that matches decides."""
-        p, learned = self.pressure(r.klass), self.cache.of[r.klass]
+        p, learned = self.pressure(r.class_index), self.cache.of[r.class_index]
         for rule in self.rules:
             if rule.tenant is not None and rule.tenant == r.tenant:
                 rate = self.settings.tenants[rule.tenant].quota_per_s / self.settings.instances
                 within = rule.bucket.take(self.now, rate, max(TENANT_TOKENS, rate * BURST_S), self.random)
                 if rate > 0.0 and p > BINDS_AT and not within:
                     return "over the team's share"
-            elif rule.klass == r.klass:
+            elif rule.class_index == r.class_index:
                 if self.over_limit(r) or self.counter_full(r):
                     return "over the limit set here" if self.over_limit(r) else "threads are full"
-                if r.cost <= self.cache.mean(r.klass) * MULTIPLE_CALM * (MULTIPLE_FULL / MULTIPLE_CALM) ** p:
+                if (
+                    r.cost
+                    <= self.cache.mean(r.class_index) * MULTIPLE_CALM * (MULTIPLE_FULL / MULTIPLE_CALM) ** p
+                ):
                     return ""
                 learned.expensive.add(r.cost)
-                cores = self.capacity(self.open_to(r.klass)) / self.settings.instances
+                cores = self.capacity(self.open_to(r.class_index)) / self.settings.instances
                 rate = cores * 1000.0 / learned.expensive.value * (1.0 - p) ** 2
                 within = rule.bucket.take(self.now, rate, max(1.0, rate * BURST_S), self.random)
                 return "" if within or p <= BINDS_AT or not learned.mean.n else "too costly under pressure"
         return ""
 
     def over_limit(self, r: Request) -> bool:
-        if (most := self.limits.get(r.klass)) is None:
+        if (most := self.limits.get(r.class_index)) is None:
             return False
-        out = sum(a.request.spec.threads for a in self.attempts.values() if a.request.klass == r.klass)
+        out = sum(
+            a.request.spec.threads for a in self.attempts.values() if a.request.class_index == r.class_index
+        )
         return out + r.spec.threads > most
 
-    def on_limit(self, event: LimitSet) -> None:
-        self.limits.pop(event.klass, None)
-        self.limits |= {} if event.threads is None else {event.klass: event.threads}
+    def on_limit(self, event: ConcurrencyLimitSet) -> None:
+        self.limits.pop(event.class_index, None)
+        self.limits |= {} if event.threads is None else {event.class_index: event.threads}
 
     def counter_full(self, r: Request) -> bool:
         """Own threads against this gateway's part of the cores; past the knee, more of them do less work."""
-        engines = self.open_to(r.klass)
+        engines = self.open_to(r.class_index)
         cores = self.capacity(engines) / self.settings.instances
-        most = COUNTER * cores * (COUNTER_CALM - (COUNTER_CALM - 1.0) * self.pressure(r.klass))
-        most *= COUNTER_TOP if self.cache.worth(r.klass) >= TOP_WORTH else 1.0
-        most *= COUNTER_HEAVY if r.cost > self.cache.mean(r.klass) else 1.0
+        most = COUNTER * cores * (COUNTER_CALM - (COUNTER_CALM - 1.0) * self.pressure(r.class_index))
+        most *= COUNTER_TOP if self.cache.priority_weight(r.class_index) >= TOP_WORTH else 1.0
+        most *= COUNTER_HEAVY if r.cost > self.cache.mean(r.class_index) else 1.0
         held = sum(e.threads for e in engines)
         return held + r.spec.threads > max(most, 2.0 * r.spec.threads)  # a part under one query tells nothing
 
     def has_room(self, event: RequestArrived) -> bool:
         """Whether the counters would let it in now; for who holds requests back, and changes nothing."""
-        r = Request.of(event, self.settings.classes[event.klass])
-        r.cost = self.cache.forecast(r.klass, r.group, r.told)
-        return bool(self.open_to(r.klass)) and not self.over_limit(r) and not self.counter_full(r)
+        r = Request.of(event, self.settings.classes[event.class_index])
+        r.cost = self.cache.forecast(r.class_index, r.group, r.told)
+        return bool(self.open_to(r.class_index)) and not self.over_limit(r) and not self.counter_full(r)
 
     def open_to(self, k: int) -> list[Engine]:
         c, ready = self.settings.classes[k], EngineState.READY
@@ -277,9 +286,12 @@
         """Share of full capacity surely there after a start; the ramp is not told, so it is read low."""
         s = self.settings
         start = min(self.now, max(e.entry.started_ms, e.down_at))  # what took no connection was not running
-        if not start > 0.0 or self.now - start >= s.cold_ms:
+        if not start > 0.0 or self.now - start >= s.slow_start_ms:
             return 1.0
-        return s.cold_from + (1.0 - s.cold_from) * ((self.now - start) / s.cold_ms) ** 2
+        return (
+            s.slow_start_initial_capacity
+            + (1.0 - s.slow_start_initial_capacity) * ((self.now - start) / s.slow_start_ms) ** 2
+        )
 
     def cold_part(self, r: Request, e: Engine, warmth: float, cores: float, alone: bool) -> float:
         """Guards a cold engine: drawn so seldom that all gateways' sends, with scatter, fit its budget.
@@ -293,8 +305,10 @@
             size, share = max(self.cache.mean(k) for k in range(len(self.cache.classes))), 1.0
         else:
             return 0.0
-        multiple = s.fall_multiple * warmth * COLD_SAFETY
-        grain = COLD_SIGMAS**2 * size / max(1.0, multiple * BUSY_AT_CAPACITY * e.cores * s.fall_ms)
+        multiple = s.slow_start_overload_factor * warmth * COLD_SAFETY
+        grain = (
+            COLD_SIGMAS**2 * size / max(1.0, multiple * BUSY_AT_CAPACITY * e.cores * s.slow_start_window_ms)
+        )
         part = multiple * (math.sqrt(grain + 4.0) - math.sqrt(grain)) ** 2 / 4.0
         return part * e.cores / max(1.0, cores) / share
 
@@ -307,15 +321,17 @@
         return e.place * len(self.engines) < OWN
 
     def allowed(self, r: Request) -> list[Engine]:
-        engines = self.open_to(r.klass)
-        if r.maybe_on is not None and r.spec.effect is Effect.KEYED:  # only these discard its duplicates
-            engines = [e for e in engines if r.spec.scope.joins(r.maybe_on, e.entry)]
+        engines = self.open_to(r.class_index)
+        if (
+            r.maybe_on is not None and r.spec.idempotency is Idempotency.WITH_KEY
+        ):  # only these discard its duplicates
+            engines = [e for e in engines if r.spec.deduplication_scope.joins(r.maybe_on, e.entry)]
         return [e for e in engines if e.entry.engine != r.last_engine] if len(engines) > 1 else engines
 
     def draw(self, r: Request, engines: list[Engine]) -> Engine | None:
         """The report-weighted draw; None where all are cold and their budgets leave no room."""
         mean, weights = sum(self.load(e) for e in engines) / max(1, len(engines)), []
-        cores = sum(e.cores for e in self.open_to(r.klass))
+        cores = sum(e.cores for e in self.open_to(r.class_index))
         warmths = [self.warmth(e) for e in engines]
         for e, warmth in zip(engines, warmths, strict=True):
             # What fails fast or is refused looks idle: an engine with marks counts as loaded as the mean.
@@ -346,15 +362,15 @@
             e = self.draw(r, self.allowed(r))
             if e and self.probe_credit >= 1.0 and self.now - max(e.report_at, e.probed_at) >= STALE_MS:
                 self.probe_credit, e.probed_at, r.looking = self.probe_credit - 1.0, self.now, True
-                self.actions.append(Probe(e.entry.engine))
+                self.actions.append(CheckHealth(e.entry.engine))
         if r.looking:
             self.set_timer(HOLD_MS, r)
         return r.looking
 
-    def on_members(self, event: MembersChanged) -> None:
-        if event.kind is ListKind.FAILED:
-            return self.actions.append(Watch())
-        if event.kind is not ListKind.DELTA:
+    def on_members(self, event: EngineListChanged) -> None:
+        if event.kind is ListUpdateKind.FAILED:
+            return self.actions.append(WatchEngineList())
+        if event.kind is not ListUpdateKind.DELTA:
             listed = {entry.engine for entry in event.entries}
             self.engines = {i: e for i, e in self.engines.items() if i in listed}
         for entry in event.entries:
@@ -368,15 +384,15 @@
                 e.errors, e.pace, e.others, e.strikes = Mean(0.15), Mean(0.15, 1.0, 10), Mean(0.3), 0.0
             e.fit(entry, self.settings)
 
-    def on_report(self, event: ProbeEnded | AttemptEnded) -> None:
+    def on_report(self, event: HealthCheckEnded | AttemptEnded) -> None:
         """Take in a load report; a probe's answer clears no marks, and one unanswered is a silence."""
         if (e := self.engines.get(event.engine)) is None:
             return
         if event.status is Status.CONNECT_FAILED and not (isinstance(event, AttemptEnded) and event.late):
             e.down_at = self.now
-        if isinstance(event, ProbeEnded) and event.status is not Status.OK:
+        if isinstance(event, HealthCheckEnded) and event.status is not Status.OK:
             self.strike(e, SILENT)
-        told = dict(zip(self.settings.report_fields, event.report, strict=False))
+        told = dict(zip(self.settings.load_report_fields, event.report, strict=False))
         util, inflight = (told.get(field, math.nan) for field in ("util", "inflight"))
         before = e.threads_before if self.now - e.snapshot_at < STEP_MS else e.threads
         if usable(util):
@@ -402,16 +418,20 @@
         self.take_in(self.pool, max(0.0, total - before) / e.cores)
 
     def on_request(self, event: RequestArrived) -> None:
-        spec = self.settings.classes[event.klass]
+        spec = self.settings.classes[event.class_index]
         self.taken.add(self.now)
         self.probe_credit = min(PROBES_SAVED, self.probe_credit + PROBES_PER_REQUEST)
         r = Request.of(event, spec)
-        r.cost = self.cache.predict(r.klass, r.group, r.told)
+        r.cost = self.cache.predict(r.class_index, r.group, r.told)
         self.typical.add(r.cost)
         self.light.add(r.cost if r.cost <= self.light_ms else 0.0)
         r.deadline = self.now + (event.budget_ms if usable(event.budget_ms) else 0.0) - DEADLINE_MARGIN_MS
-        aim = self.now + spec.promise_ms + spec.aim_stretch * r.cost * AIM_SLACK / spec.threads
-        r.useful_until = r.deadline if spec.late_worth > 0.0 else min(r.deadline, aim)
+        aim = (
+            self.now
+            + spec.latency_objective_ms
+            + spec.latency_objective_work_factor * r.cost * AIM_SLACK / spec.threads
+        )
+        r.useful_until = r.deadline if spec.late_weight > 0.0 else min(r.deadline, aim)
         self.requests[r.id] = r
         if why := self.turned_away(r):
             return self.give_up(r, why)
@@ -455,25 +475,35 @@
         e.attach(r, self.now, STEP_MS)
         if r.key_line:
             self.lines[r.key].out += 1
-        self.actions.append(Send(r.id, e.entry.engine, begin_by=until))
+        self.actions.append(SendAttempt(r.id, e.entry.engine, begin_by=until))
         self.set_timer(max(PATIENCE_MIN_MS, PATIENCE * a.expected), a)
 
     def set_terms(self, r: Request, e: Engine) -> None:
         """Memory by what was learned; priority by worth per thread-second, large ones of a class last."""
-        most = self.settings.largest_grant_share * (e.memory or 1e9)
+        most = self.settings.largest_memory_grant_share * (e.memory or 1e9)
         grant = min(most, self.cache.grant(r)) if self.settings.grants else 0.0
-        rank = 3 if self.cache.worth(r.klass) >= TOP_WORTH else 2 if r.cost <= self.cache.mean(r.klass) else 1
-        self.actions.append(SetTerms(r.id, grant, rank if self.settings.priorities else 1))
+        rank = (
+            3
+            if self.cache.priority_weight(r.class_index) >= TOP_WORTH
+            else 2
+            if r.cost <= self.cache.mean(r.class_index)
+            else 1
+        )
+        self.actions.append(SetQueryResources(r.id, grant, rank if self.settings.priorities else 1))
 
     def move(self, a: Attempt) -> None:
         """Cancel and try elsewhere, where class and budget allow."""
-        if a.request.out is a and a.request.spec.effect is not Effect.UNSAFE and self.may_repeat(a.request):
+        if (
+            a.request.out is a
+            and a.request.spec.idempotency is not Idempotency.NON_IDEMPOTENT
+            and self.may_repeat(a.request)
+        ):
             self.cancel(a)
 
     def cancel(self, a: Attempt) -> None:
         if self.settings.may_cancel and not a.cancelled:
             a.cancelled = True
-            self.actions.append(Cancel(a.request.id, a.number))
+            self.actions.append(CancelAttempt(a.request.id, a.number))
 
     def on_note(self, event: AttemptNote) -> None:
         if (a := self.attempts.get((event.request, event.attempt))) is None:
@@ -493,14 +523,14 @@
         elif isinstance(target, Request) and not target.finished and self.may_be_late(target):
             self.set_timer(min(LATE_LOOK_MS, target.useful_until - self.now), target)
         elif isinstance(target, Request) and not target.finished:
-            self.take_in(self.late, LATE_FULL, target.spec.worth)  # a jam shows here first
+            self.take_in(self.late, LATE_FULL, target.spec.priority_weight)  # a jam shows here first
             self.give_up(target, "too late")
         elif isinstance(target, Attempt) and target.request.out is target and not target.request.finished:
             self.look_into(target)
 
     def may_be_late(self, r: Request) -> bool:
         """Late work still earns something, but what it holds keeps a jam going: then its aim is its end."""
-        return self.now < r.useful_until and self.pressure(r.klass) <= BINDS_AT
+        return self.now < r.useful_until and self.pressure(r.class_index) <= BINDS_AT
 
     def strike(self, e: Engine, strikes: float) -> None:
         """Mark an engine as silent; once it is, what else it holds need not wait so long."""
@@ -514,8 +544,11 @@
         if a.engine.heard_at < a.sent:
             self.move(a)
             self.strike(a.engine, SILENT)
-        elif not self.settings.notes_every_ms and (  # where notes come, they tell a bad plan from a long run
-            a.request.spec.waits_for_loads or self.now - a.sent > ROUGH_BAD_PLAN * a.expected
+        elif (
+            not self.settings.progress_interval_ms
+            and (  # where notes come, they tell a bad plan from a long run
+                a.request.spec.waits_for_loads or self.now - a.sent > ROUGH_BAD_PLAN * a.expected
+            )
         ):
             self.move(a)
         if not a.cancelled:
@@ -528,12 +561,17 @@
         e.detach(r, self.now, STEP_MS)
         if r.key_line:
             running = event.status in (Status.TIMEOUT, Status.RESET, Status.CANCELLED)  # it may be, still
-            self.lines[r.key].ended(self.now + self.settings.order_settle_ms + 1.0 if running else self.now)
+            self.lines[r.key].ended(
+                self.now + self.settings.ordering_settle_ms + 1.0 if running else self.now
+            )
         if served and usable(event.work_ms) and usable(event.latency_ms):
             self.cache.learn(r, e, event.work_ms, event.latency_ms, event.memory_mb)
             e.heard_at, e.strikes = self.now, max(0.0, e.strikes - 1.0)
-            aim = r.spec.promise_ms + r.spec.aim_stretch * (event.work_ms or r.cost) / r.spec.threads
-            self.take_in(self.late, min(LATE_MOST, event.latency_ms / max(1.0, aim)), r.spec.worth)
+            aim = (
+                r.spec.latency_objective_ms
+                + r.spec.latency_objective_work_factor * (event.work_ms or r.cost) / r.spec.threads
+            )
+            self.take_in(self.late, min(LATE_MOST, event.latency_ms / max(1.0, aim)), r.spec.priority_weight)
         elif a.cancelled or event.status in (Status.CANCELLED, Status.TIMEOUT):
             self.cache.cut(r, e, self.now - a.sent)
         # An error may be the statement's own: what no engine can use must not make all of them look sick, so
@@ -546,35 +584,38 @@
         if served or event.status in FAULTS:
             e.errors.add(0.0 if served else 1.0)
         self.on_report(event)
-        if not event.status.proves_unrun and r.maybe_since is None:
+        if not event.status.proves_not_run and r.maybe_since is None:
             r.maybe_since, r.maybe_on = a.sent, e.entry
         r.out = None if r.out is a else r.out
         if event.complete or served:
             self.finish(r)
-        elif not r.finished and event.loose:
+        elif not r.finished and event.may_still_run:
             self.give_up(r, "an attempt may begin yet")  # a further one would be a second one beside it
         elif not r.finished:
             self.dispatch(r)
         self.pump(self.lines.get(r.key_line))
 
-    def on_over(self, event: ClientGone | StreamStarted) -> None:
+    def on_over(self, event: ClientDisconnected | StreamStarted) -> None:
         if r := self.requests.get(event.request):
             self.finish(r)
 
-    def on_withdrawn(self, event: Withdrawn) -> None:
+    def on_withdrawn(self, event: RequestWithdrawn) -> None:
         if r := self.requests.get(event.request):
             self.give_up(r, "the program ends")
 
     def give_up(self, r: Request, why: str) -> None:
         """The final answer at once: a refusal where a retry does no harm, else a failure."""
-        again = r.spec.effect is Effect.SAFE or (r.spec.effect is Effect.KEYED and r.spec.scope is Scope.ALL)
+        again = r.spec.idempotency is Idempotency.IDEMPOTENT or (
+            r.spec.idempotency is Idempotency.WITH_KEY
+            and r.spec.deduplication_scope is DeduplicationScope.ALL
+        )
         if r.out is not None:
             self.cancel(r.out)
         if again or not may_have_run(r):
-            advice = self.settings.max_retry_after_ms * (0.25 + 0.75 * self.pressure(r.klass))
-            self.actions.append(Refuse(r.id, advice if self.settings.retry_advice else 0.0, why))
+            advice = self.settings.max_retry_after_ms * (0.25 + 0.75 * self.pressure(r.class_index))
+            self.actions.append(RejectRequest(r.id, advice if self.settings.sends_retry_after else 0.0, why))
         else:
-            self.actions.append(Fail(r.id, why))
+            self.actions.append(FailRequest(r.id, why))
         self.finish(r)
 
     def finish(self, r: Request) -> None:
@@ -598,4 +639,4 @@
     def set_timer(self, delay: float, target: Request | Attempt | Line) -> None:
         self.token += 1
         self.timers[self.token] = target
-        self.actions.append(SetTimer(self.token, delay))
+        self.actions.append(StartTimer(self.token, delay))
--- a/fordstair/decisions/state.py
+++ b/fordstair/decisions/state.py
@@ -8,7 +8,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from fordstair.decisions.interface import EngineEntry, EngineId, RequestArrived, RequestClass, Settings
+from fordstair.decisions.engine_list import EngineEntry, EngineId
+from fordstair.decisions.events import RequestArrived
+from fordstair.decisions.settings import RequestClass, Settings
 
 
 def usable(value: float) -> bool:
@@ -124,7 +126,7 @@
     """A selector by class or tenant with its bucket."""
 
     priority: int
-    klass: int | None
+    class_index: int | None
     tenant: int | None
     bucket: Bucket = field(default_factory=Bucket)
 
@@ -189,7 +191,7 @@
     """One request from arrival to final answer."""
 
     id: int
-    klass: int
+    class_index: int
     spec: RequestClass
     tenant: int
     group: float
@@ -214,7 +216,7 @@
         """The request as told; odd estimates count as none."""
         told, memory = (x if usable(x) else 0.0 for x in (event.cost_ms, event.memory_mb))
         group = event.group if math.isfinite(event.group) else 0.0
-        return cls(event.request, event.klass, spec, event.tenant, group, event.key, told, memory)
+        return cls(event.request, event.class_index, spec, event.tenant, group, event.key, told, memory)
 
     @property
     def key_line(self) -> int:
--- a/fordstair/lab/billing_close.py
+++ b/fordstair/lab/billing_close.py
@@ -16,12 +16,12 @@
 TEAMS = ("karri-energy", "saltbush-power", "pindan-retail")
 
 
-class Arrival(Struct, frozen=True):
+class Arrival(Struct, frozen=True, rename={"class_name": "lane"}):
     """One request: what it asks, what its estimate says, and what it will in truth take."""
 
     at_ms: float
     team: str
-    lane: str
+    class_name: str
     work_ms: float  # true, on one core
     told_ms: float  # the estimate
     limit_ms: float
--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -196,7 +196,7 @@
     def threads_held(self) -> int:
         """Return how many threads the team's settlements hold at the engine now."""
         self.engine.held()
-        return 4 * sum(run.lane == "settlement" for run in self.engine.runs.values())
+        return 4 * sum(run.class_name == "settlement" for run in self.engine.runs.values())
 
 
 @asynccontextmanager
--- a/fordstair/lab/engine.py
+++ b/fordstair/lab/engine.py
@@ -35,7 +35,7 @@
     """One query that was started here."""
 
     txn: str
-    lane: str
+    class_name: str
     pages: list[bytes]
     started_ms: float
     asked_ms: float
@@ -62,7 +62,7 @@
         self.ended: dict[str, Run] = {}  # the latest ones that have
         self.started: Counter[str] = Counter()  # how often each id was started here
         self.counts: Counter[str] = Counter()
-        self.on_start: Callable[[str, bytes], None] = lambda lane, statement: None
+        self.on_start: Callable[[str, bytes], None] = lambda class_name, statement: None
         self._report, self._report_ms = "", -math.inf
         self._woken = trio.Event()
         self._spoken = trio.Event()  # set while it is not silent
@@ -216,9 +216,9 @@
         return 200, [("X-Sheet", page), self._gauges()], run.pages[int(page)]
 
     async def _post(self, fields: dict[str, str], body: bytes) -> tuple[int, list[tuple[str, str]], bytes]:
-        txn, lane = fields.get("x-txn", ""), fields.get("x-lane", "")
+        txn, class_name = fields.get("x-txn", ""), fields.get("x-lane", "")
         urgency = fields.get("x-urgency", "1")
-        if not txn or lane not in _THREADS or urgency not in ("0", "1", "2", "3"):
+        if not txn or class_name not in _THREADS or urgency not in ("0", "1", "2", "3"):
             self.counts["unusable"] += 1
             return 500, [], b""
         if self.draining or self.full or len(self.runs) >= self.sessions:
@@ -231,17 +231,17 @@
         work, rows = (float(costs[1]), int(costs[2] or 1)) if costs else (1.0, 1)
         now = self.clock()
         self.started[txn] += 1
-        self.counts[f"started.{lane}"] += 1
-        self.on_start(lane, body)
-        if lane == "meter-load" and self.started[txn] > 1:
+        self.counts[f"started.{class_name}"] += 1
+        self.on_start(class_name, body)
+        if class_name == "meter-load" and self.started[txn] > 1:
             self.counts["loads_run_twice"] += 1
-        run = Run(txn, lane, pages_of(txn, rows), now, now)
+        run = Run(txn, class_name, pages_of(txn, rows), now, now)
         self.runs[txn] = run
         if work == 0.0:  # answered at once, for measurements of what stands before it
             self._end(run, "served")
             return await self._news(run)
         self._advance()
-        self.machine.start(Job(txn, max(0.001, work), _THREADS[lane], int(urgency)), now)
+        self.machine.start(Job(txn, max(0.001, work), _THREADS[class_name], int(urgency)), now)
         self._woken.set()
         return await self._news(run)
 
--- a/fordstair/lab/ledger_trial.py
+++ b/fordstair/lab/ledger_trial.py
@@ -62,7 +62,7 @@
         self.starts: Counter[str] = Counter()
         self._ids = 0
 
-    def _began(self, lane: str, statement: bytes) -> None:
+    def _began(self, class_name: str, statement: bytes) -> None:
         if (found := _ID.search(statement)) is not None:
             self.runs[found[1].decode()] += 1
 
--- a/fordstair/lab/replay.py
+++ b/fordstair/lab/replay.py
@@ -9,7 +9,7 @@
 
 from fordstair.configuration.operator_file import settings as site_settings
 from fordstair.configuration.operator_schema import BudgetsTable, File
-from fordstair.decisions.interface import Settings
+from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import Arrival, read
 from fordstair.lab.machine import Machine
 from fordstair.lab.virtual import Record, World
@@ -21,9 +21,9 @@
     told, arrivals = site_settings(file), list(read(path))
     known = ({each.name for each in told.classes}, {each.name for each in told.tenants})
     for number, arrival in enumerate(arrivals, 1):
-        if arrival.lane not in known[0] or arrival.team not in known[1]:
+        if arrival.class_name not in known[0] or arrival.team not in known[1]:
             raise ValueError(
-                f"{path}: line {number}: the file knows no class {arrival.lane!r} of a team "
+                f"{path}: line {number}: the file knows no class {arrival.class_name!r} of a team "
                 f"{arrival.team!r}"
             )
     plain = play(file, told, arrivals, seed, None)
@@ -51,23 +51,25 @@
     return World(told, machines, seed, scheduler).run(arrivals)
 
 
-def worth(records: list[Record], settings: Settings) -> float:
+def priority_weight(records: list[Record], settings: Settings) -> float:
     """Return the worth served: whole within the wanted time, a part after it."""
     return sum(earned(record, settings) for record in records)
 
 
 def earned(record: Record, settings: Settings) -> float:
     """Return the worth of one request, as it was served."""
-    spec = settings.classes[record.klass]
+    spec = settings.classes[record.class_index]
     if record.how != "served":
         return 0.0
-    return spec.worth * (1.0 if in_aim(record, settings) else spec.late_worth)
+    return spec.priority_weight * (1.0 if in_aim(record, settings) else spec.late_weight)
 
 
 def in_aim(record: Record, settings: Settings) -> bool:
     """Whether a request was answered within its wanted time."""
-    spec = settings.classes[record.klass]
-    aim_ms = spec.promise_ms + spec.aim_stretch * record.arrival.work_ms / spec.threads
+    spec = settings.classes[record.class_index]
+    aim_ms = (
+        spec.latency_objective_ms + spec.latency_objective_work_factor * record.arrival.work_ms / spec.threads
+    )
     return record.how == "served" and record.answered_ms <= aim_ms
 
 
@@ -84,7 +86,7 @@
         shown[name] = {
             "asked": len(group),
             **{end: how[end] for end in ("served", "refused", "failed")},
-            "worth": round(worth(group, told), 1),
+            "worth": round(priority_weight(group, told), 1),
             "wait_p50_ms": round(waits[len(waits) // 2]) if waits else 0,
             "wait_p99_ms": round(waits[len(waits) * 99 // 100]) if waits else 0,
         }
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -21,9 +21,11 @@
 from fordstair.budgets.whole import Plan
 from fordstair.core.admission_queue import AdmissionQueue
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.ports import AttemptFailed, Engine, Errand, News, Query
+from fordstair.core.ports import AttemptFailed, AttemptRequest, Engine, News, Query
 from fordstair.core.zone_watch import ZoneWatch
-from fordstair.decisions.interface import EngineEntry, ListKind, NoteKind, Settings, Status
+from fordstair.decisions.engine_list import EngineEntry, ListUpdateKind
+from fordstair.decisions.events import NoteKind, Status
+from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import Arrival
 from fordstair.lab.clockwork import now_ms
 from fordstair.lab.machine import Job, Machine
@@ -135,8 +137,8 @@
 class Attempt:
     """One attempt over the way between one coordinator and one engine; the ``Call`` of ports.py."""
 
-    def __init__(self, desk: Desk, server: Server | None, errand: Errand) -> None:
-        self.desk, self.server, self.errand = desk, server, errand
+    def __init__(self, desk: Desk, server: Server | None, attempt_request: AttemptRequest) -> None:
+        self.desk, self.server, self.attempt_request = desk, server, attempt_request
         self.ran: Run | None = None
 
     async def start(self) -> News:
@@ -147,12 +149,12 @@
             await trio.sleep(CONNECT_MS / 1e3)
             raise AttemptFailed(Status.CONNECT_FAILED, "nothing came up", reached=False)
         await self._way()
-        if not await self.errand.may_go():
+        if not await self.attempt_request.may_go():
             raise AttemptFailed(Status.MOOT, "the engine takes nothing new")
-        query = self.errand.query
-        spec = self.desk.settings.classes[query.klass]
+        query = self.attempt_request.query
+        spec = self.desk.settings.classes[query.class_index]
         run = Run(query.txn, query.tenant, spec.threads, now_ms(), spec.is_load)
-        self.server.begin(run, self.desk.work_ms[query.txn], self.errand.urgency)
+        self.server.begin(run, self.desk.work_ms[query.txn], self.attempt_request.urgency)
         self.ran = run
         return await self.news()
 
@@ -167,7 +169,7 @@
             await trio.sleep(AGAIN_MS / 1e3)
         run.asked_ms = now_ms()
         await self._way()
-        report = tuple(server.report().get(name, 0.0) for name in self.desk.settings.report_fields)
+        report = tuple(server.report().get(name, 0.0) for name in self.desk.settings.load_report_fields)
         if run.over.is_set():
             if run.served:
                 return News(False, b"1\n", None, report)
@@ -294,9 +296,9 @@
         )
         return queue.caps
 
-    def call(self, errand: Errand) -> Attempt:
+    def call(self, attempt_request: AttemptRequest) -> Attempt:
         """Prepare one attempt; the ``Transport`` of ports.py."""
-        return Attempt(self, self.site.servers.get(errand.engine.entry.engine), errand)
+        return Attempt(self, self.site.servers.get(attempt_request.engine.entry.engine), attempt_request)
 
     def forget(self, engine: Engine) -> None:
         """No connection is kept."""
@@ -307,7 +309,8 @@
             nursery.start_soon(self.deadlines.run)
             await nursery.start(self.coordinator.run)
             self.coordinator.members(
-                ListKind.FULL, [Engine(server.entry, name) for name, server in self.site.servers.items()]
+                ListUpdateKind.FULL,
+                [Engine(server.entry, name) for name, server in self.site.servers.items()],
             )
             await trio.sleep_forever()
 
@@ -318,8 +321,8 @@
         live = self.coordinator.take(
             Query(
                 txn,
-                arrival.lane,
-                record.klass,
+                arrival.class_name,
+                record.class_index,
                 record.team,
                 arrival.limit_ms,
                 b"",
@@ -384,7 +387,9 @@
             nursery.cancel_scope.cancel()
         return records
 
-    def tell(self, kind: ListKind, names: Iterable[str], late_ms: tuple[float, float] = (0.0, 0.0)) -> None:
+    def tell(
+        self, kind: ListUpdateKind, names: Iterable[str], late_ms: tuple[float, float] = (0.0, 0.0)
+    ) -> None:
         """Let the register tell all coordinators of engines as they are, each after a delay of its own."""
         told = [self.servers[name].entry for name in names]
         for desk in self.desks:
@@ -403,7 +408,7 @@
         teams = {tenant.name: number for number, tenant in enumerate(self.settings.tenants)}
         for arrival in arrivals:
             await trio.sleep(max(0.0, self.began_ms + arrival.at_ms - now_ms()) / 1e3)
-            records.append(Record(arrival, teams[arrival.team], classes[arrival.lane]))
+            records.append(Record(arrival, teams[arrival.team], classes[arrival.class_name]))
             desk.take(arrival, records[-1])
 
     async def _look(self) -> None:
--- a/fordstair/lab/soak/clients.py
+++ b/fordstair/lab/soak/clients.py
@@ -65,7 +65,7 @@
     async def _ask(self, nursery: trio.Nursery) -> None:
         if (connection := await self._connection(nursery)) is None:
             return
-        lane, _, work_ms, limit_s = self._random.choices(LANES, [share for _, share, *_ in LANES])[0]
+        class_name, _, work_ms, limit_s = self._random.choices(LANES, [share for _, share, *_ in LANES])[0]
         if self._random.random() < TIGHT_SHARE:
             limit_s = TIGHT_S
         self._number += 1
@@ -82,9 +82,9 @@
         async with connection.lock:
             connection.last += 1
             number = connection.last
-            request = RequestRecord(txn, lane, self._coordinator.name, self._now_s(), limit_s)
+            request = RequestRecord(txn, class_name, self._coordinator.name, self._now_s(), limit_s)
             connection.open[number] = connection.asked[number] = request  # the answer may come at once
-            if not await self._write(connection, msgpack.packb([0, number, lane, [fields, body]])):
+            if not await self._write(connection, msgpack.packb([0, number, class_name, [fields, body]])):
                 connection.open.pop(number, None)
                 return  # it was never written whole: nobody owes it an answer
             request.sent_s = min(self._now_s(), *(at_s for at_s, _ in request.answers), request.closed_s)
--- a/fordstair/lab/soak/oracle.py
+++ b/fordstair/lab/soak/oracle.py
@@ -70,7 +70,7 @@
         for txn, attempts in self.attempts.items():
             request = self.requests.get(txn)
             ran = [each for each in attempts if each.how != "refused"]
-            if request is not None and request.lane == UNSAFE_LANE and len(ran) > 1:
+            if request is not None and request.class_name == UNSAFE_LANE and len(ran) > 1:
                 engines = ", ".join(f"{each.engine} {each.read_s:.3f} {each.how}" for each in ran)
                 yield Violation("duplicate", ran[1].read_s, f"{txn} of {request.coordinator}: {engines}")
 
@@ -96,7 +96,7 @@
     def _answer_in_time(self, request: RequestRecord) -> Iterator[Violation]:
         due_s = request.sent_s + request.limit_s
         late_s = due_s + ANSWER_SLACK_S + self.slack_s + self._paused(request, request.sent_s, due_s + 5.0)
-        name = f"{request.txn} {request.lane} of {request.coordinator}, sent {request.sent_s:.3f}"
+        name = f"{request.txn} {request.class_name} of {request.coordinator}, sent {request.sent_s:.3f}"
         if not request.answers:
             if not self._crossed_an_end(request):
                 yield Violation("lost", min(late_s, request.closed_s), f"{name}: no answer")
--- a/fordstair/lab/soak/records.py
+++ b/fordstair/lab/soak/records.py
@@ -13,7 +13,7 @@
     """One request, as its client saw it; times in seconds of the run."""
 
     txn: str
-    lane: str
+    class_name: str
     coordinator: str
     sent_s: float  # when its last byte was written
     limit_s: float
--- a/fordstair/lab/traffic.py
+++ b/fordstair/lab/traffic.py
@@ -25,7 +25,7 @@
 class Kind:
     """One kind of request."""
 
-    lane: str
+    class_name: str
     team: str
     rate_per_s: float
     work_ms: float  # mean; exponential, but for 0
@@ -46,7 +46,7 @@
     def note(self, kind: Kind, what: str, took_s: float = 0.0) -> None:
         """Count one end."""
         self.counts[what] += 1
-        self.by_kind[kind.lane, kind.team, what] += 1
+        self.by_kind[kind.class_name, kind.team, what] += 1
         if what == "served":
             self.latency.record_value(max(1, int(took_s * 1e6)))
         elif what == "refused":
@@ -149,7 +149,7 @@
             "need_mb": "16",
         }
         body = b"/* work=%.1f rows=%d */ SELECT a FROM t_%d.lines" % (work, kind.rows, kind.group)
-        data = msgpack.packb([0, line.last, kind.lane, [fields, body]])
+        data = msgpack.packb([0, line.last, kind.class_name, [fields, body]])
         try:
             async with line.lock:
                 await line.stream.send_all(data)
--- a/fordstair/lab/virtual.py
+++ b/fordstair/lab/virtual.py
@@ -10,24 +10,25 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from fordstair.decisions.gateway import Gateway
-from fordstair.decisions.interface import (
+from fordstair.decisions.actions import (
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SetQueryResources,
+    StartTimer,
+)
+from fordstair.decisions.engine_list import EngineEntry, ListUpdateKind
+from fordstair.decisions.events import (
     AttemptEnded,
-    Cancel,
-    EngineEntry,
+    EngineListChanged,
     Event,
-    Fail,
-    ListKind,
-    MembersChanged,
-    Refuse,
     RequestArrived,
-    Send,
-    SetTerms,
-    SetTimer,
-    Settings,
     Status,
     TimerFired,
 )
+from fordstair.decisions.gateway import Gateway
+from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import Arrival
 from fordstair.lab.machine import Job, Machine
 from fordstair.scheduling.preemption import Preemption, Runs
@@ -44,7 +45,7 @@
 
     arrival: Arrival
     team: int
-    klass: int
+    class_index: int
     how: str = ""  # served, refused, failed
     reason: str = ""
     released_ms: float = math.nan  # from arrival to release
@@ -119,7 +120,7 @@
         self.at(FULL_FROM + time, tell)
 
     def _listed(self, names: Iterable[str]) -> None:
-        self._feed(MembersChanged(ListKind.FULL, tuple(EngineEntry(name) for name in names)))
+        self._feed(EngineListChanged(ListUpdateKind.FULL, tuple(EngineEntry(name) for name in names)))
 
     def run(self, arrivals: Iterable[Arrival]) -> list[Record]:
         """Play the traffic to its end; return a record for each request."""
@@ -127,7 +128,7 @@
         teams = {tenant.name: t for t, tenant in enumerate(self.settings.tenants)}
         number, last = 0, 0.0
         for number, arrival in enumerate(arrivals, 1):
-            record = Record(arrival, teams[arrival.team], classes[arrival.lane])
+            record = Record(arrival, teams[arrival.team], classes[arrival.class_name])
             self.records[number] = record
             last = max(last, arrival.at_ms)
             self.at(FULL_FROM + arrival.at_ms, lambda id=number, one=record: self._arrive(id, one))  # type: ignore[misc]
@@ -153,17 +154,17 @@
 
     def _arrive(self, id: int, record: Record) -> None:
         self.open[id] = record
-        arrival, spec = record.arrival, self.settings.classes[record.klass]
+        arrival, spec = record.arrival, self.settings.classes[record.class_index]
         event = RequestArrived(
-            id, record.klass, arrival.limit_ms, record.team, arrival.told_ms, 16.0, float(arrival.group)
+            id, record.class_index, arrival.limit_ms, record.team, arrival.told_ms, 16.0, float(arrival.group)
         )
         self._arrived[id] = event
         if self.scheduler is None:
             record.released_ms = 0.0
             return self._feed(event)
-        work = self.gateway.cache.forecast(record.klass, float(arrival.group), arrival.told_ms)
+        work = self.gateway.cache.forecast(record.class_index, float(arrival.group), arrival.told_ms)
         last = last_start(spec, work, self.now, self.now + arrival.limit_ms)
-        told = Told(id, record.team, record.klass, spec.threads, work, last)
+        told = Told(id, record.team, record.class_index, spec.threads, work, last)
         admission = self.scheduler.arrive(told, self.now)
         if admission.refused is not None:
             return self._answer(id, "refused", admission.refused.value)
@@ -190,7 +191,7 @@
                 id,
                 record.team,
                 float(record.arrival.group),
-                self.settings.classes[record.klass].is_load,
+                self.settings.classes[record.class_index].is_load,
                 self._left(record),
             )
             for id, record in self.open.items()
@@ -207,7 +208,7 @@
 
     def _left(self, record: Record) -> float:
         assert record.out is not None
-        spec = self.settings.classes[record.klass]
+        spec = self.settings.classes[record.class_index]
         return max(0.0, record.arrival.told_ms / spec.threads - (self.now - record.out[2]))
 
     def _room(self, item: Item) -> Room:
@@ -222,7 +223,7 @@
             self._feed(
                 RequestArrived(
                     event.request,
-                    event.klass,
+                    event.class_index,
                     left,
                     event.tenant,
                     event.cost_ms,
@@ -234,23 +235,23 @@
     def _feed(self, event: Event) -> None:
         for action in self.gateway.handle(self.now, event):
             match action:
-                case Send(request, engine):
+                case SendAttempt(request, engine):
                     self._send(request, engine)
-                case Refuse(request, _, reason):
+                case RejectRequest(request, _, reason):
                     self._answer(request, "refused", reason)
-                case Fail(request, reason):
+                case FailRequest(request, reason):
                     self._answer(request, "failed", reason)
-                case SetTerms(request, _, priority):
+                case SetQueryResources(request, _, priority):
                     if request in self.open:
                         self.open[request].urgency = priority
-                case SetTimer(token, delay):
+                case StartTimer(token, delay):
                     self.at(self.now + delay, lambda token=token: self._feed(TimerFired(token)))  # type: ignore[misc]
-                case Cancel(request, attempt):
+                case CancelAttempt(request, attempt):
                     self.at(self.now + 1.0, lambda r=request, a=attempt: self._cancelled(r, a))  # type: ignore[misc]
 
     def _send(self, id: int, engine: str) -> None:
         record = self.open[id]
-        spec, attempt = self.settings.classes[record.klass], record.attempts
+        spec, attempt = self.settings.classes[record.class_index], record.attempts
         record.attempts += 1
         record.out = (engine, attempt, self.now, spec.threads)
         job = Job(f"{id}/{attempt}", record.arrival.work_ms, spec.threads, record.urgency)
@@ -290,7 +291,7 @@
                 status,
                 self.now - since,
                 complete=id not in self.open,
-                report=tuple(fields[name] for name in self.settings.report_fields),
+                report=tuple(fields[name] for name in self.settings.load_report_fields),
             )
         )
         if self.scheduler is not None:
--- a/fordstair/net/clients/odata_front.py
+++ b/fordstair/net/clients/odata_front.py
@@ -338,7 +338,7 @@
 
     async def _read(self, path: str, options: Headers, team: str, headers: Headers) -> Response:
         wanted = understand(path, options, self.operator.sets)
-        pages = await self._run(wanted.statement, wanted.lane, wanted.entity_set, team, headers)
+        pages = await self._run(wanted.statement, wanted.class_name, wanted.entity_set, team, headers)
         rows = [row for row in b"".join(pages).split(b"\n") if row]
         if wanted.single:
             if not rows:
@@ -400,24 +400,24 @@
         return response
 
     async def _run(
-        self, statement: str, lane: str, entity_set: EntitySet, team: str, headers: Headers
+        self, statement: str, class_name: str, entity_set: EntitySet, team: str, headers: Headers
     ) -> Sequence[bytes]:
         """Have the coordinator work on a statement; return its rows, or raise what became of it."""
         coordinator = self.coordinator
-        if lane not in coordinator.classes:
-            raise ODataError(500, "BadClass", f"the operator's file names an unknown class {lane!r}")
+        if class_name not in coordinator.classes:
+            raise ODataError(500, "BadClass", f"the operator's file names an unknown class {class_name!r}")
         if self.gone:
             raise ODataError(499, "ClientLeft", "the client has left")
-        spec = coordinator.settings.classes[coordinator.classes[lane]]
+        spec = coordinator.settings.classes[coordinator.classes[class_name]]
         wait = _WAIT.search(headers.get("prefer", ""))
-        limit_ms = min(spec.give_up_ms, float(wait[1]) * 1000.0) if wait else spec.give_up_ms
+        limit_ms = min(spec.client_timeout_ms, float(wait[1]) * 1000.0) if wait else spec.client_timeout_ms
         limit_ms = max(0.0, min(limit_ms, self.until_ms - coordinator.deadlines.clock()))
         self.reply = reply = Reply()
         self.live = live = coordinator.take(
             Query(
                 secrets.token_hex(8),
-                lane,
-                coordinator.classes[lane],
+                class_name,
+                coordinator.classes[class_name],
                 coordinator.tenants[team],
                 limit_ms,
                 statement.encode(),
--- a/fordstair/net/clients/odata_model.py
+++ b/fordstair/net/clients/odata_model.py
@@ -81,7 +81,7 @@
     fleet_listen: tuple[str, int] = ("127.0.0.1", 0)
     ledger: Ledger | None = None  # of loads that run at most once among all coordinators
     shares: Part | None = None  # of budgets that the whole fleet has together
-    avoid_silent_halls: bool = False
+    eject_silent_zones: bool = False
 
 
 class _Where(AstToSqlVisitor):
@@ -121,7 +121,7 @@
 
     entity_set: EntitySet
     statement: str
-    lane: str
+    class_name: str
     select: tuple[str, ...]
     single: bool = False
     count: bool = False
--- a/fordstair/net/command_channel.py
+++ b/fordstair/net/command_channel.py
@@ -9,7 +9,7 @@
 import trio
 
 from fordstair.core.ports import Engine
-from fordstair.decisions.interface import EngineEntry, EngineState, ListKind
+from fordstair.decisions.engine_list import EngineEntry, EngineState, ListUpdateKind
 from fordstair.runtime.clock import UnixMs
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
@@ -27,7 +27,7 @@
 _STATES = (EngineState.READY, EngineState.DRAINING, EngineState.GONE)
 _NAMES = {"ready": EngineState.READY, "draining": EngineState.DRAINING, "gone": EngineState.GONE}
 
-Deliver = Callable[[ListKind, list[Engine]], None]
+Deliver = Callable[[ListUpdateKind, list[Engine]], None]
 
 
 class FrameError(Exception):
@@ -63,7 +63,7 @@
 
 def read_command(
     command: Mapping[str, Any], zones: list[str], kinds: list[str]
-) -> tuple[int, ListKind, list[Engine]]:
+) -> tuple[int, ListUpdateKind, list[Engine]]:
     """Read one event of the configuration's ``known``; raise ValueError or KeyError where it cannot be."""
     nodes, engines = command["nodes"], []
     for line in nodes["servers"]:
@@ -83,7 +83,7 @@
                 _started(line.get("started_ms", 0)),
             )
         )
-    kind = ListKind.FULL if nodes.get("full") else ListKind.DELTA
+    kind = ListUpdateKind.FULL if nodes.get("full") else ListUpdateKind.DELTA
     return int(command.get("cursor", 0)), kind, engines
 
 
@@ -159,14 +159,16 @@
 
     def _take(self, number: int, kind: int, payload: memoryview) -> None:
         if kind in (1, 2) and number >= self.cursor:
-            self.take(number, ListKind.FULL if kind == 1 else ListKind.DELTA, read_records(payload))
+            self.take(
+                number, ListUpdateKind.FULL if kind == 1 else ListUpdateKind.DELTA, read_records(payload)
+            )
 
-    def take(self, number: int, kind: ListKind, engines: list[Engine]) -> None:
+    def take(self, number: int, kind: ListUpdateKind, engines: list[Engine]) -> None:
         """Pass an event on, unless it was told before: written twice, or known from another source.
 
         A whole list under the number at hand says how things stand there, and does no harm if it says nothing
         new; a change under that number is a second copy.
         """
-        if number > self.cursor or (number == self.cursor and kind is ListKind.FULL):
+        if number > self.cursor or (number == self.cursor and kind is ListUpdateKind.FULL):
             self.deliver(kind, engines)
             self.cursor = number
--- a/fordstair/net/engines/call.py
+++ b/fordstair/net/engines/call.py
@@ -10,8 +10,8 @@
 
 import trio
 
-from fordstair.core.ports import AttemptFailed, Engine, Errand, News
-from fordstair.decisions.interface import Status
+from fordstair.core.ports import AttemptFailed, AttemptRequest, Engine, News
+from fordstair.decisions.events import Status
 from fordstair.net.engines.http_client import Answer, Broken, Connection
 from fordstair.net.engines.pool import ConnectFailed, Pool, PooledConnection
 from fordstair.runtime.deadlines import Deadlines
@@ -33,8 +33,8 @@
 class HttpTransport:
     """Carries attempts over a pool of connections."""
 
-    def __init__(self, pool: Pool, deadlines: Deadlines, report_fields: tuple[str, ...]) -> None:
-        self.pool, self.deadlines, self.report_fields = pool, deadlines, report_fields
+    def __init__(self, pool: Pool, deadlines: Deadlines, load_report_fields: tuple[str, ...]) -> None:
+        self.pool, self.deadlines, self.load_report_fields = pool, deadlines, load_report_fields
 
     def forget(self, engine: Engine) -> None:
         """Close idle connections to an engine."""
@@ -46,9 +46,13 @@
 
     headers: list[tuple[str, str]] = []  # of each call that asks
 
-    def __init__(self, transport: HttpTransport, errand: Errand) -> None:
+    def __init__(self, transport: HttpTransport, attempt_request: AttemptRequest) -> None:
         self.pool, self.deadlines = transport.pool, transport.deadlines
-        self.fields, self.errand, self.address = transport.report_fields, errand, errand.engine.address
+        self.fields, self.attempt_request, self.address = (
+            transport.load_report_fields,
+            attempt_request,
+            attempt_request.engine.address,
+        )
         self.posted_ms = 0.0  # when the POST had gone whole; 0 before
         self.sent_ms = 0.0  # when the POST began to go
         self.ended = False
@@ -78,8 +82,8 @@
 
     async def start(self) -> News:
         """POST the query; what is no answer, once it went whole, is followed by asking, never by a POST."""
-        errand = self.errand
-        until_ms = self.deadlines.clock() + errand.limit_ms
+        attempt_request = self.attempt_request
+        until_ms = self.deadlines.clock() + attempt_request.limit_ms
         try:
             connection = await self.pool.acquire(self.address)
         except ConnectFailed as error:
@@ -88,7 +92,9 @@
             raise failed from error
         why = "silence"
         try:
-            if not await errand.may_go():  # it began to drain, or was replaced, while the connection came up
+            if (
+                not await attempt_request.may_go()
+            ):  # it began to drain, or was replaced, while the connection came up
                 raise self.end(Status.MOOT, "the engine takes nothing new")
             path, headers, body = self.post(max(1, math.ceil(until_ms - self.deadlines.clock())))
             self.sent_ms = self.deadlines.clock()
--- a/fordstair/net/engines/odata.py
+++ b/fordstair/net/engines/odata.py
@@ -7,8 +7,8 @@
 
 import ujson
 
-from fordstair.core.ports import Call, Errand, News
-from fordstair.decisions.interface import Status
+from fordstair.core.ports import AttemptRequest, Call, News
+from fordstair.decisions.events import Status
 from fordstair.net.engines.call import HttpCall, HttpTransport
 from fordstair.net.engines.http_client import Answer, Broken
 from fordstair.net.engines.rest import parse_report
@@ -23,9 +23,9 @@
 class ODataTransport(HttpTransport):
     """Carries attempts to engines that expect OData."""
 
-    def call(self, errand: Errand) -> Call:
+    def call(self, attempt_request: AttemptRequest) -> Call:
         """Prepare one attempt."""
-        return ODataCall(self, errand)
+        return ODataCall(self, attempt_request)
 
 
 class ODataCall(HttpCall):
@@ -43,12 +43,12 @@
 
     def post(self, limit_ms: int) -> tuple[str, list[tuple[str, str]], bytes]:
         """Id, class and statement go out as they came, as the action's parameters."""
-        query = self.errand.query
+        query = self.attempt_request.query
         parameters = {
             "Txn": query.txn,
-            "Lane": query.lane,
+            "Lane": query.class_name,
             "LimitMs": limit_ms,
-            "Urgency": self.errand.urgency,
+            "Urgency": self.attempt_request.urgency,
             "Statement": query.statement.decode("utf-8", "surrogateescape"),
         }
         headers = [*_VERSION, ("Content-Type", "application/json"), ("Prefer", "respond-async,wait=0")]
--- a/fordstair/net/engines/rest.py
+++ b/fordstair/net/engines/rest.py
@@ -4,8 +4,8 @@
 
 import math
 
-from fordstair.core.ports import Call, Errand, News
-from fordstair.decisions.interface import NoteKind, Status
+from fordstair.core.ports import AttemptRequest, Call, News
+from fordstair.decisions.events import NoteKind, Status
 from fordstair.net.engines.call import DROP_MS, HttpCall, HttpTransport
 from fordstair.net.engines.http_client import Answer, Broken
 
@@ -42,9 +42,9 @@
 class RestTransport(HttpTransport):
     """Carries attempts to the platform's engines."""
 
-    def call(self, errand: Errand) -> Call:
+    def call(self, attempt_request: AttemptRequest) -> Call:
         """Prepare one attempt."""
-        return RestCall(self, errand)
+        return RestCall(self, attempt_request)
 
 
 class RestCall(HttpCall):
@@ -55,7 +55,7 @@
     @property
     def path(self) -> str:
         """The query's own resource; page 0 of it is its news."""
-        return f"/o/{self.errand.query.txn}"
+        return f"/o/{self.attempt_request.query.txn}"
 
     @property
     def news_path(self) -> str:
@@ -64,14 +64,14 @@
 
     def post(self, limit_ms: int) -> tuple[str, list[tuple[str, str]], bytes]:
         """Id, class and statement go out as they came."""
-        query = self.errand.query
+        query = self.attempt_request.query
         return (
             "/o",
             [
                 ("X-Txn", query.txn),
-                ("X-Lane", query.lane),
+                ("X-Lane", query.class_name),
                 ("X-Limit-Ms", str(limit_ms)),
-                ("X-Urgency", str(self.errand.urgency)),
+                ("X-Urgency", str(self.attempt_request.urgency)),
             ],
             query.statement,
         )
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -14,7 +14,7 @@
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import Engine, Transport
 from fordstair.core.start_times import StartTimes
-from fordstair.decisions.interface import EngineState, ListKind
+from fordstair.decisions.engine_list import EngineState, ListUpdateKind
 from fordstair.held_signals import deliver
 from fordstair.net.clients.listener import ClientListener, Serve, open_listeners
 from fordstair.net.clients.poll_watch import PollWatch
@@ -80,7 +80,7 @@
             tls=self.tls,
             accept=self.identity.check_engine if self.identity else lambda *_: None,
         )
-        transport = (self.pool, self.deadlines, config.settings.report_fields)
+        transport = (self.pool, self.deadlines, config.settings.load_report_fields)
         transports: dict[str, Transport] = {"rest": RestTransport(*transport)}
         if operator is not None:
             from fordstair.net.engines.odata import ODataTransport
@@ -104,7 +104,7 @@
             )
             self.admission_queue = AdmissionQueue(self.coordinator, scheduler, told.threads_a_core)
             self.coordinator.admission_queue = self.admission_queue
-        if operator is not None and operator.avoid_silent_halls:
+        if operator is not None and operator.eject_silent_zones:
             from fordstair.core.zone_watch import ZoneWatch
 
             self.coordinator.zone_watch = ZoneWatch(self.coordinator)
@@ -178,11 +178,11 @@
         secured = {engine.address for engine in engines if engine.protocol == "odata"}
         return self.identity.client if self.identity is not None and address in secured else None
 
-    def announced(self, kind: ListKind, engines: list[Engine]) -> None:
+    def announced(self, kind: ListUpdateKind, engines: list[Engine]) -> None:
         """Take news in as discovery tells it: what has changed has changed just now."""
-        self.members(kind, engines, announced=kind is ListKind.DELTA)
+        self.members(kind, engines, announced=kind is ListUpdateKind.DELTA)
 
-    def members(self, kind: ListKind, engines: list[Engine], *, announced: bool = False) -> None:
+    def members(self, kind: ListUpdateKind, engines: list[Engine], *, announced: bool = False) -> None:
         """Pass the register's news on, with the protocols that the operator has set."""
         for engine in engines:
             name = engine.entry.engine
@@ -203,7 +203,7 @@
         """
         from fordstair.replication.engines import Restored, kept
 
-        restored = Restored(self.config.settings.cold_ms)
+        restored = Restored(self.config.settings.slow_start_ms)
 
         def take_over() -> None:
             if told or self.command_channel.heard_ms > 0.0:
@@ -212,7 +212,7 @@
             here = {(each.entry, each.address) for each in self.coordinator.engines.values()}
             if engines and {(each.entry, each.address) for each in engines} != here:
                 log.warning("engines.restored", engines=len(engines))
-                self.members(ListKind.FULL, engines)
+                self.members(ListUpdateKind.FULL, engines)
 
         await ledger.loaded.wait()
         heard_ms = self.deadlines.clock()
@@ -389,7 +389,7 @@
         """Go on for a while, then close what is idle, and answer all by the end."""
         deadlines, coordinator = self.deadlines, self.coordinator
         start, coordinator.draining = deadlines.clock(), True
-        longest_ms = max(spec.give_up_ms for spec in self.config.settings.classes)
+        longest_ms = max(spec.client_timeout_ms for spec in self.config.settings.classes)
         kill_ms = start + min(LONGEST_MS, longest_ms) + KILL_MS
         await deadlines.sleep(ACCEPT_MS)
         # Who has connected by now is accepted: closing the listener resets what waits at it, and what was
--- a/fordstair/replication/engines.py
+++ b/fordstair/replication/engines.py
@@ -19,7 +19,7 @@
 from msgspec import Meta, Struct
 
 from fordstair.core.ports import Engine
-from fordstair.decisions.interface import EngineEntry, EngineState
+from fordstair.decisions.engine_list import EngineEntry, EngineState
 from fordstair.replication.clock import AHEAD_MOST_MS, Milliseconds
 from fordstair.runtime.clock import UnixMs
 
@@ -180,8 +180,8 @@
     there is given up for a mere change of belief.
     """
 
-    def __init__(self, cold_ms: float) -> None:
-        self.cold_ms = cold_ms
+    def __init__(self, slow_start_ms: float) -> None:
+        self.slow_start_ms = slow_start_ms
         self._told: dict[Kept, float] = {}
 
     def engines(self, now_ms: float, known: EngineSet) -> list[Engine]:
@@ -191,7 +191,8 @@
             return []
         here = known.engines.values()
         self._told = {
-            each: self._told.get(each, each.started_ms if age_ms < self.cold_ms else now_ms) for each in here
+            each: self._told.get(each, each.started_ms if age_ms < self.slow_start_ms else now_ms)
+            for each in here
         }
         return [
             Engine(
--- a/fordstair/scheduling/queues.py
+++ b/fordstair/scheduling/queues.py
@@ -21,7 +21,7 @@
 
     id: int
     team: int
-    klass: int
+    class_index: int
     cost: float  # predicted thread-milliseconds
     at_ms: float  # when it came
     last_start_ms: float  # later than that it cannot be answered in time
@@ -70,7 +70,7 @@
         team = self.teams[item.team]
         if not len(team):  # what was idle starts now, and has saved nothing up
             team.tag = max(team.tag, self.virtual)
-        class_flow = team.classes.setdefault(item.klass, Flow())
+        class_flow = team.classes.setdefault(item.class_index, Flow())
         if not class_flow.items:
             class_flow.tag = max(class_flow.tag, team.virtual)
         class_flow.items[item.number] = item
@@ -87,7 +87,7 @@
         del self._by_age[item.number]
         del self._by_end[item.last_start_ms, item.number]
         team = self.teams[item.team]
-        class_flow = team.classes[item.klass]
+        class_flow = team.classes[item.class_index]
         del class_flow.items[item.number]
         for flow in (class_flow, team):
             flow.cost = max(0.0, flow.cost - item.cost) if len(flow) else 0.0
@@ -97,7 +97,7 @@
         """Take an item out because its turn has come, and move its flows' tags on."""
         self.pop(item.id)
         team = self.teams[item.team]
-        class_flow = team.classes[item.klass]
+        class_flow = team.classes[item.class_index]
         start = max(team.tag, self.virtual)
         self.virtual = start
         team.tag = start + item.cost / team.weight
--- a/fordstair/scheduling/scheduler.py
+++ b/fordstair/scheduling/scheduler.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from fordstair.decisions.interface import RequestClass
+from fordstair.decisions.settings import RequestClass
 from fordstair.scheduling.budgets import Budgets
 from fordstair.scheduling.queues import Item, Queues
 from fordstair.scheduling.shedding import Shedding
@@ -56,7 +56,7 @@
 
     id: int
     team: int
-    klass: int
+    class_index: int
     threads: int
     work_ms: float  # the module's prediction, in thread-milliseconds
     last_start_ms: float
@@ -68,7 +68,7 @@
     """A released request, until it has ended."""
 
     team: int
-    klass: int
+    class_index: int
     charged: float
     predicted: float  # without the class's ratio
     since_ms: float
@@ -91,8 +91,8 @@
     that could still be in time: unless half of the worth is left then, the wanted time is what counts.
     """
     run_ms = RUN_SLACK * work_ms / spec.threads
-    aim_ms = now_ms + spec.promise_ms + spec.aim_stretch * work_ms / spec.threads
-    return (deadline_ms if spec.late_worth >= 0.5 else min(deadline_ms, aim_ms)) - run_ms
+    aim_ms = now_ms + spec.latency_objective_ms + spec.latency_objective_work_factor * work_ms / spec.threads
+    return (deadline_ms if spec.late_weight >= 0.5 else min(deadline_ms, aim_ms)) - run_ms
 
 
 class Scheduler:
@@ -122,10 +122,10 @@
 
     def arrive(self, told: Told, now_ms: float) -> Admission:
         """Take a request in, or say why it need not wait."""
-        cost = max(0.01, told.work_ms * self.ratio.get(told.klass, 1.0))
-        item = Item(told.id, told.team, told.klass, cost, now_ms, told.last_start_ms, told.threads)
+        cost = max(0.01, told.work_ms * self.ratio.get(told.class_index, 1.0))
+        item = Item(told.id, told.team, told.class_index, cost, now_ms, told.last_start_ms, told.threads)
         forecast = self.forecast(item, now_ms, told.caps)
-        wait = self.calibration.correct(told.klass, forecast)
+        wait = self.calibration.correct(told.class_index, forecast)
         within, victim = self.budgets.within(told.team), None
         if len(self.queues) >= self.waiting_most:
             victim = (
@@ -139,13 +139,13 @@
             return Admission(
                 Wait(now_ms + wait.likely_ms - told.last_start_ms, wait.at_most_ms), Refused.TOO_LATE
             )
-        self.shedding.see(told.klass, told.work_ms)
+        self.shedding.see(told.class_index, told.work_ms)
         if self.shedding.too_costly(
-            told.klass, told.work_ms, wait.likely_ms, told.last_start_ms - now_ms, within
+            told.class_index, told.work_ms, wait.likely_ms, told.last_start_ms - now_ms, within
         ):
             return Admission(wait, Refused.TOO_COSTLY)
         self._forecast[told.id] = forecast
-        self.inflow.setdefault((told.team, told.klass), Inflow()).add(now_ms, cost)
+        self.inflow.setdefault((told.team, told.class_index), Inflow()).add(now_ms, cost)
         if victim is not None:
             self.leave(victim.id)
         self.queues.push(item)
@@ -165,7 +165,7 @@
             if fits is Room.FULL:
                 return None
             if fits is not Room.FITS:
-                shut.add((None if fits is Room.CLASS_FULL else item.team, item.klass))
+                shut.add((None if fits is Room.CLASS_FULL else item.team, item.class_index))
                 continue
             self._aged = 0 if self._aged + 1 >= AGE_EVERY else self._aged + 1
             self.releases += 1
@@ -200,18 +200,18 @@
         self.budgets.charge(run.team, held_ms - run.charged)  # what was underestimated is charged now
         if run.predicted > 0.0 and held_ms > 0.0:
             seen = min(RATIO_MOST, max(1.0 / RATIO_MOST, held_ms / run.predicted))
-            before = self.ratio.get(run.klass, 1.0)
-            self.ratio[run.klass] = before + (seen - before) * RATIO_STEP
+            before = self.ratio.get(run.class_index, 1.0)
+            self.ratio[run.class_index] = before + (seen - before) * RATIO_STEP
 
     def set_shares(self, shares: dict[int, float], now_ms: float) -> None:
         """Take new budgets over, under traffic; whatever waits goes on waiting."""
         self.budgets.set_shares(shares, now_ms)
         self.queues.set_weights(shares)
 
-    def outlook(self, team: int, klass: int, threads: int, now_ms: float) -> Wait:
+    def outlook(self, team: int, class_index: int, threads: int, now_ms: float) -> Wait:
         """Return what a request of a team and class may expect if it comes now."""
-        item = Item(-1, team, klass, 0.0, now_ms, now_ms, threads)
-        return self.calibration.correct(klass, self.forecast(item, now_ms))
+        item = Item(-1, team, class_index, 0.0, now_ms, now_ms, threads)
+        return self.calibration.correct(class_index, self.forecast(item, now_ms))
 
     @property
     def turns_a_ms(self) -> float:
@@ -237,7 +237,7 @@
             return max([wait, *(cap.wait_ms(item.threads, 0.0, 0.0, 0.0) for cap in caps)])
         teams = self.queues.teams
         team = teams[item.team]
-        flow = team.classes.get(item.klass)
+        flow = team.classes.get(item.class_index)
         ahead = flow.cost if flow is not None else 0.0
         within = self.budgets.within(item.team)  # then those that borrow come after it
         rivals = [name for name in teams if name == item.team or not within or self.budgets.within(name)]
@@ -245,10 +245,15 @@
         inflow = {key: each.at(now_ms) for key, each in self.inflow.items()}
         for _ in range(TURNS):
             costs = {
-                klass: each.cost + wait * inflow.get((item.team, klass), 0.0)
-                for klass, each in team.classes.items()
+                class_index: each.cost + wait * inflow.get((item.team, class_index), 0.0)
+                for class_index, each in team.classes.items()
             }
-            work = fluid(ahead, item.klass, costs, {klass: 1.0 for klass in {*costs, item.klass}})
+            work = fluid(
+                ahead,
+                item.class_index,
+                costs,
+                {class_index: 1.0 for class_index in {*costs, item.class_index}},
+            )
             totals = {
                 name: teams[name].cost + wait * sum(part for (of, _), part in inflow.items() if of == name)
                 for name in rivals
@@ -269,7 +274,7 @@
         """Return the item whose turn it is, past what has no room."""
 
         def is_open(item: Item) -> bool:
-            return (None, item.klass) not in shut and (item.team, item.klass) not in shut
+            return (None, item.class_index) not in shut and (item.team, item.class_index) not in shut
 
         if self._aged + 1 >= AGE_EVERY and (oldest := self.queues.oldest()) is not None and is_open(oldest):
             return oldest
@@ -285,12 +290,14 @@
         return later
 
     def _start(self, item: Item, now_ms: float) -> None:
-        predicted = item.cost / max(1e-9, self.ratio.get(item.klass, 1.0))
-        self.running[item.id] = Running(item.team, item.klass, item.cost, predicted, now_ms, item.threads)
+        predicted = item.cost / max(1e-9, self.ratio.get(item.class_index, 1.0))
+        self.running[item.id] = Running(
+            item.team, item.class_index, item.cost, predicted, now_ms, item.threads
+        )
         self.threads += item.threads
         if len(self.running) > RUNNING_MOST:  # whoever forgets to tell an end must not fill the memory
             self.threads -= self.running.pop(next(iter(self.running))).threads
         self.budgets.charge(item.team, item.cost)
         forecast = self._forecast.pop(item.id, None)
         if forecast is not None:
-            self.calibration.learn(item.klass, forecast, now_ms - item.at_ms)
+            self.calibration.learn(item.class_index, forecast, now_ms - item.at_ms)
--- a/fordstair/scheduling/shedding.py
+++ b/fordstair/scheduling/shedding.py
@@ -22,12 +22,14 @@
 
     means: dict[int, float] = field(default_factory=dict)
 
-    def see(self, klass: int, work_ms: float) -> None:
+    def see(self, class_index: int, work_ms: float) -> None:
         """Take one arrival's predicted work into its class's mean."""
-        before = self.means.setdefault(klass, work_ms)
-        self.means[klass] = before + (work_ms - before) * STEP
+        before = self.means.setdefault(class_index, work_ms)
+        self.means[class_index] = before + (work_ms - before) * STEP
 
-    def too_costly(self, klass: int, work_ms: float, wait_ms: float, spare_ms: float, within: bool) -> bool:
+    def too_costly(
+        self, class_index: int, work_ms: float, wait_ms: float, spare_ms: float, within: bool
+    ) -> bool:
         """Whether to turn a request away now, for what it costs."""
         if spare_ms <= 0.0 or not math.isfinite(wait_ms):
             return True
@@ -36,4 +38,4 @@
         if not pressure:
             return False
         most: float = CALM * (FULL / CALM) ** pressure
-        return work_ms > most * self.means.get(klass, work_ms)
+        return work_ms > most * self.means.get(class_index, work_ms)
--- a/fordstair/scheduling/waits.py
+++ b/fordstair/scheduling/waits.py
@@ -169,22 +169,22 @@
     upper: dict[int, Quantile] = field(default_factory=dict)
     fresh: int = 0  # outcomes still to be heeded more, after a shift
 
-    def correct(self, klass: int, forecast_ms: float) -> Wait:
+    def correct(self, class_index: int, forecast_ms: float) -> Wait:
         """Return the estimate for a raw forecast."""
-        middle = self.middle.setdefault(klass, Quantile(0.5))
-        upper = self.upper.setdefault(klass, Quantile(0.9, 0.3))
+        middle = self.middle.setdefault(class_index, Quantile(0.5))
+        upper = self.upper.setdefault(class_index, Quantile(0.9, 0.3))
         likely = forecast_ms * math.exp(middle.value)
         return Wait(likely, max(likely, forecast_ms * math.exp(upper.value)) + 1.0)
 
-    def learn(self, klass: int, forecast_ms: float, came_ms: float) -> None:
+    def learn(self, class_index: int, forecast_ms: float, came_ms: float) -> None:
         """Take in how long a request waited, against its raw forecast at admission."""
         if forecast_ms < 20.0 and came_ms < 20.0:
             return
         error = math.log(max(5.0, came_ms) / max(5.0, forecast_ms))
         step = STEP_SHIFTED if self.fresh else STEP
         self.fresh = max(0, self.fresh - 1)
-        self.middle.setdefault(klass, Quantile(0.5)).add(error, step)
-        self.upper.setdefault(klass, Quantile(0.9, 0.3)).add(error, step)
+        self.middle.setdefault(class_index, Quantile(0.5)).add(error, step)
+        self.upper.setdefault(class_index, Quantile(0.9, 0.3)).add(error, step)
 
     def shifted(self) -> None:
         """The rate is another one: errors learned before tell less."""
--- a/fordstair/simulator/codec.py
+++ b/fordstair/simulator/codec.py
@@ -8,38 +8,37 @@
 from typing import TypeVar
 
 from fordstair.configuration.settings_document import SettingsDocumentError, parse_settings
-from fordstair.decisions.interface import (
+from fordstair.decisions.actions import (
     Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEngineList,
+    LogMessage,
+    RejectRequest,
+    SendAttempt,
+    SendPeerMessage,
+    SetQueryResources,
+    StartTimer,
+    WatchEngineList,
+)
+from fordstair.decisions.engine_list import EngineEntry, EngineId, EngineState, ListUpdateKind
+from fordstair.decisions.events import (
     AttemptEnded,
     AttemptNote,
-    Cancel,
-    ClientGone,
-    Disconnect,
-    EngineEntry,
-    EngineId,
-    EngineState,
+    ClientDisconnected,
+    EngineListChanged,
     Event,
-    Fail,
-    Fetch,
-    ListKind,
-    Log,
-    MembersChanged,
+    HealthCheckEnded,
     NoteKind,
     PeerMessage,
-    Post,
-    Probe,
-    ProbeEnded,
-    Refuse,
     RequestArrived,
-    Send,
-    SetTerms,
-    SetTimer,
-    Settings,
     Status,
     StreamStarted,
     TimerFired,
-    Watch,
 )
+from fordstair.decisions.settings import Settings
 
 T = TypeVar("T")
 
@@ -126,10 +125,12 @@
     def _event(self, code: int, body: bytes, at: int, tail: bytes, where: str) -> Event | Up | Shutdown:
         start = at + 1
         if code == 3:
-            request, tenant, cost, group, bits, key, klass, budget, memory = _REQUEST.unpack_from(body, start)
+            request, tenant, cost, group, bits, key, class_index, budget, memory = _REQUEST.unpack_from(
+                body, start
+            )
             return RequestArrived(
                 request,
-                klass,
+                class_index,
                 budget,
                 tenant,
                 cost if bits & 1 else 0.0,
@@ -163,19 +164,19 @@
             return AttemptNote(request, attempt, engine_id(addr, port), kind, value)
         if code == 8:
             status, spent, addr, port, n, *load = _PROBED.unpack_from(body, start)
-            return ProbeEnded(
+            return HealthCheckEnded(
                 engine_id(addr, port), _code(_STATUS, status, where, "status"), spent, _report(n, load, where)
             )
         if code == 6:
-            return ClientGone(struct.unpack_from(">I", body, start)[0])
+            return ClientDisconnected(struct.unpack_from(">I", body, start)[0])
         if code == 2:
             number, version, sort = struct.unpack_from(">HIB", body, start)
-            listing = _code({k.value: k for k in ListKind}, sort, where, "kind")
-            if listing is ListKind.FAILED:
-                return MembersChanged(listing, (), version)
+            listing = _code({k.value: k for k in ListUpdateKind}, sort, where, "kind")
+            if listing is ListUpdateKind.FAILED:
+                return EngineListChanged(listing, (), version)
             if number not in self._tables:
                 raise WireError(f"{where}: list {number} was never sent")
-            return MembersChanged(listing, self._tables[number], version)
+            return EngineListChanged(listing, self._tables[number], version)
         if code == 1:
             seed, offset, size = struct.unpack_from(">QII", body, start)
             try:
@@ -248,29 +249,29 @@
     def action(self, action: Action) -> None:
         """Append one action."""
         match action:
-            case Send(request, engine, limit):
+            case SendAttempt(request, engine, limit):
                 self._add(1, struct.pack(">Id", request, limit) + engine_bytes(engine))
-            case SetTerms(request, memory, priority):
+            case SetQueryResources(request, memory, priority):
                 self._add(13, struct.pack(">IfB", request, memory, priority))
-            case SetTimer(token, delay):
+            case StartTimer(token, delay):
                 self._add(5, struct.pack(">Qd", token, delay))
-            case Cancel(request, attempt):
+            case CancelAttempt(request, attempt):
                 self._add(4, struct.pack(">IB", request, attempt))
-            case Refuse(request, after):
+            case RejectRequest(request, after):
                 self._add(2, struct.pack(">Id", request, after))
-            case Fail(request):
+            case FailRequest(request):
                 self._add(3, struct.pack(">I", request))
-            case Probe(engine):
+            case CheckHealth(engine):
                 self._add(6, engine_bytes(engine))
-            case Disconnect(engine):
+            case CloseIdleConnections(engine):
                 self._add(7, engine_bytes(engine))
-            case Post(peer, payload):
+            case SendPeerMessage(peer, payload):
                 self._add(8, struct.pack(">I", ALL_PEERS if peer is None else peer) + self._text(payload))
-            case Log(text):
+            case LogMessage(text):
                 self._add(9, self._text(text.encode()))
-            case Watch(on):
+            case WatchEngineList(on):
                 self._add(11, struct.pack(">B", on))
-            case Fetch():
+            case FetchEngineList():
                 self._add(12, b"")
 
     def reply(self, number: int) -> bytes:
--- a/fordstair/simulator/host.py
+++ b/fordstair/simulator/host.py
@@ -5,8 +5,8 @@
 import sys
 from typing import BinaryIO
 
+from fordstair.decisions.actions import Action
 from fordstair.decisions.gateway import Gateway
-from fordstair.decisions.interface import Action
 from fordstair.simulator.codec import HEADER, Decoder, Encoder, Shutdown, Up, WireError
 
 
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -12,8 +12,8 @@
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.live_request import LiveRequest
 from fordstair.core.ports import Engine
+from fordstair.decisions.engine_list import EngineState
 from fordstair.decisions.gateway import SOUND
-from fordstair.decisions.interface import EngineState
 from fordstair.decisions.state import Engine as Believed
 from fordstair.overrides.register import Ledger
 from fordstair.runtime.clock import WallClock
@@ -139,7 +139,7 @@
         counters, gateway = self.coordinator.counters, self.coordinator.gateway
         views = dict[str, ClassView]()
         for k, spec in enumerate(self.coordinator.settings.classes):
-            mine = [each for each in live if each.query.klass == k]
+            mine = [each for each in live if each.query.class_index == k]
             out = sum(each.call is not None for each in mine)
             served, refused, failed = (
                 counters[f"answered.{how}.{spec.name}"] for how in ("served", "refused", "failed")
@@ -170,7 +170,7 @@
                 t,
                 len(by_team[t]),
                 sum(each.call is not None for each in by_team[t]),
-                sum(classes[each.query.klass].threads for each in by_team[t] if each.call is not None),
+                sum(classes[each.query.class_index].threads for each in by_team[t] if each.call is not None),
                 self._oldest(by_team[t]),
                 *self._outlook(t),
             )
@@ -192,7 +192,7 @@
             str(each.id): RequestView(  # taken in order: the first are the oldest
                 each.id,
                 each.query.txn,
-                each.query.lane,
+                each.query.class_name,
                 teams[each.query.tenant],
                 round(self._unix(each.taken_ms), 1),
                 round(self._unix(each.deadline_ms), 1),
@@ -204,8 +204,8 @@
 
     def _refusals(self) -> dict[str, RefusalView]:
         return {
-            f"{lane}|{reason}": RefusalView(lane, reason, count)
-            for (lane, reason), count in self.coordinator.refusals.items()
+            f"{class_name}|{reason}": RefusalView(class_name, reason, count)
+            for (class_name, reason), count in self.coordinator.refusals.items()
         }
 
     def _members(self) -> dict[str, MemberView]:
@@ -259,7 +259,7 @@
 
 def engine_state(engine: Engine, trust: float, warmth: float, strikes: float, unheard_ms: float) -> State:
     """Name an engine's state so that nothing is called ready that the module avoids."""
-    if engine.aside:
+    if engine.cordoned:
         return "aside"
     if engine.avoided:
         return "avoided"
--- a/fordstair/snapshots/snapshot.py
+++ b/fordstair/snapshots/snapshot.py
@@ -28,14 +28,14 @@
     watchers: int = 0
 
 
-class EngineView(Struct, frozen=True):
+class EngineView(Struct, frozen=True, rename={"zone": "hall"}):
     """One engine as the decision module believes it to be."""
 
     id: str
     state: State
     address: str
     protocol: str
-    hall: int
+    zone: int
     cores: float
     out: int = 0  # own attempts
     threads: int = 0  # of these
@@ -78,12 +78,12 @@
     wait_ms: float | None = None  # that a request of the first class may expect now
 
 
-class RequestView(Struct, frozen=True):
+class RequestView(Struct, frozen=True, rename={"class_name": "lane"}):
     """One open request."""
 
     id: int
     txn: str
-    lane: str
+    class_name: str
     team: str
     taken_ms: float
     deadline_ms: float
@@ -91,10 +91,10 @@
     engine: str  # where it runs; empty while it waits
 
 
-class RefusalView(Struct, frozen=True):
+class RefusalView(Struct, frozen=True, rename={"class_name": "lane"}):
     """How often a class was refused for one reason, and when last."""
 
-    lane: str
+    class_name: str
     reason: str
     count: int
 
@@ -175,7 +175,7 @@
     "classes": lambda row: row.place,
     "teams": lambda row: row.place,
     "requests": lambda row: row.id,
-    "refusals": lambda row: (-row.count, row.lane, row.reason),
+    "refusals": lambda row: (-row.count, row.class_name, row.reason),
     "adjustments": lambda row: row.revision,
     "members": lambda row: (not row.own, row.name),
     "shares": lambda row: (row.budget, not row.own, row.member),
--- a/tests/decisions/recording.py
+++ b/tests/decisions/recording.py
@@ -9,35 +9,35 @@
 from random import Random
 
 from fordstair.configuration.settings_document import parse_settings
-from fordstair.decisions.gateway import Gateway
-from fordstair.decisions.interface import (
+from fordstair.decisions.actions import (
     Action,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SetQueryResources,
+    StartTimer,
+    WatchEngineList,
+)
+from fordstair.decisions.engine_list import EngineEntry, EngineState, ListUpdateKind
+from fordstair.decisions.events import (
     AttemptEnded,
     AttemptNote,
-    Cancel,
-    ClientGone,
-    EngineEntry,
-    EngineState,
+    ClientDisconnected,
+    ConcurrencyLimitSet,
+    EngineListChanged,
     Event,
-    Fail,
-    LimitSet,
-    ListKind,
-    MembersChanged,
+    HealthCheckEnded,
     NoteKind,
-    Probe,
-    ProbeEnded,
-    Refuse,
     RequestArrived,
-    Send,
-    SetTerms,
-    SetTimer,
-    Settings,
+    RequestWithdrawn,
     Status,
     StreamStarted,
     TimerFired,
-    Watch,
-    Withdrawn,
 )
+from fordstair.decisions.gateway import Gateway
+from fordstair.decisions.settings import Settings
 from tests.decisions.recorded_sites import SETTINGS_DOCUMENTS
 
 EVENTS = 24_000
@@ -75,21 +75,21 @@
 def encode(action: Action) -> bytes:
     """Return an action's type and every number in it; reasons are texts and left out."""
     match action:
-        case Send(request, engine, limit_ms, begin_by):
+        case SendAttempt(request, engine, limit_ms, begin_by):
             return struct.pack(">BIdd", 1, request, limit_ms, begin_by) + engine.encode()
-        case Refuse(request, retry_after_ms):
+        case RejectRequest(request, retry_after_ms):
             return struct.pack(">BId", 2, request, retry_after_ms)
-        case Fail(request):
+        case FailRequest(request):
             return struct.pack(">BI", 3, request)
-        case Cancel(request, attempt):
+        case CancelAttempt(request, attempt):
             return struct.pack(">BII", 4, request, attempt)
-        case SetTimer(token, delay_ms):
+        case StartTimer(token, delay_ms):
             return struct.pack(">BQd", 5, token, delay_ms)
-        case Probe(engine):
+        case CheckHealth(engine):
             return struct.pack(">B", 6) + engine.encode()
-        case Watch(on):
+        case WatchEngineList(on):
             return struct.pack(">BB", 11, on)
-        case SetTerms(request, memory_mb, priority):
+        case SetQueryResources(request, memory_mb, priority):
             return struct.pack(">BIdB", 13, request, memory_mb, priority)
     raise AssertionError(f"the decision module answered {action!r}, which no recorded run has")
 
@@ -117,8 +117,8 @@
         """Feed that many events; return the digest after each thousand."""
         for _ in range(ENGINE_COUNT):
             self._add_engine(started_ms=0.0)
-        self._feed(MembersChanged(ListKind.CACHED, tuple(self._engines.values())[:4]))
-        self._feed(MembersChanged(ListKind.FULL, tuple(self._engines.values())))
+        self._feed(EngineListChanged(ListUpdateKind.CACHED, tuple(self._engines.values())[:4]))
+        self._feed(EngineListChanged(ListUpdateKind.FULL, tuple(self._engines.values())))
         self._schedule(0.0, "arrive")
         self._schedule(LIST_CHANGE_MS, "change list")
         while self.event_count < events:
@@ -169,7 +169,7 @@
             cost_ms = math.nan
         elif odd < 0.01:
             memory_mb = -1.0
-        budget_ms = classes[index].give_up_ms * self.random.choice((0.1, 0.5, 1.0))
+        budget_ms = classes[index].client_timeout_ms * self.random.choice((0.1, 0.5, 1.0))
         self._feed(
             RequestArrived(
                 request,
@@ -184,15 +184,15 @@
         )
         fate = self.random.random()
         if fate < 0.03:
-            self._schedule(self.random.uniform(1.0, 2_000.0), ClientGone(request))
+            self._schedule(self.random.uniform(1.0, 2_000.0), ClientDisconnected(request))
         elif fate < 0.04:
-            self._schedule(self.random.uniform(1.0, 2_000.0), Withdrawn(request))
+            self._schedule(self.random.uniform(1.0, 2_000.0), RequestWithdrawn(request))
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case Send(request, engine):
+            case SendAttempt(request, engine):
                 self._send(request, engine)
-            case Cancel(request, attempt):
+            case CancelAttempt(request, attempt):
                 if (request, attempt) in self._outstanding and self.random.random() < 0.9:
                     engine, sent_at = self._outstanding[request, attempt]
                     delay_ms = self.random.uniform(0.5, 20.0)
@@ -202,12 +202,12 @@
                             request, attempt, engine, Status.CANCELLED, self.now - sent_at + delay_ms
                         ),
                     )
-            case SetTimer(token, delay_ms):
+            case StartTimer(token, delay_ms):
                 self._schedule(delay_ms, TimerFired(token))
-            case Probe(engine):
+            case CheckHealth(engine):
                 status = Status.OK if self.random.random() < 0.9 else Status.TIMEOUT
                 delay_ms = self.random.uniform(0.5, 40.0)
-                self._schedule(delay_ms, ProbeEnded(engine, status, delay_ms, self._report()))
+                self._schedule(delay_ms, HealthCheckEnded(engine, status, delay_ms, self._report()))
             case _:
                 pass
 
@@ -246,7 +246,7 @@
             work_ms=latency_ms * self.random.uniform(0.3, 1.0) if self.random.random() < 0.6 else 0.0,
             memory_mb=self.random.uniform(10.0, 1_500.0) if self.random.random() < 0.4 else 0.0,
             report=self._report(),
-            loose=not served and self.random.random() < 0.05,
+            may_still_run=not served and self.random.random() < 0.05,
             late=status is Status.CONNECT_FAILED and self.random.random() < 0.5,
         )
 
@@ -279,15 +279,17 @@
         self._schedule(self.random.expovariate(1.0 / LIST_CHANGE_MS), "change list")
         draw = self.random.random()
         if draw < 0.1:
-            self._feed(MembersChanged(ListKind.FAILED))
+            self._feed(EngineListChanged(ListUpdateKind.FAILED))
         elif draw < 0.25:
-            self._feed(MembersChanged(ListKind.FULL, tuple(self._engines.values())))
+            self._feed(EngineListChanged(ListUpdateKind.FULL, tuple(self._engines.values())))
         elif draw < 0.35:
             threads = self.random.choice((None, None, None, 6, 30))
-            self._feed(LimitSet(self.random.randrange(len(self.settings.classes)), threads))
+            self._feed(ConcurrencyLimitSet(self.random.randrange(len(self.settings.classes)), threads))
         elif draw < 0.45:
             self._feed(
-                ProbeEnded(self.random.choice([*self._engines, "10.9.9.9:1"]), Status.CONNECT_FAILED, 250.0)
+                HealthCheckEnded(
+                    self.random.choice([*self._engines, "10.9.9.9:1"]), Status.CONNECT_FAILED, 250.0
+                )
             )
         else:
             self._replace_engine()
@@ -296,18 +298,18 @@
         old = self._engines[self.random.choice(list(self._engines))]
         draw = self.random.random()
         if draw < 0.4 and len(self._engines) < ENGINE_COUNT + 3:  # one that joins, cold
-            self._feed(MembersChanged(ListKind.DELTA, (self._add_engine(self.now),)))
+            self._feed(EngineListChanged(ListUpdateKind.DELTA, (self._add_engine(self.now),)))
         elif draw < 0.65:  # its process has started anew
             entry = EngineEntry(
                 old.engine, EngineState.READY, old.zone, old.cell, old.kind, self.now, old.weight
             )
             self._engines[old.engine] = entry
-            self._feed(MembersChanged(ListKind.DELTA, (entry,)))
+            self._feed(EngineListChanged(ListUpdateKind.DELTA, (entry,)))
         elif len(self._engines) > ENGINE_COUNT // 2:
             state = EngineState.GONE if draw < 0.8 else EngineState.DRAINING
             entry = EngineEntry(old.engine, state, old.zone, old.cell, old.kind, old.started_ms, old.weight)
             del self._engines[old.engine]
-            self._feed(MembersChanged(ListKind.DELTA, (entry,)))
+            self._feed(EngineListChanged(ListUpdateKind.DELTA, (entry,)))
 
 
 def record(site: str, seed: int, events: int = EVENTS) -> list[str]:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,54 +4,58 @@
 
 from typing import Any, TypeVar
 
-from fordstair.decisions.gateway import Gateway
-from fordstair.decisions.interface import (
+from fordstair.decisions.actions import (
     Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    StartTimer,
+)
+from fordstair.decisions.engine_list import EngineEntry, EngineState, ListUpdateKind
+from fordstair.decisions.events import (
     AttemptEnded,
-    Cancel,
-    Effect,
-    EngineEntry,
-    EngineState,
+    EngineListChanged,
     Event,
-    Fail,
-    ListKind,
-    MembersChanged,
     PeerMessage,
-    Refuse,
     RequestArrived,
-    RequestClass,
-    Send,
-    SetTimer,
-    Settings,
     Status,
     TimerFired,
 )
+from fordstair.decisions.gateway import Gateway
+from fordstair.decisions.settings import Idempotency, RequestClass, Settings
 
 A = TypeVar("A")
 SAFE, LOAD, KEYED = 0, 1, 2
 CLASSES = (
-    RequestClass("quick", Effect.SAFE, promise_ms=600, aim_stretch=2, give_up_ms=3000),
+    RequestClass(
+        "quick",
+        Idempotency.IDEMPOTENT,
+        latency_objective_ms=600,
+        latency_objective_work_factor=2,
+        client_timeout_ms=3000,
+    ),
     RequestClass(
         "load",
-        Effect.UNSAFE,
-        promise_ms=4000,
-        aim_stretch=2.5,
-        give_up_ms=20000,
-        worth=7,
-        late_worth=0.5,
+        Idempotency.NON_IDEMPOTENT,
+        latency_objective_ms=4000,
+        latency_objective_work_factor=2.5,
+        client_timeout_ms=20000,
+        priority_weight=7,
+        late_weight=0.5,
         threads=2,
         ordered=True,
         is_load=True,
     ),
     RequestClass(
         "keyed",
-        Effect.KEYED,
-        promise_ms=4000,
-        aim_stretch=2.5,
-        give_up_ms=20000,
-        worth=6,
-        late_worth=0.5,
-        memory_span_ms=5000,
+        Idempotency.WITH_KEY,
+        latency_objective_ms=4000,
+        latency_objective_work_factor=2.5,
+        client_timeout_ms=20000,
+        priority_weight=6,
+        late_weight=0.5,
+        deduplication_window_ms=5000,
         threads=2,
     ),
 )
@@ -65,12 +69,12 @@
         "memory_mb_by_kind": (16384.0, 16384.0),
         "may_cancel": True,
         "max_attempts": 4,
-        "order_settle_ms": 500.0,
-        "cold_from": 0.3,
-        "cold_ms": 10000.0,
-        "fall_multiple": 3.0,
-        "fall_ms": 2000.0,
-        "report_fields": ("util",),
+        "ordering_settle_ms": 500.0,
+        "slow_start_initial_capacity": 0.3,
+        "slow_start_ms": 10000.0,
+        "slow_start_overload_factor": 3.0,
+        "slow_start_window_ms": 2000.0,
+        "load_report_fields": ("util",),
         "probes": False,
         "priorities": True,
         "grants": True,
@@ -93,23 +97,25 @@
         self.log: list[tuple[float, Action]] = []
         self.timers: list[tuple[float, int]] = []
         self.ids = 0
-        self.members(*(entry(i) for i in range(1, engines + 1)), kind=ListKind.FULL)
+        self.members(*(entry(i) for i in range(1, engines + 1)), kind=ListUpdateKind.FULL)
 
     def feed(self, event: Event) -> list[Action]:
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             self.log.append((self.now, action))
-            if isinstance(action, SetTimer):
+            if isinstance(action, StartTimer):
                 self.timers.append((self.now + action.delay_ms, action.token))
         return actions
 
-    def members(self, *entries: EngineEntry, kind: ListKind = ListKind.DELTA) -> list[Action]:
-        return self.feed(MembersChanged(kind, entries))
+    def members(self, *entries: EngineEntry, kind: ListUpdateKind = ListUpdateKind.DELTA) -> list[Action]:
+        return self.feed(EngineListChanged(kind, entries))
 
-    def ask(self, klass: int = SAFE, cost: float = 100.0, **more: Any) -> int:
+    def ask(self, class_index: int = SAFE, cost: float = 100.0, **more: Any) -> int:
         self.ids += 1
-        budget = more.pop("budget_ms", CLASSES[klass].give_up_ms if klass < len(CLASSES) else 3000.0)
-        self.feed(RequestArrived(self.ids, klass, budget, cost_ms=cost, **more))
+        budget = more.pop(
+            "budget_ms", CLASSES[class_index].client_timeout_ms if class_index < len(CLASSES) else 3000.0
+        )
+        self.feed(RequestArrived(self.ids, class_index, budget, cost_ms=cost, **more))
         return self.ids
 
     def end(
@@ -143,11 +149,11 @@
         found: list[A] = [a for _, a in self.log if isinstance(a, kind)]
         return [a for a in found if request is None or getattr(a, "request", None) == request]
 
-    def sends(self, request: int | None = None) -> list[Send]:
-        return self.of(Send, request)
+    def sends(self, request: int | None = None) -> list[SendAttempt]:
+        return self.of(SendAttempt, request)
 
     def answers(self, request: int) -> list[Action]:
-        return [*self.of(Refuse, request), *self.of(Fail, request)]
+        return [*self.of(RejectRequest, request), *self.of(FailRequest, request)]
 
-    def cancels(self, request: int) -> list[Cancel]:
-        return self.of(Cancel, request)
+    def cancels(self, request: int) -> list[CancelAttempt]:
+        return self.of(CancelAttempt, request)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -130,7 +130,7 @@
         self._unpacker = msgpack.Unpacker()
 
     async def ask(
-        self, lane: str = "lookup", body: object = b"SELECT a FROM sales_17.orders", **fields: str
+        self, class_name: str = "lookup", body: object = b"SELECT a FROM sales_17.orders", **fields: str
     ) -> int:
         """Send a request; return its id."""
         self.last += 1
@@ -141,7 +141,7 @@
             "cpu": "200.0",
             "need_mb": "96",
         } | fields
-        await self.send([0, self.last, lane, [told, body]])
+        await self.send([0, self.last, class_name, [told, body]])
         return self.last
 
     async def send(self, message: object) -> None:
--- a/tests/test_failings.py
+++ b/tests/test_failings.py
@@ -15,8 +15,8 @@
 import trio
 import ujson
 
-from fordstair.core.ports import Engine, Errand, Query
-from fordstair.decisions.interface import EngineEntry
+from fordstair.core.ports import AttemptRequest, Engine, Query
+from fordstair.decisions.engine_list import EngineEntry
 from fordstair.net.engines.http_client import Connection
 from fordstair.net.engines.pool import ConnectFailed
 from fordstair.net.engines.rest import RestTransport
@@ -139,8 +139,8 @@
     play(scene)
 
 
-@pytest.mark.parametrize(("lane", "word"), [("lookup", "Overloaded"), ("meter-load", "Internal")])
-def test_a_machine_that_accepts_and_says_nothing_holds_no_call(lane: str, word: str) -> None:
+@pytest.mark.parametrize(("class_name", "word"), [("lookup", "Overloaded"), ("meter-load", "Internal")])
+def test_a_machine_that_accepts_and_says_nothing_holds_no_call(class_name: str, word: str) -> None:
     async def silent(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | None:
@@ -150,15 +150,15 @@
     async def scene() -> None:
         async with engine(silent) as one, program(config(one.address)) as node:
             client = await node.client()
-            assert (await client.answer(await client.ask(lane, limit="2500")))[0][0] == word
-            assert one.calls["POST"] == 1 or lane == "lookup"
-            assert one.calls["GET"] >= 1 or lane == "lookup"  # it is asked again, on other connections
+            assert (await client.answer(await client.ask(class_name, limit="2500")))[0][0] == word
+            assert one.calls["POST"] == 1 or class_name == "lookup"
+            assert one.calls["GET"] >= 1 or class_name == "lookup"  # it is asked again, on other connections
 
     play(scene)
 
 
-@pytest.mark.parametrize(("lane", "posts"), [("lookup", 2), ("meter-load", 1)])
-def test_a_lost_page_is_an_error_of_a_query_that_may_have_run(lane: str, posts: int) -> None:
+@pytest.mark.parametrize(("class_name", "posts"), [("lookup", 2), ("meter-load", 1)])
+def test_a_lost_page_is_an_error_of_a_query_that_may_have_run(class_name: str, posts: int) -> None:
     async def loses(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | None:
@@ -169,9 +169,9 @@
     async def scene() -> None:
         async with engine(loses) as one, program(config(one.address)) as node:
             client = await node.client()
-            error, result = await client.answer(await client.ask(lane))
+            error, result = await client.answer(await client.ask(class_name))
             assert len(one.posts) == posts
-            assert result == ROWS if lane == "lookup" else error[0] == "Internal"
+            assert result == ROWS if class_name == "lookup" else error[0] == "Internal"
 
     play(scene)
 
@@ -216,8 +216,8 @@
     async def scene() -> None:
         pool, deadlines = Unreachable(), Deadlines()
         engine = Engine(EngineEntry("s-1"), "10.0.0.1:1")
-        errand = Errand(Query("0" * 16, "lookup", 0, 0, 1000.0, b""), engine, 1, 1000.0)
-        call = RestTransport(pool, deadlines, ()).call(errand)  # type: ignore[arg-type]
+        attempt_request = AttemptRequest(Query("0" * 16, "lookup", 0, 0, 1000.0, b""), engine, 1, 1000.0)
+        call = RestTransport(pool, deadlines, ()).call(attempt_request)  # type: ignore[arg-type]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(deadlines.run)
             with trio.move_on_after(0.3):
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -7,32 +7,21 @@
 
 import pytest
 
-from fordstair.decisions.interface import (
-    AttemptBudget,
-    AttemptNote,
-    Effect,
-    EngineState,
-    ListKind,
-    NoteKind,
-    ProbeEnded,
-    Refuse,
-    RequestArrived,
-    RequestClass,
-    SetTerms,
-    Status,
-    Tenant,
-)
+from fordstair.decisions.actions import RejectRequest, SetQueryResources
+from fordstair.decisions.engine_list import EngineState, ListUpdateKind
+from fordstair.decisions.events import AttemptNote, HealthCheckEnded, NoteKind, RequestArrived, Status
+from fordstair.decisions.settings import Idempotency, RequestClass, RetryBudget, Tenant
 from fordstair.decisions.state import Engine, Request
 from tests.helpers import CLASSES, LOAD, SAFE, Rig, entry, settings
 
 HEAVY = RequestClass(
     "heavy",
-    Effect.SAFE,
-    promise_ms=1500,
-    aim_stretch=2.5,
-    give_up_ms=20000,
-    worth=7,
-    late_worth=0.3,
+    Idempotency.IDEMPOTENT,
+    latency_objective_ms=1500,
+    latency_objective_work_factor=2.5,
+    client_timeout_ms=20000,
+    priority_weight=7,
+    late_weight=0.3,
     threads=2,
 )
 
@@ -93,7 +82,7 @@
         rig.end(r, Status.CANCELLED, 400.0)
         assert rig.sends(r)[-1].engine != "10.0.0.1:80"
     assert engine(rig, 1).strikes >= 1.0 or len(hung) < 2
-    rig.feed(ProbeEnded("10.0.0.1:80", Status.OK, 1.0, (0.1,)))
+    rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.1,)))
     assert engine(rig, 1).strikes > 0.0  # a shallow probe proves only a live process
 
 
@@ -123,16 +112,16 @@
 def test_reports_steer_the_draw_and_their_age_fades() -> None:
     rig = Rig(settings(instances=3))
     for _ in range(10):
-        rig.feed(ProbeEnded("10.0.0.1:80", Status.OK, 1.0, (0.9,)))
-        rig.feed(ProbeEnded("10.0.0.2:80", Status.OK, 1.0, (0.05,)))
-        rig.feed(ProbeEnded("10.0.0.3:80", Status.OK, 1.0, (0.05,)))
+        rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.9,)))
+        rig.feed(HealthCheckEnded("10.0.0.2:80", Status.OK, 1.0, (0.05,)))
+        rig.feed(HealthCheckEnded("10.0.0.3:80", Status.OK, 1.0, (0.05,)))
     assert choices(rig)[1] < 30
     rig.pass_time(60000.0)
     assert rig.gateway.load(engine(rig, 1)) < 0.01  # own threads alone, and there are none
 
 
 def test_own_sends_count_at_once_without_any_report() -> None:
-    rig = Rig(settings(report_fields=()))
+    rig = Rig(settings(load_report_fields=()))
     for _ in range(24):
         rig.ask(SAFE, 100.0)
     threads = [e.threads for e in rig.gateway.engines.values()]
@@ -144,10 +133,10 @@
     rig = Rig()
     serve(rig, 20)
     before = rig.gateway.cache.mean(SAFE)
-    rig.feed(ProbeEnded("10.0.0.1:80", Status.OK, odd, (odd,)))
+    rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, odd, (odd,)))
     r = rig.ask(SAFE, odd if not math.isfinite(odd) or odd < 0 else 100.0, memory_mb=odd, group=odd)
     rig.end(r, Status.OK, odd if not math.isfinite(odd) else 100.0, work_ms=0.0, memory_mb=0.0)
-    rig.members(entry(5, started=odd if math.isfinite(odd) else 0.0, kind=9), kind=ListKind.DELTA)
+    rig.members(entry(5, started=odd if math.isfinite(odd) else 0.0, kind=9), kind=ListUpdateKind.DELTA)
     for _ in range(10):
         rig.feed(AttemptNote(rig.ask(SAFE), 0, "10.0.0.1:80", NoteKind.PROGRESS, odd))
     assert rig.gateway.cache.mean(SAFE) == pytest.approx(before, rel=0.2)
@@ -155,15 +144,15 @@
 
 
 def test_a_still_clock_a_start_ahead_of_it_and_one_engine() -> None:
-    rig = Rig(settings(cold_ms=0.0), engines=0)
-    rig.members(entry(1, started=9e9), kind=ListKind.FULL)
+    rig = Rig(settings(slow_start_ms=0.0), engines=0)
+    rig.members(entry(1, started=9e9), kind=ListUpdateKind.FULL)
     for _ in range(50):
         rig.end(rig.ask(), Status.OK, 0.0)
     assert len(rig.sends()) == 50
 
 
 def test_bad_plan_told_by_notes_is_cut_and_tried_elsewhere() -> None:
-    rig = Rig(settings(classes=(HEAVY,), notes_every_ms=1000.0))
+    rig = Rig(settings(classes=(HEAVY,), progress_interval_ms=1000.0))
     r = rig.ask(0, 2000.0, budget_ms=20000.0)
     first = rig.sends(r)[0].engine
     rig.pass_time(1000.0)
@@ -194,7 +183,7 @@
     for e in rig.gateway.engines.values():
         e.threads = 13  # 1.6 threads a core
     heavy, light = rig.ask(0, 8000.0, budget_ms=20000.0), rig.ask(0, 100.0, budget_ms=20000.0)
-    while not rig.of(Refuse, heavy):
+    while not rig.of(RejectRequest, heavy):
         heavy = rig.ask(0, 8000.0, budget_ms=20000.0)
         assert heavy < 60, "the bucket never empties"
     assert rig.sends(light) and not rig.sends(heavy)
@@ -207,7 +196,7 @@
     assert all(rig.sends(r) for r in calm)
     for e in rig.gateway.engines.values():
         e.threads = 12
-    assert rig.of(Refuse, rig.ask(0, 10.0, tenant=0, budget_ms=9000.0))
+    assert rig.of(RejectRequest, rig.ask(0, 10.0, tenant=0, budget_ms=9000.0))
     rig.ask(0, 10.0, tenant=1, budget_ms=9000.0)
     rig.now += 1000.0  # its bucket started at a random part and has filled
     assert rig.sends(rig.ask(0, 10.0, tenant=1, budget_ms=9000.0))
@@ -217,10 +206,10 @@
     rig = Rig()
     for _ in range(200):
         rig.end(rig.ask(SAFE, 100.0, memory_mb=100.0), Status.OK, 100.0, work_ms=100.0, memory_mb=200.0)
-    terms = rig.of(SetTerms)[-1]
+    terms = rig.of(SetQueryResources)[-1]
     assert 195.0 < terms.memory_mb < 230.0
     r = rig.ask(SAFE, 100.0, memory_mb=1e9)
-    assert rig.of(SetTerms, r)[-1].memory_mb == 16384.0  # never more than one query may have
+    assert rig.of(SetQueryResources, r)[-1].memory_mb == 16384.0  # never more than one query may have
 
 
 def test_a_load_keeps_others_off_its_table_group() -> None:
@@ -275,7 +264,7 @@
     assert rig.gateway.warmth(engine(rig, 1)) == 1.0
     # warm or not, it is avoided while connections to it are slow
     assert rig.gateway.marks(engine(rig, 1)) < 0.6
-    rig.feed(ProbeEnded("10.0.0.1:80", Status.CONNECT_FAILED, 3_000.0))
+    rig.feed(HealthCheckEnded("10.0.0.1:80", Status.CONNECT_FAILED, 3_000.0))
     assert rig.gateway.warmth(engine(rig, 1)) < 0.5 and rig.gateway.warmth(engine(rig, 2)) == 1.0
 
 
@@ -302,15 +291,15 @@
     asked = [rig.ask(0, 10.0, budget_ms=20000.0) for _ in range(40)]
     out = [r for r in asked if rig.sends(r)]
     assert 1.0 <= 2 * len(out) / 8 <= 3.0  # threads a core
-    assert all(rig.of(Refuse, r) for r in asked if r not in out)
+    assert all(rig.of(RejectRequest, r) for r in asked if r not in out)
     rig.end(out[0], Status.OK, 10.0)
     assert rig.sends(rig.ask(0, 10.0, budget_ms=20000.0))
 
 
 def test_errors_of_one_bad_statement_mark_no_engine() -> None:
     """Bad clients' statements reach engines, which answer an error each: none of them is sick for that."""
-    ample = AttemptBudget(100.0, 1.0, 5000.0)
-    rig = Rig(settings(attempt_budget=ample), engines=4)
+    ample = RetryBudget(100.0, 1.0, 5000.0)
+    rig = Rig(settings(retry_budget=ample), engines=4)
     for _ in range(10):
         bad = rig.ask(SAFE)
         while not rig.answers(bad):
@@ -327,7 +316,7 @@
 @pytest.mark.parametrize("jam", [False, True])
 def test_late_work_goes_on_while_calm_and_ends_at_its_aim_in_a_jam(jam: bool) -> None:
     """What is late earns little, and what it holds keeps a jam going."""
-    rig = Rig(settings(classes=(HEAVY,), notes_every_ms=500.0))
+    rig = Rig(settings(classes=(HEAVY,), progress_interval_ms=500.0))
     r = rig.ask(0, 100.0, budget_ms=20000.0)
     for step in range(30):
         rig.pass_time(100.0)
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -18,8 +18,9 @@
 from fordstair.configuration.operator_file import settings as site_settings
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import Engine
+from fordstair.decisions.engine_list import ListUpdateKind
+from fordstair.decisions.events import Status
 from fordstair.decisions.gateway import SOUND
-from fordstair.decisions.interface import ListKind, Status
 from fordstair.lab.machine import Job, Machine
 from fordstair.logs.repeats import Repeats
 from fordstair.logs.setup import Log
@@ -137,7 +138,7 @@
     observer = Observer("x", watched, Ledger(), WallClock())
     named = set()
     for one in (plain, watched):
-        one.members(ListKind.FULL, [Engine(entry(n), f"127.0.0.1:{n}") for n in range(1, 4)])
+        one.members(ListUpdateKind.FULL, [Engine(entry(n), f"127.0.0.1:{n}") for n in range(1, 4)])
     sent: dict[int, list[str]] = {0: [], 1: []}
     for turn in range(400):
         now = 1_000.0 + turn * 37.0
@@ -171,24 +172,24 @@
     assert engine_state(engine, 0.1, 0.5, 1.5, 9e3) == "silent"
     assert engine_state(engine, 0.1, 0.5, 1.5, 50.0) == "doubted"
     assert engine_state(engine, 0.1, 1.0, 0.1, 9e3) == "failing"
-    engine.aside = True
+    engine.cordoned = True
     assert engine_state(engine, 0.1, 0.5, 1.5, 0.0) == "aside" and engine.told.state.name == "DRAINING"
 
 
 def test_a_class_can_be_limited_in_the_module_and_an_unsafe_one_is_refused_before_it_ran() -> None:
-    from fordstair.decisions.interface import LimitSet
+    from fordstair.decisions.events import ConcurrencyLimitSet
 
     rig = Rig()
-    rig.feed(LimitSet(1, 4))
+    rig.feed(ConcurrencyLimitSet(1, 4))
     first, second, third = (rig.ask(1) for _ in range(3))
     assert len(rig.sends(first)) == len(rig.sends(second)) == 1 and not rig.sends(third)
     (refused,) = rig.answers(third)
     assert getattr(refused, "reason", "") == "over the limit set here"
     rig.end(first, Status.OK)
     assert rig.sends(rig.ask(1)) and CLASSES[1].threads == 2
-    rig.feed(LimitSet(1, 0))
+    rig.feed(ConcurrencyLimitSet(1, 0))
     assert not rig.sends(rig.ask(1)) and rig.sends(rig.ask(0))
-    rig.feed(LimitSet(1, None))
+    rig.feed(ConcurrencyLimitSet(1, None))
     assert rig.sends(rig.ask(1))
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,11 +6,13 @@
 from collections import Counter
 from random import Random
 
-from fordstair.decisions.interface import Cancel, ListKind, Send, Status
+from fordstair.decisions.actions import CancelAttempt, SendAttempt
+from fordstair.decisions.engine_list import ListUpdateKind
+from fordstair.decisions.events import Status
 from fordstair.lab.machine import Job, Machine
 from tests.helpers import SAFE, Rig, entry, settings
 
-REPORTS = settings(report_fields=("util", "inflight"), instances=40)
+REPORTS = settings(load_report_fields=("util", "inflight"), instances=40)
 
 
 def answered(rig: Rig, util: float, inflight: float, slow: tuple[float, float] | None = None) -> None:
@@ -86,7 +88,7 @@
     rig.members(
         *(entry(i) for i in range(1, 13)),
         *(entry(i, started=990.0) for i in range(13, 31)),
-        kind=ListKind.FULL,
+        kind=ListUpdateKind.FULL,
     )
     return rig
 
@@ -120,11 +122,11 @@
 
 def test_an_attempt_that_may_begin_yet_is_followed_by_no_other() -> None:
     rig = Rig(settings(instances=40), engines=8)
-    for loose in (False, True):
+    for may_still_run in (False, True):
         request = rig.ask(SAFE, 100.0)
-        rig.end(request, Status.CANCELLED, 900.0, loose=loose)
-        assert len(rig.sends(request)) == (1 if loose else 2)
-        assert bool(rig.answers(request)) == loose
+        rig.end(request, Status.CANCELLED, 900.0, may_still_run=may_still_run)
+        assert len(rig.sends(request)) == (1 if may_still_run else 2)
+        assert bool(rig.answers(request)) == may_still_run
 
 
 class Site:
@@ -136,11 +138,11 @@
         self.random, self.now = Random(seed), 1_000.0
         self.config = settings(
             instances=gateways,
-            report_fields=("util", "inflight"),
-            cold_from=0.32,
-            cold_ms=15_000.0,
-            fall_multiple=2.5,
-            fall_ms=1_000.0,
+            load_report_fields=("util", "inflight"),
+            slow_start_initial_capacity=0.32,
+            slow_start_ms=15_000.0,
+            slow_start_overload_factor=2.5,
+            slow_start_window_ms=1_000.0,
         )
         self.entries = {f"10.0.0.{n}:80": entry(n) for n in range(1, engines + 1)}
         self.machines = {name: Machine(8.0, cold_part=0.32, warm_ms=15_000.0) for name in self.entries}
@@ -153,7 +155,7 @@
     def started(self, seed: int) -> Rig:
         rig = Rig(self.config, engines=0, seed=seed)
         rig.now = self.now
-        rig.members(*self.entries.values(), kind=ListKind.FULL)
+        rig.members(*self.entries.values(), kind=ListUpdateKind.FULL)
         return rig
 
     def restart(self, gateways: int, cold: int) -> None:
@@ -208,12 +210,12 @@
         for number, rig in enumerate(self.rigs):
             for _, action in itertools.islice(rig.log, self.read[number], None):
                 match action:
-                    case Send(request, engine):
+                    case SendAttempt(request, engine):
                         cost, job = rig.gateway.requests[request].cost, f"{number}.{id(rig)}.{request}"
                         self.jobs[job] = rig, request, rig.gateway.requests[request].sent - 1, self.now
                         self.machines[engine].start(Job(job, cost, 1), self.now)
                         self.sent.append((self.now, engine, cost))
-                    case Cancel(request, _):
+                    case CancelAttempt(request, _):
                         job = f"{number}.{id(rig)}.{request}"
                         for machine in self.machines.values():
                             machine.drop(job, self.now)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -9,7 +9,6 @@
 STILL_LARGER = {
     "fordstair/core/coordinator.py",
     "fordstair/decisions/gateway.py",
-    "fordstair/decisions/interface.py",
     "fordstair/lab/site.py",
     "fordstair/membership/swim.py",
     "fordstair/net/clients/odata_front.py",
--- a/tests/test_odata.py
+++ b/tests/test_odata.py
@@ -317,19 +317,19 @@
             counts: dict[str, Counter[str]] = {"msgpack": Counter(), "odata": Counter()}
             took: dict[tuple[str, str], list[float]] = {}
 
-            async def by_msgpack(number: int, lane: str) -> None:
+            async def by_msgpack(number: int, class_name: str) -> None:
                 client, start = await node.client(), time.monotonic()
-                asked = await client.ask(lane, limit=str(wait_s * 1000), txn=f"{number:016x}")
+                asked = await client.ask(class_name, limit=str(wait_s * 1000), txn=f"{number:016x}")
                 error, result = await client.answer(asked)
                 assert error or result == ROWS
                 counts["msgpack"][
                     {"Overloaded": "refused", "Internal": "failed"}[error[0]] if error else "served"
                 ] += 1
-                took.setdefault(("msgpack", lane), []).append(time.monotonic() - start)
+                took.setdefault(("msgpack", class_name), []).append(time.monotonic() - start)
 
-            async def by_odata(number: int, lane: str) -> None:
+            async def by_odata(number: int, class_name: str) -> None:
                 start, wait = time.monotonic(), f"wait={wait_s}"
-                if lane == "meter-load":
+                if class_name == "meter-load":
                     status, headers, _ = await ask(node, "POST", "/odata/Readings", READING, Prefer=wait)
                 else:
                     status, headers, told = await ask(node, "GET", "/odata/Settlements", Prefer=wait)
@@ -337,18 +337,18 @@
                 counts["odata"][
                     "served" if status < 300 else "refused" if "Retry-After" in headers else "failed"
                 ] += 1
-                took.setdefault(("odata", lane), []).append(time.monotonic() - start)
+                took.setdefault(("odata", class_name), []).append(time.monotonic() - start)
 
             async with trio.open_nursery() as nursery:
-                for number, lane in enumerate(("settlement", "meter-load") * 4):
-                    nursery.start_soon(by_msgpack, number, lane)
-                    nursery.start_soon(by_odata, number, lane)
+                for number, class_name in enumerate(("settlement", "meter-load") * 4):
+                    nursery.start_soon(by_msgpack, number, class_name)
+                    nursery.start_soon(by_odata, number, class_name)
             expected = {"served": {"served": 8}}.get(script, {"refused": 4, "failed": 4})
             assert counts["msgpack"] == counts["odata"] == Counter(expected)
-            for (_, lane), times in took.items():
+            for (_, class_name), times in took.items():
                 assert len(times) == 4 and max(times) < 10.0
                 # a load that may run has only its deadline to end it; a read may be moved and refused before
-                assert script != "silent" or lane != "meter-load" or min(times) > 0.8
+                assert script != "silent" or class_name != "meter-load" or min(times) > 0.8
             loads = [
                 headers.get("x-txn") or ujson.loads(body)["Txn"]
                 for headers, body in (*one.posts, *two.posts)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -12,7 +12,7 @@
 
 from fordstair.configuration.platform import ConfigError, flatten, parse
 from fordstair.core.statements import table_group
-from fordstair.decisions.interface import EngineState
+from fordstair.decisions.engine_list import EngineState
 from fordstair.net.clients.messagepack import Incomplete, Malformed, read
 from fordstair.net.clients.odata_model import EntitySet, ODataError, understand
 from fordstair.net.command_channel import FrameError, read_frame, read_records
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -55,13 +55,13 @@
 
 
 @pytest.mark.parametrize(
-    ("lane", "posts", "word"), [("meter-load", 1, "Internal"), ("lookup", 4, "Overloaded")]
+    ("class_name", "posts", "word"), [("meter-load", 1, "Internal"), ("lookup", 4, "Overloaded")]
 )
-def test_a_broken_connection_proves_nothing(lane: str, posts: int, word: str) -> None:
+def test_a_broken_connection_proves_nothing(class_name: str, posts: int, word: str) -> None:
     async def scene() -> None:
         async with engine(breaks) as one, program(config(one.address)) as node:
             client = await node.client()
-            error, _ = await client.answer(await client.ask(lane))
+            error, _ = await client.answer(await client.ask(class_name))
             assert error[0] == word and 1 <= len(one.posts) <= posts
 
     play(scene)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from fordstair.decisions.interface import AttemptBudget, RequestClass, Settings, Tenant
+from fordstair.decisions.settings import RequestClass, RetryBudget, Settings, Tenant
 
 ROOT = Path(__file__).parent.parent
 
@@ -24,12 +24,12 @@
 
 
 def test_invalid_settings_name_the_field() -> None:
-    with pytest.raises(ValueError, match="classes.x.promise_ms"):
-        RequestClass("x", promise_ms=-1.0)
+    with pytest.raises(ValueError, match="classes.x.latency_objective_ms"):
+        RequestClass("x", latency_objective_ms=-1.0)
     with pytest.raises(ValueError, match="tenants.t.quota_per_s"):
         Tenant("t", float("nan"))
-    with pytest.raises(ValueError, match="attempt_budget.window_ms"):
-        AttemptBudget(1.0, 0.1, float("inf"))
+    with pytest.raises(ValueError, match="retry_budget.window_ms"):
+        RetryBudget(1.0, 0.1, float("inf"))
     with pytest.raises(ValueError, match="settings.instances"):
         Settings(classes=(RequestClass("x"),), instances=0)
     with pytest.raises(ValueError, match="settings.classes"):
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -16,8 +16,8 @@
 
 from fordstair.configuration.platform import parse
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.ports import Call, Engine, Errand, News, Query
-from fordstair.decisions.interface import EngineEntry, EngineState, ListKind
+from fordstair.core.ports import AttemptRequest, Call, Engine, News, Query
+from fordstair.decisions.engine_list import EngineEntry, EngineState, ListUpdateKind
 from fordstair.net.clients.odata_front import Reply
 from fordstair.net.clients.rpc_connection import RpcClient
 from fordstair.net.clients.rpc_front import RpcFront
@@ -203,7 +203,7 @@
 class Nowhere:
     """A transport for engines that are only listed."""
 
-    def call(self, errand: Errand) -> Call:
+    def call(self, attempt_request: AttemptRequest) -> Call:
         raise AssertionError
 
     def forget(self, engine: Engine) -> None:
@@ -213,7 +213,7 @@
 class Endless(Nowhere):
     """A transport whose attempts never end."""
 
-    def call(self, errand: Errand) -> Call:
+    def call(self, attempt_request: AttemptRequest) -> Call:
         return EndlessCall()
 
 
@@ -449,7 +449,7 @@
         coordinator = Coordinator(settings, 1, {}, deadlines, counters)
         async with trio.open_nursery() as nursery:
             await nursery.start(coordinator.run)
-            coordinator.members(ListKind.FULL, [Engine(EngineEntry("s-1"), "127.0.0.1:1")])
+            coordinator.members(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "127.0.0.1:1")])
             query = Query("0" * 16, "lookup", 0, 0, 3000.0, b"")
             for _ in range(50):  # before the task has begun
                 coordinator.leave(coordinator.take(query, Reply()))
@@ -469,9 +469,9 @@
     async def scene() -> None:
         coordinator = Coordinator(parse(config()).settings, 1, {"rest": Nowhere()}, Deadlines(), Counters())
         for number in range(20):
-            coordinator.members(ListKind.DELTA, [Engine(EngineEntry(f"s-{number}"), "127.0.0.1:1")])
+            coordinator.members(ListUpdateKind.DELTA, [Engine(EngineEntry(f"s-{number}"), "127.0.0.1:1")])
             gone = EngineEntry(f"s-{number - 1}", EngineState.GONE)
-            coordinator.members(ListKind.DELTA, [Engine(gone, "127.0.0.1:1")])
+            coordinator.members(ListUpdateKind.DELTA, [Engine(gone, "127.0.0.1:1")])
         assert list(coordinator.engines) == list(coordinator.gateway.engines) == ["s-19"]
 
     play(scene)
@@ -492,7 +492,7 @@
             nursery.start_soon(one.deadlines.run)
             await nursery.start(one.coordinator.run)
             reply = Reply()
-            one.coordinator.members(ListKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
+            one.coordinator.members(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
             one.coordinator.transports = {"rest": Endless()}
             one.coordinator.take(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
             start = clock()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -4,18 +4,11 @@
 
 import pytest
 
+from fordstair.decisions.actions import CheckHealth
+from fordstair.decisions.engine_list import EngineState, ListUpdateKind
+from fordstair.decisions.events import EngineListChanged, HealthCheckEnded, RequestArrived, Status
 from fordstair.decisions.gateway import HOLD_MS, LOOK_AT, PROBES_SAVED
-from fordstair.decisions.interface import (
-    AttemptBudget,
-    EngineState,
-    ListKind,
-    MembersChanged,
-    Probe,
-    ProbeEnded,
-    RequestArrived,
-    Status,
-    Tenant,
-)
+from fordstair.decisions.settings import RetryBudget, Tenant
 from fordstair.decisions.state import Engine, Request
 from tests.helpers import CLASSES, LOAD, SAFE, Rig, entry, settings
 
@@ -32,10 +25,10 @@
 
 def test_a_cold_engine_gets_a_part_from_all_gateways_together_but_not_too_much() -> None:
     # An even part of the cold budget is less than one query at each of the gateways.
-    config = settings(instances=MANY, fall_multiple=3.0, fall_ms=2000.0)
+    config = settings(instances=MANY, slow_start_overload_factor=3.0, slow_start_window_ms=2000.0)
     rigs = [Rig(config, engines=0, seed=seed) for seed in range(MANY)]
     for rig in rigs:
-        rig.members(*(entry(i) for i in range(1, 10)), entry(10, started=990.0), kind=ListKind.FULL)
+        rig.members(*(entry(i) for i in range(1, 10)), entry(10, started=990.0), kind=ListUpdateKind.FULL)
         for _ in range(2):
             rig.ask(SAFE, 100.0)
     cold, all_sends = sends_to(rigs, 10), sum(len(rig.sends()) for rig in rigs)
@@ -48,7 +41,7 @@
 def test_with_every_engine_cold_the_gateways_hold_back_together() -> None:
     rigs = [Rig(settings(instances=MANY), engines=0, seed=seed) for seed in range(MANY)]
     for rig in rigs:
-        rig.members(*(entry(i, started=990.0) for i in range(1, 4)), kind=ListKind.FULL)
+        rig.members(*(entry(i, started=990.0) for i in range(1, 4)), kind=ListUpdateKind.FULL)
         rig.ask(LOAD, 4000.0, key=1)
     part = sum(len(rig.sends()) for rig in rigs) / MANY
     assert 0.0 < part < 3.0 * 0.3 / 2.0  # of full load: half of what the rule allows
@@ -95,7 +88,7 @@
 def test_a_quiet_gateway_reads_an_engine_without_report_as_loaded_as_the_others() -> None:
     rig = Rig(engines=4)
     for number in (1, 2, 3):
-        rig.feed(ProbeEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (0.75,)))
+        rig.feed(HealthCheckEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (0.75,)))
     loads = [rig.gateway.load(engine_of(rig, number)) for number in (1, 2, 3, 4)]
     assert loads[3] == pytest.approx(loads[0], rel=0.05)
     rig.pass_time(120000.0)
@@ -105,9 +98,9 @@
 def test_a_fresh_report_replaces_one_that_is_old() -> None:
     rig = Rig()
     for _ in range(5):
-        rig.feed(ProbeEnded("10.0.0.1:80", Status.OK, 1.0, (0.9,)))
+        rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.9,)))
     rig.pass_time(10000.0)
-    rig.feed(ProbeEnded("10.0.0.1:80", Status.OK, 1.0, (0.3,)))
+    rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.3,)))
     assert engine_of(rig, 1).others.value == pytest.approx(0.3 * 8.0 / 0.75)
 
 
@@ -116,12 +109,12 @@
     for step in range(20):
         rig.ask(SAFE, 10.0 if step == 0 else 1.0)
     rig.pass_time(1000.0)
-    before = len(rig.of(Probe))
+    before = len(rig.of(CheckHealth))
     r = rig.ask(LOAD, 4000.0, key=1)
-    asked = rig.of(Probe)[before:]
+    asked = rig.of(CheckHealth)[before:]
     assert 2 <= len(asked) <= LOOK_AT and not rig.sends(r)
     for place, probe in enumerate(asked):
-        rig.feed(ProbeEnded(probe.engine, Status.OK, 1.0, (0.05 if place == 0 else 0.95,)))
+        rig.feed(HealthCheckEnded(probe.engine, Status.OK, 1.0, (0.05 if place == 0 else 0.95,)))
     rig.pass_time(HOLD_MS + 1.0)
     assert rig.sends(r)[0].engine == asked[0].engine
 
@@ -132,7 +125,7 @@
         r = rig.ask(SAFE, 1000.0)
         rig.pass_time(HOLD_MS + 1.0)
         assert rig.sends(r) or rig.answers(r)
-    assert len(rig.of(Probe)) <= PROBES_SAVED + 0.4 * 100
+    assert len(rig.of(CheckHealth)) <= PROBES_SAVED + 0.4 * 100
 
 
 def test_an_idle_gateway_sets_no_timers_and_sends_no_probes() -> None:
@@ -144,8 +137,8 @@
 def test_an_engine_far_too_idle_for_the_fleet_counts_as_hung() -> None:
     rig = Rig(engines=5)
     for number in (1, 2, 3, 4):
-        rig.feed(ProbeEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (0.6,)))
-    rig.feed(ProbeEnded("10.0.0.5:80", Status.OK, 1.0, (0.0,)))
+        rig.feed(HealthCheckEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (0.6,)))
+    rig.feed(HealthCheckEnded("10.0.0.5:80", Status.OK, 1.0, (0.0,)))
     for _ in range(100):
         r = rig.ask(SAFE, 100.0)
         if rig.sends(r)[0].engine != "10.0.0.5:80":
@@ -158,13 +151,13 @@
 def test_an_idle_fleet_marks_nobody_for_idleness() -> None:
     rig = Rig(engines=5)
     for number in range(1, 6):
-        rig.feed(ProbeEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (0.0,)))
+        rig.feed(HealthCheckEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (0.0,)))
     assert all(e.strikes == 0.0 for e in rig.gateway.engines.values())
 
 
 def test_an_unanswered_probe_is_a_silence() -> None:
     rig = Rig()
-    rig.feed(ProbeEnded("10.0.0.1:80", Status.TIMEOUT, 250.0))
+    rig.feed(HealthCheckEnded("10.0.0.1:80", Status.TIMEOUT, 250.0))
     assert rig.gateway.health(engine_of(rig, 1)) < 0.6 <= rig.gateway.health(engine_of(rig, 2))
 
 
@@ -201,11 +194,11 @@
     config = settings(tenants=(Tenant("one", 250.0),), instances=MANY)  # one a second here
     rig = Rig(config)
     for number in (1, 2, 3):
-        rig.feed(ProbeEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (1.0,)))
+        rig.feed(HealthCheckEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (1.0,)))
     steady = 0
     for step in range(60):
         rig.now += 400.0 if step % 2 else 1600.0  # uneven, at the quota
-        rig.feed(ProbeEnded("10.0.0.1:80", Status.OK, 1.0, (1.0,)))
+        rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (1.0,)))
         r = rig.ask(SAFE, 10.0)
         steady += not rig.answers(r)
         if not rig.answers(r):
@@ -257,12 +250,12 @@
 @pytest.mark.parametrize("instances", [1, 7, 10**6])
 @pytest.mark.parametrize("engines", [0, 1, 300])
 def test_any_number_of_gateways_and_engines(instances: int, engines: int) -> None:
-    budget = AttemptBudget(3.0, 0.1, 5000.0)
-    rig = Rig(settings(instances=instances, probes=True, attempt_budget=budget), engines=0)
+    budget = RetryBudget(3.0, 0.1, 5000.0)
+    rig = Rig(settings(instances=instances, probes=True, retry_budget=budget), engines=0)
     listed = [entry(i, started=500.0 if i % 2 else 0.0) for i in range(1, engines + 1)]
-    rig.feed(MembersChanged(ListKind.FULL, tuple(listed)))
+    rig.feed(EngineListChanged(ListUpdateKind.FULL, tuple(listed)))
     for step in range(30):
-        rig.feed(MembersChanged(ListKind.FULL, tuple(listed[step % 2 :: 2] or listed)))
+        rig.feed(EngineListChanged(ListUpdateKind.FULL, tuple(listed[step % 2 :: 2] or listed)))
         r = rig.ask(SAFE, 50.0 * (1 + step % 3))
         rig.pass_time(HOLD_MS + 1.0)
         assert bool(rig.sends(r)) != bool(rig.answers(r))
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -18,7 +18,7 @@
 from fordstair.core.live_request import LiveRequest
 from fordstair.core.ports import Query
 from fordstair.core.send_guard import SendGuard
-from fordstair.decisions.interface import Effect
+from fordstair.decisions.settings import Idempotency
 from fordstair.lab.appliance import appliance
 from fordstair.lab.billing_close import Shape, generate, read, write
 from fordstair.lab.engine import StandIn
@@ -59,23 +59,23 @@
     one, now, number = Scheduler(dict(enumerate(SHARES)), capacity), 1e6, 0
     ends, waiting, running = Counter[int](), dict[int, Told](), list[int]()
     older, came, order = dict[int, set[int]](), dict[int, int](), dict[tuple[int, int], list[int]]()
-    for what, team, klass, size, ahead in taken:
+    for what, team, class_index, size, ahead in taken:
         now += ahead  # which may go back
         if what == "arrive":
             number += 1
-            request = Told(number, team, klass, 1 + klass, size, now + 5.0 * size + 500.0)
+            request = Told(number, team, class_index, 1 + class_index, size, now + 5.0 * size + 500.0)
             older[number], came[number] = set(waiting), one.releases
             if one.arrive(request, now).refused is not None:
                 ends[number] += 1
             else:
                 waiting[number] = request
-                order.setdefault((team, klass), []).append(number)
+                order.setdefault((team, class_index), []).append(number)
         elif what == "release":
             if (item := one.release(now, lambda _: Room.FITS)) is not None:
-                assert order[item.team, item.klass][0] == item.id  # in the order of arrival
+                assert order[item.team, item.class_index][0] == item.id  # in the order of arrival
                 assert one.releases - came[item.id] <= AGE_EVERY * (len(older[item.id]) + 1)
                 assert one.threads <= max(capacity, item.threads)
-                order[item.team, item.klass].remove(item.id)
+                order[item.team, item.class_index].remove(item.id)
                 del waiting[item.id]
                 running.append(item.id)
             elif waiting:  # work is conserved: only room holds something back
@@ -83,7 +83,7 @@
         elif what == "leave" and waiting:
             gone = sorted(waiting)[int(size) % len(waiting)]
             assert one.leave(gone) and not one.leave(gone)
-            order[waiting[gone].team, waiting[gone].klass].remove(gone)
+            order[waiting[gone].team, waiting[gone].class_index].remove(gone)
             del waiting[gone]
             ends[gone] += 1
         elif what == "end" and running:
@@ -94,11 +94,13 @@
         elif what == "late":
             for item in one.overdue(now):
                 assert item.last_start_ms <= now
-                order[item.team, item.klass].remove(item.id)
+                order[item.team, item.class_index].remove(item.id)
                 del waiting[item.id]
                 ends[item.id] += 1
         elif what == "budget":
-            one.set_shares({0: 0.0, 1: SHARES[1], 2: SHARES[2]} if klass else dict(enumerate(SHARES)), now)
+            one.set_shares(
+                {0: 0.0, 1: SHARES[1], 2: SHARES[2]} if class_index else dict(enumerate(SHARES)), now
+            )
         assert len(one.queues) == len(waiting) and set(one.running) == set(running)
         for account in one.budgets.accounts.values():
             assert account.balance >= -account.rate * one.budgets.debt_ms - 1e-6
@@ -150,7 +152,7 @@
     one.arrive(Told(1, 0, 0, 1, 10.0, math.inf), 1.0)
     one.arrive(Told(2, 0, 1, 1, 10.0, math.inf), 1.0)
     assert one.release(1.0, lambda _: Room.FULL) is None
-    item = one.release(1.0, lambda item: Room.CLASS_FULL if item.klass == 0 else Room.FITS)
+    item = one.release(1.0, lambda item: Room.CLASS_FULL if item.class_index == 0 else Room.FITS)
     assert item is not None and item.id == 2
 
 
@@ -259,7 +261,7 @@
         list(read(path))
     world, records = play(arrivals, 4, True)
     assert all(record.how in ("served", "refused", "failed") for record in records)
-    assert all(record.attempts <= 1 for record in records if record.arrival.lane == "meter-load")
+    assert all(record.attempts <= 1 for record in records if record.arrival.class_name == "meter-load")
     assert world.scheduler is not None and not world.scheduler.running and not len(world.scheduler.queues)
     reasons = Counter(record.reason for record in records if record.how == "refused")
     assert reasons[Refused.TOO_COSTLY.value] and len(records) == len(arrivals)
@@ -349,7 +351,7 @@
     for number, reply in enumerate(replies):
         query = Query(f"{number:016x}", "lookup", 0, 0, 6_000.0, b"", cost_ms=10.0)
         live = one.live[number] = queue._lives[number] = LiveRequest(
-            number, query, reply, 1e6, 1e6 + 6_000.0, SendGuard(Effect.SAFE, 0.0)
+            number, query, reply, 1e6, 1e6 + 6_000.0, SendGuard(Idempotency.IDEMPOTENT, 0.0)
         )
         assert queue.scheduler.arrive(Told(number, 0, 0, 1, 10.0, math.inf), 1e6).refused is None
         assert live.order is None
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,7 +16,7 @@
 from fordstair.configuration import operator_file
 from fordstair.configuration.operator_schema import File, json_schema
 from fordstair.configuration.operator_validation import Faulty, read
-from fordstair.decisions.interface import Effect
+from fordstair.decisions.settings import Idempotency
 from tests.standins import ROOT
 
 APPLIANCE = ROOT / "deploy" / "appliance.toml"
@@ -36,10 +36,10 @@
     file = operator_file.load_file(str(APPLIANCE), whole=True)
     config, operator = operator_file.config(file), operator_file.operator(file)
     told = config.settings
-    assert [(each.name, each.effect, each.threads, each.is_load) for each in told.classes] == [
-        ("lookup", Effect.SAFE, 1, False),
-        ("settlement", Effect.SAFE, 4, False),
-        ("meter-load", Effect.UNSAFE, 2, True),
+    assert [(each.name, each.idempotency, each.threads, each.is_load) for each in told.classes] == [
+        ("lookup", Idempotency.IDEMPOTENT, 1, False),
+        ("settlement", Idempotency.IDEMPOTENT, 4, False),
+        ("meter-load", Idempotency.NON_IDEMPOTENT, 2, True),
     ]
     assert [(each.name, round(each.quota_per_s, 6)) for each in told.tenants] == [
         ("karri-energy", 43.8),
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -17,7 +17,8 @@
 from fordstair.core.invariants import Invariant
 from fordstair.core.send_guard import Denial, SendGuard
 from fordstair.core.start_times import NEWS_LATE_MOST_MS, StartTimes
-from fordstair.decisions.interface import Effect, Status
+from fordstair.decisions.events import Status
+from fordstair.decisions.settings import Idempotency
 from fordstair.lab.fault_shim import APPLIED, ENVIRONMENT_VARIABLE
 from fordstair.replication.ledger import Entry
 from fordstair.replication.records import of_entry, read
@@ -214,32 +215,34 @@
 # --- the guard ------------------------------------------------------------------------------------
 
 
-def attempt(guard: SendGuard, status: Status, *, at_ms: float = 0.0, loose: bool = False) -> None:
+def attempt(guard: SendGuard, status: Status, *, at_ms: float = 0.0, may_still_run: bool = False) -> None:
     """Let an attempt begin and end."""
     assert guard.denial(at_ms) is None
     guard.begin(at_ms)
     assert guard.denial(at_ms) is Denial.ANOTHER_OUT
-    guard.end(status, loose=loose)
+    guard.end(status, may_still_run=may_still_run)
 
 
 @pytest.mark.parametrize("status", [each for each in Status if each is not Status.OK])
-@pytest.mark.parametrize("effect", list(Effect))
-def test_the_guard_allows_a_repeat_by_what_may_have_run_at_any_time(effect: Effect, status: Status) -> None:
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+def test_the_guard_allows_a_repeat_by_what_may_have_run_at_any_time(
+    idempotency: Idempotency, status: Status
+) -> None:
     for later_ms in (-HOUR_MS, 0.0, 4_999.0, HOUR_MS):
-        guard = SendGuard(effect, window_ms=5_000.0)
+        guard = SendGuard(idempotency, window_ms=5_000.0)
         attempt(guard, status, at_ms=0.0)
         expected = None
-        if not status.proves_unrun and effect is Effect.UNSAFE:
+        if not status.proves_not_run and idempotency is Idempotency.NON_IDEMPOTENT:
             expected = Denial.MAY_HAVE_RUN
-        elif not status.proves_unrun and effect is Effect.KEYED and later_ms > 5_000.0:
+        elif not status.proves_not_run and idempotency is Idempotency.WITH_KEY and later_ms > 5_000.0:
             expected = Denial.WINDOW_OVER
         assert guard.denial(later_ms) is expected
 
 
 def test_the_guard_knows_what_may_begin_yet_and_what_never_began() -> None:
-    guard = SendGuard(Effect.SAFE, 0.0)
-    guard.end(Status.TIMEOUT, loose=True)  # its connection never came up
-    attempt(guard, Status.RESET, loose=True)
+    guard = SendGuard(Idempotency.IDEMPOTENT, 0.0)
+    guard.end(Status.TIMEOUT, may_still_run=True)  # its connection never came up
+    attempt(guard, Status.RESET, may_still_run=True)
     assert guard.denial(0.0) is Denial.ANOTHER_OUT
     assert Denial.ANOTHER_OUT.violates is Invariant.ONE_ATTEMPT_OUT
     assert Denial.REQUEST_OVER.violates is None
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -33,7 +33,7 @@
             assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
             await faults.apply(calls={"open": {"errno": errno}, "recv": {"short": 7}})
             one.script = at_once_on_fresh_connections  # the pooled connection serves no further call
-            asked = [await client.ask(lane) for lane in ("lookup", "settlement", "meter-load")]
+            asked = [await client.ask(class_name) for class_name in ("lookup", "settlement", "meter-load")]
             for number in asked:
                 error, result = await client.answer(number, 4.0)
                 assert result == ROWS or error[0] in ("Overloaded", "Internal")
