--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,32 +10,33 @@
 import pytest
 
 from fordstair.configuration.settings_document import SettingsDocumentError, parse_settings
-from fordstair.decisions.interface import (
+from fordstair.decisions.actions import (
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEngineList,
+    LogMessage,
+    RejectRequest,
+    SendAttempt,
+    SendPeerMessage,
+    SetQueryResources,
+    StartTimer,
+    WatchEngineList,
+)
+from fordstair.decisions.engine_list import EngineState, ListUpdateKind
+from fordstair.decisions.events import (
     AttemptEnded,
     AttemptNote,
-    Cancel,
-    ClientGone,
-    Disconnect,
-    EngineState,
-    Fail,
-    Fetch,
-    ListKind,
-    Log,
-    MembersChanged,
+    ClientDisconnected,
+    EngineListChanged,
+    HealthCheckEnded,
     NoteKind,
     PeerMessage,
-    Post,
-    Probe,
-    ProbeEnded,
-    Refuse,
     RequestArrived,
-    Send,
-    SetTerms,
-    SetTimer,
     Status,
     StreamStarted,
     TimerFired,
-    Watch,
 )
 from fordstair.simulator import host
 from fordstair.simulator.codec import Decoder, Encoder, Shutdown, Up
@@ -89,7 +90,7 @@
     assert list(Decoder().batch(5, body)) == [
         (3, RequestArrived(0x5D3A91C4, 0, 240.0, 0, 12.0, 384.0, 11.0, 0x91F03B7C55D20A64)),
         (3, TimerFired(77)),
-        (5, ClientGone(0x0E6F2B19)),
+        (5, ClientDisconnected(0x0E6F2B19)),
     ]
 
 
@@ -98,7 +99,7 @@
         StreamStarted(0x5D3A91C4, 0, "10.18.74.7:8003", 9.25)
     ]
     assert read(record("08 0000 3ff6666666666666 0a9011f2 1f6c 01 3f1eb852")) == [
-        ProbeEnded("10.144.17.242:8044", Status.OK, 1.4, (pytest.approx(0.62),))  # type: ignore[arg-type]
+        HealthCheckEnded("10.144.17.242:8044", Status.OK, 1.4, (pytest.approx(0.62),))  # type: ignore[arg-type]
     ]
     assert read(record("0b 5d3a91c4 01 00 0a124a07 1f43 3f000000")) == [
         AttemptNote(0x5D3A91C4, 0, "10.18.74.7:8003", NoteKind.PROGRESS, 0.5)
@@ -114,19 +115,19 @@
     table, update = record("0c 0000 00000000 00000002"), record("02 0000 00000029 00")
     shorter = record("0c 0000 00000019 00000001")
     first, second = read(table, update, shorter, update, tail=ENTRIES)
-    assert isinstance(first, MembersChanged) and isinstance(second, MembersChanged)
-    assert first.kind is ListKind.CACHED and len(first.entries) == 2 and len(second.entries) == 1
+    assert isinstance(first, EngineListChanged) and isinstance(second, EngineListChanged)
+    assert first.kind is ListUpdateKind.CACHED and len(first.entries) == 2 and len(second.entries) == 1
     assert second.entries[0].started_ms == 6100.0 and second.entries[0].state is EngineState.READY
-    assert read(record("02 0007 00000001 03")) == [MembersChanged(ListKind.FAILED, (), 1)]
+    assert read(record("02 0007 00000001 03")) == [EngineListChanged(ListUpdateKind.FAILED, (), 1)]
 
 
 def test_example_reply() -> None:
     encoder = Encoder()
     encoder.at(3)
-    encoder.action(Send(0x5D3A91C4, "10.18.74.7:8003", 80.0))
-    encoder.action(SetTimer(77, 500.0))
+    encoder.action(SendAttempt(0x5D3A91C4, "10.18.74.7:8003", 80.0))
+    encoder.action(StartTimer(77, 500.0))
     encoder.at(5)
-    encoder.action(Log("two servers known"))
+    encoder.action(LogMessage("two servers known"))
     assert (
         encoder.reply(12)
         == bytes.fromhex("00000089 00000005 0000000c")
@@ -146,18 +147,18 @@
 @pytest.mark.parametrize(
     ("action", "text"),
     [
-        (Post(None, b"hi 7"), "08 ffffffff 00000000 00000004"),
-        (Probe("10.144.17.242:8044"), "06 0a9011f2 1f6c"),
-        (Fail(0x0E6F2B19), "03 0e6f2b19"),
-        (Disconnect("10.144.17.242:8044"), "07 0a9011f2 1f6c"),
-        (Fetch(), "0c"),
-        (SetTerms(0x5D3A91C4, 640.0, 2), "0d 5d3a91c4 44200000 02"),
-        (Watch(), "0b 01"),
-        (Refuse(0x0E6F2B19, 250.0), "02 0e6f2b19 406f400000000000"),
-        (Cancel(0x5D3A91C4, 0), "04 5d3a91c4 00"),
+        (SendPeerMessage(None, b"hi 7"), "08 ffffffff 00000000 00000004"),
+        (CheckHealth("10.144.17.242:8044"), "06 0a9011f2 1f6c"),
+        (FailRequest(0x0E6F2B19), "03 0e6f2b19"),
+        (CloseIdleConnections("10.144.17.242:8044"), "07 0a9011f2 1f6c"),
+        (FetchEngineList(), "0c"),
+        (SetQueryResources(0x5D3A91C4, 640.0, 2), "0d 5d3a91c4 44200000 02"),
+        (WatchEngineList(), "0b 01"),
+        (RejectRequest(0x0E6F2B19, 250.0), "02 0e6f2b19 406f400000000000"),
+        (CancelAttempt(0x5D3A91C4, 0), "04 5d3a91c4 00"),
     ],
 )
-def test_example_actions(action: Send, text: str) -> None:
+def test_example_actions(action: SendAttempt, text: str) -> None:
     encoder = Encoder()
     encoder.action(action)
     assert encoder.reply(0)[12:36] == record(text, 24)
@@ -169,11 +170,11 @@
         "categories.0.hostTypesAllowed=0,2\nextra.loads=true\nreport.fields=util\n"
         "report.source=pull\nobligations.lookBackMs=4000.0\n"
     )
-    assert told.attempt_budget is not None and told.attempt_budget.window_ms == 4000.0
+    assert told.retry_budget is not None and told.retry_budget.window_ms == 4000.0
     (only,) = told.classes
     assert only.kinds == frozenset({0, 2}) and only.zones is None and only.is_load
-    assert told.reports_by_probe_only and told.report_fields == ("util",)
-    assert parse_settings(SETTINGS).attempt_budget is None
+    assert told.reports_by_probe_only and told.load_report_fields == ("util",)
+    assert parse_settings(SETTINGS).retry_budget is None
 
 
 @pytest.mark.parametrize(
@@ -185,7 +186,7 @@
         ("categories.0.effect=odd", "categories.0.effect"),
         ("limits.probes=1", "limits.probes"),
         ("instances=0", "instances"),
-        ("categories.0.giveUpMs=-1.0", "give_up_ms"),
+        ("categories.0.giveUpMs=-1.0", "client_timeout_ms"),
     ],
 )
 def test_settings_that_cannot_be_read_are_named(line: str, named: str) -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -12,9 +12,9 @@
 from benchmarks.budgets import told as told_settings
 from benchmarks.zones import figures, run
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.ports import Call, Engine, Errand
+from fordstair.core.ports import AttemptRequest, Call, Engine
 from fordstair.core.zone_watch import ZoneWatch
-from fordstair.decisions.interface import EngineEntry, EngineState, ListKind
+from fordstair.decisions.engine_list import EngineEntry, EngineState, ListUpdateKind
 from fordstair.lab.appliance import appliance
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
@@ -109,7 +109,7 @@
 class NoWire:
     """A transport over which nothing goes."""
 
-    def call(self, errand: Errand) -> Call:
+    def call(self, attempt_request: AttemptRequest) -> Call:
         raise AssertionError("nothing is sent here")
 
     def forget(self, engine: Engine) -> None:
@@ -123,7 +123,7 @@
 
     def listed(**starts: float) -> None:
         coordinator.members(
-            ListKind.FULL,
+            ListUpdateKind.FULL,
             [
                 Engine(EngineEntry(name, zone=zone, started_ms=starts.get(name, 0.0)), name)
                 for name, zone in ENGINES.items()
