--- a/fordstair/decisions/actions.py
+++ b/fordstair/decisions/actions.py
@@ -4,11 +4,27 @@
 
 import math
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import TypeAlias
 
 from fordstair.decisions.engine_list import EngineId
 
 
+class RejectionReason(StrEnum):
+    """Why a request got its final answer without being served; the texts are shown to operators."""
+
+    OVER_QUOTA = "over the team's share"
+    OVER_CONCURRENCY_LIMIT = "over the limit set here"
+    NO_CAPACITY = "threads are full"
+    TOO_COSTLY = "too costly under pressure"
+    ORDERING_QUEUE_TOO_LONG = "its key's line is too long"
+    NO_ELIGIBLE_ENGINE = "no engine is open"
+    NO_FURTHER_ATTEMPT = "no further attempt"
+    ATTEMPT_MAY_STILL_RUN = "an attempt may begin yet"
+    TOO_LATE = "too late"
+    SHUTTING_DOWN = "the program ends"
+
+
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
     """Send the request's next attempt; a limit of 0 lets it run until the client leaves."""
--- /dev/null
+++ b/fordstair/decisions/admission.py
@@ -0,0 +1,146 @@
+"""Admission: whether a request that arrives is admitted or rejected at once, and why.
+
+Rules in order: the tenant's quota, the operator's limit on its class, this coordinator's part of the fleet's threads, and
+the rate of expensive requests. Quota and rate bind under pressure only.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from random import Random
+
+from fordstair.decisions.actions import RejectionReason
+from fordstair.decisions.cost_model import CostModel
+from fordstair.decisions.engine_selection import EngineSelector
+from fordstair.decisions.load_estimation import BINDING_PRESSURE, LoadEstimator
+from fordstair.decisions.settings import Settings
+from fordstair.decisions.token_bucket import TokenBucket
+from fordstair.decisions.tracked_engine import TrackedEngine
+from fordstair.decisions.tracked_request import TrackedAttempt, TrackedRequest
+
+BURST_S = 1.0
+SMALLEST_TENANT_BURST = 4.0  # requests
+SMALLEST_EXPENSIVE_BURST = 1.0  # requests
+# Times its class's mean cost from which a request is expensive: when calm, and under full pressure.
+EXPENSIVE_FACTOR_WHEN_CALM = 3.0
+EXPENSIVE_FACTOR_WHEN_FULL = 0.3
+# Own threads in flight a core of this coordinator's part; past the knee, more of them do less work.
+THREADS_PER_CORE = 2.0
+THREADS_FACTOR_WHEN_CALM = 1.8
+THREADS_FACTOR_OF_HIGH_PRIORITY = 1.3
+THREADS_FACTOR_OF_COSTLY_REQUESTS = 0.6
+# A part of the fleet under one query tells nothing: so many of them fit in any case.
+SMALLEST_QUERIES_IN_FLIGHT = 2.0
+
+
+class AdmissionPolicy:
+    """Decides on requests when they arrive; quotas are this coordinator's part of the fleet's."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        random: Random,
+        attempts: Mapping[tuple[int, int], TrackedAttempt],
+        cost_model: CostModel,
+        load: LoadEstimator,
+        selector: EngineSelector,
+    ) -> None:
+        self._settings = settings
+        self._random = random
+        self._attempts = attempts
+        self._cost_model = cost_model
+        self._load = load
+        self._selector = selector
+        self._tenant_buckets = [TokenBucket() for _ in settings.tenants]
+        self._expensive_buckets = [TokenBucket() for _ in settings.classes]
+        self.concurrency_limits: dict[int, int] = {}  # threads, by class, as an operator has set
+
+    def set_concurrency_limit(self, class_index: int, threads: int | None) -> None:
+        """Limit the threads that a class may have in flight; None lifts the limit."""
+        self.concurrency_limits.pop(class_index, None)
+        if threads is not None:
+            self.concurrency_limits[class_index] = threads
+
+    def rejection(self, now: float, request: TrackedRequest) -> RejectionReason | None:
+        """Return why a request that arrives now is rejected; None to admit it."""
+        engines = self._selector.eligible(request.class_index)
+        capacity = self._load.capacity(now, engines)
+        pressure = self._load.pressure(now, engines, capacity)
+        if self._is_over_quota(now, request, pressure):
+            return RejectionReason.OVER_QUOTA
+        if self._is_over_concurrency_limit(request):
+            return RejectionReason.OVER_CONCURRENCY_LIMIT
+        if self._is_over_own_threads(request, engines, capacity, pressure):
+            return RejectionReason.NO_CAPACITY
+        if self._is_too_costly(now, request, capacity, pressure):
+            return RejectionReason.TOO_COSTLY
+        return None
+
+    def has_capacity(self, now: float, request: TrackedRequest) -> bool:
+        """Whether the limits on threads would admit a request now; nothing is changed by the question."""
+        engines = self._selector.eligible(request.class_index)
+        if not engines or self._is_over_concurrency_limit(request):
+            return False
+        capacity = self._load.capacity(now, engines)
+        pressure = self._load.pressure(now, engines, capacity)
+        return not self._is_over_own_threads(request, engines, capacity, pressure)
+
+    def pressure(self, now: float, class_index: int) -> float:
+        """Return the pressure on a class: 0 when calm, 1 when full."""
+        engines = self._selector.eligible(class_index)
+        return self._load.pressure(now, engines, self._load.capacity(now, engines))
+
+    def _is_over_quota(self, now: float, request: TrackedRequest, pressure: float) -> bool:
+        """Whether the tenant's requests come faster than its quota, while there is pressure."""
+        if not 0 <= request.tenant < len(self._tenant_buckets):
+            return False
+        tenant = self._settings.tenants[request.tenant]
+        rate_per_s = tenant.quota_per_s / self._settings.instances
+        burst = max(SMALLEST_TENANT_BURST, rate_per_s * BURST_S)
+        is_within = self._tenant_buckets[request.tenant].take(now, rate_per_s, burst, self._random)
+        return rate_per_s > 0.0 and pressure > BINDING_PRESSURE and not is_within
+
+    def _is_over_concurrency_limit(self, request: TrackedRequest) -> bool:
+        """Whether the class would have more threads in flight than an operator allows."""
+        limit = self.concurrency_limits.get(request.class_index)
+        if limit is None:
+            return False
+        in_flight = sum(
+            attempt.request.spec.threads
+            for attempt in self._attempts.values()
+            if attempt.request.class_index == request.class_index
+        )
+        return in_flight + request.spec.threads > limit
+
+    def _is_over_own_threads(
+        self, request: TrackedRequest, engines: Sequence[TrackedEngine], capacity: float, pressure: float
+    ) -> bool:
+        """Whether own threads in flight would pass this coordinator's part of the fleet's cores."""
+        cores = capacity / self._settings.instances
+        limit = THREADS_PER_CORE * cores
+        limit *= THREADS_FACTOR_WHEN_CALM - (THREADS_FACTOR_WHEN_CALM - 1.0) * pressure
+        if self._cost_model.is_high_priority(request.class_index):
+            limit *= THREADS_FACTOR_OF_HIGH_PRIORITY
+        if request.cost > self._cost_model.class_mean(request.class_index):
+            limit *= THREADS_FACTOR_OF_COSTLY_REQUESTS
+        limit = max(limit, SMALLEST_QUERIES_IN_FLIGHT * request.spec.threads)
+        in_flight = sum(engine.own_threads for engine in engines)
+        return in_flight + request.spec.threads > limit
+
+    def _is_too_costly(self, now: float, request: TrackedRequest, capacity: float, pressure: float) -> bool:
+        """Whether expensive requests come faster than what pressure leaves of the capacity.
+
+        The more pressure, the less a request may cost before it counts as expensive.
+        """
+        threshold = self._cost_model.class_mean(request.class_index) * EXPENSIVE_FACTOR_WHEN_CALM
+        threshold *= (EXPENSIVE_FACTOR_WHEN_FULL / EXPENSIVE_FACTOR_WHEN_CALM) ** pressure
+        if request.cost <= threshold:
+            return False
+        statistics = self._cost_model.classes[request.class_index]
+        statistics.expensive_cost.add(request.cost)
+        cores = capacity / self._settings.instances
+        rate_per_s = cores * 1000.0 / statistics.expensive_cost.value * (1.0 - pressure) ** 2
+        burst = max(SMALLEST_EXPENSIVE_BURST, rate_per_s * BURST_S)
+        bucket = self._expensive_buckets[request.class_index]
+        is_within = bucket.take(now, rate_per_s, burst, self._random)
+        return not is_within and pressure > BINDING_PRESSURE and statistics.cost.count > 0
--- /dev/null
+++ b/fordstair/decisions/engine_selection.py
@@ -0,0 +1,181 @@
+"""Engine selection: which engines may have a request, and which of them it is sent to."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from random import Random
+from zlib import crc32
+
+from fordstair.decisions.cost_model import CostModel
+from fordstair.decisions.engine_list import EngineId, EngineState
+from fordstair.decisions.load_estimation import LoadEstimator
+from fordstair.decisions.outlier_detection import BELIEVABLE_RELIABILITY, OutlierDetector
+from fordstair.decisions.settings import Idempotency, Settings
+from fordstair.decisions.slow_start import SlowStart
+from fordstair.decisions.tracked_engine import TrackedEngine
+from fordstair.decisions.tracked_request import TrackedRequest
+
+# Draw weight: cores x warm-up x health / (base + threads a core) ^ exponent.
+LOAD_EXPONENT = 4.0
+BASE_THREADS_PER_CORE = 0.2
+PREFERRED_ENGINES = 8
+PREFERRED_FACTOR = 6.0
+# For an engine on which a load of the same tables runs, which the request would wait for or disturb.
+RUNNING_LOAD_FACTOR = 0.2
+HEALTH_CHECKS_PER_REQUEST = 0.4
+HEALTH_CHECK_CREDIT_MOST = 8.0
+ENGINES_CHECKED_PER_ATTEMPT = 4
+STALE_REPORT_MS = 500.0
+FRESH_REPORT_MS = 700.0
+
+
+class EngineSelector:
+    """Draws the engine of an attempt at random, weighted by what is known of each."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        random: Random,
+        engines: Mapping[EngineId, TrackedEngine],
+        cost_model: CostModel,
+        load: LoadEstimator,
+        outliers: OutlierDetector,
+        slow_start: SlowStart,
+    ) -> None:
+        self._settings = settings
+        self._random = random
+        self._engines = engines
+        self._cost_model = cost_model
+        self._load = load
+        self._outliers = outliers
+        self._slow_start = slow_start
+        self._salt = random.getrandbits(32)
+        self._health_check_credit = 0.0
+
+    def hash_position(self, engine: EngineId) -> float:
+        """Return an engine's place in this coordinator's own order, in [0, 1)."""
+        return crc32(f"{self._salt}|{engine}".encode()) / 2.0**32
+
+    def record_arrival(self) -> None:
+        """Each request earns a part of a health check: their number stays in proportion to the traffic."""
+        self._health_check_credit = min(
+            HEALTH_CHECK_CREDIT_MOST, self._health_check_credit + HEALTH_CHECKS_PER_REQUEST
+        )
+
+    def eligible(self, class_index: int) -> list[TrackedEngine]:
+        """Return the engines that are ready and that the class's settings allow."""
+        spec = self._settings.classes[class_index]
+        ready = EngineState.READY
+        return [
+            engine
+            for engine in self._engines.values()
+            if engine.entry.state is ready and spec.allows(engine.entry)
+        ]
+
+    def is_preferred(self, engine: TrackedEngine) -> bool:
+        """Whether an engine is one of the few that this coordinator prefers.
+
+        Where there are many of both, each coordinator would meet every engine too seldom to learn of it, and at
+        a new connection each time; the preferences of all together still cover the engines evenly.
+        """
+        return engine.hash_position * len(self._engines) < PREFERRED_ENGINES
+
+    def select(self, now: float, request: TrackedRequest) -> TrackedEngine | None:
+        """Return the engine of the request's next attempt; None where none may have it now.
+
+        After health checks only engines with a fresh report are drawn, if there is more than one.
+        """
+        eligible = self.eligible(request.class_index)
+        candidates = self._candidates(request, eligible)
+        if request.health_checks_sent:
+            fresh = [engine for engine in candidates if now - engine.reported_at <= FRESH_REPORT_MS]
+            if len(fresh) > 1:
+                candidates = fresh
+        return self._draw(now, request, candidates, eligible)
+
+    def engines_to_check(self, now: float, request: TrackedRequest) -> list[TrackedEngine]:
+        """Return the engines to check before a costly request goes out, drawn as it would be sent.
+
+        Asked once before each attempt. None where the settings allow no health checks, the request is cheap,
+        the credit is spent or reports are fresh.
+        """
+        if request.health_checks_sent or not self._settings.probes:
+            return []
+        if request.cost < self._cost_model.typical_cost.value:
+            return []
+        request.health_checks_sent = True
+        eligible = self.eligible(request.class_index)
+        candidates = self._candidates(request, eligible)
+        checked: list[TrackedEngine] = []
+        for _ in range(ENGINES_CHECKED_PER_ATTEMPT):
+            engine = self._draw(now, request, candidates, eligible)
+            if engine is not None and self._needs_health_check(now, engine):
+                self._health_check_credit -= 1.0
+                engine.health_checked_at = now
+                checked.append(engine)
+        return checked
+
+    def _needs_health_check(self, now: float, engine: TrackedEngine) -> bool:
+        if self._health_check_credit < 1.0:
+            return False
+        return now - max(engine.reported_at, engine.health_checked_at) >= STALE_REPORT_MS
+
+    def _candidates(self, request: TrackedRequest, eligible: list[TrackedEngine]) -> list[TrackedEngine]:
+        """Leave out engines that would not discard a duplicate, and the last one tried if there are others."""
+        candidates = eligible
+        first = request.may_have_run_on
+        if first is not None and request.spec.idempotency is Idempotency.WITH_KEY:
+            scope = request.spec.deduplication_scope
+            candidates = [engine for engine in candidates if scope.joins(first, engine.entry)]
+        if len(candidates) > 1:
+            candidates = [engine for engine in candidates if engine.entry.engine != request.last_engine]
+        return candidates
+
+    def _draw(
+        self,
+        now: float,
+        request: TrackedRequest,
+        candidates: Sequence[TrackedEngine],
+        eligible: Sequence[TrackedEngine],
+    ) -> TrackedEngine | None:
+        """Draw by weight; None where all are warming up and their budgets leave nothing."""
+        if not candidates:
+            return None
+        warm_up_factors = [self._slow_start.warm_up_factor(now, engine) for engine in candidates]
+        weights = self._weights(now, request, candidates, warm_up_factors)
+        warm_weight = sum(
+            weight for weight, factor in zip(weights, warm_up_factors, strict=True) if factor >= 1.0
+        )
+        fleet_cores = sum(engine.cores for engine in eligible)
+        for index, factor in enumerate(warm_up_factors):
+            if factor < 1.0:
+                probability = self._slow_start.send_probability(
+                    request, candidates[index], factor, fleet_cores, all_warming_up=not warm_weight
+                )
+                weights[index] = min(weights[index], probability * (warm_weight or 1.0))
+        nobody = 0.0 if warm_weight else max(0.0, 1.0 - sum(weights))
+        return self._random.choices([*candidates, None], [*weights, nobody])[0]
+
+    def _weights(
+        self,
+        now: float,
+        request: TrackedRequest,
+        candidates: Sequence[TrackedEngine],
+        warm_up_factors: Sequence[float],
+    ) -> list[float]:
+        loads = [self._load.threads_per_core(now, engine) for engine in candidates]
+        mean_load = sum(loads) / max(1, len(candidates))
+        heeds_loads = request.spec.is_load or request.spec.waits_for_loads
+        weights: list[float] = []
+        for engine, load, warm_up_factor in zip(candidates, loads, warm_up_factors, strict=True):
+            reliability = self._outliers.reliability(now, engine)
+            # What fails fast or is refused looks idle: such an engine counts as loaded as the mean.
+            credible_load = max(load, mean_load if reliability < BELIEVABLE_RELIABILITY else 0.0)
+            health = self._outliers.selection_factor(reliability, engine)
+            weight = engine.cores * warm_up_factor * health
+            weight /= (BASE_THREADS_PER_CORE + credible_load) ** LOAD_EXPONENT
+            weight *= PREFERRED_FACTOR if self.is_preferred(engine) else 1.0
+            if heeds_loads and request.table_group in engine.own_loads:
+                weight *= RUNNING_LOAD_FACTOR
+            weights.append(weight)
+        return weights
--- a/fordstair/decisions/retries.py
+++ b/fordstair/decisions/retries.py
@@ -1,30 +1,103 @@
-"""Whether a request may be sent once more: decided by what may have run, and never by the time alone."""
+"""Retries: whether a request may be sent (again), and until when its next attempt must have begun.
+
+What may have run decides, and never the time alone: a request without idempotency is not sent again once an attempt
+may have run. One with an idempotency key may be, while its engines still discard duplicates.
+"""
 
 from __future__ import annotations
 
 import math
 
-from fordstair.decisions.settings import Idempotency
-from fordstair.decisions.state import Request
+from fordstair.decisions.settings import DeduplicationScope, Idempotency, RetryBudget, Settings
+from fordstair.decisions.statistics import SlidingWindowCounter
+from fordstair.decisions.tracked_request import TrackedRequest
 
-WINDOW_PART = 0.9  # of the span in which engines discard a keyed request's duplicates; the rest is margin
+# Share of the span in which engines discard duplicates; the rest is margin for clocks and transit.
+USABLE_DEDUPLICATION_SHARE = 0.9
+# Engines that may answer with an error before the request itself counts as at fault.
+ERRORS_MOST = 2
+# An attempt is not begun unless this share of its predicted work still fits into the time left.
+SMALLEST_WORK_SHARE_LEFT = 0.5
+DEFAULT_RETRY_BUDGET = RetryBudget(free=1.0, ratio=0.5, window_ms=5_000.0)
+# Both edges of the budget's window are read against us, by this margin on each side.
+WINDOW_EDGE_MS = 1.0
 
 
-def may_have_run(request: Request) -> bool:
-    """Whether an attempt is out, or has ended without proof that it never ran."""
-    return request.out is not None or request.maybe_since is not None
+def may_have_run(request: TrackedRequest) -> bool:
+    """Whether an attempt is in flight, or has ended without proof that it never ran."""
+    return request.current_attempt is not None or request.may_have_run_since is not None
 
 
-def must_not_repeat(request: Request) -> bool:
+def must_not_be_retried(request: TrackedRequest) -> bool:
     """Whether a further attempt could have a second effect, whatever the time."""
     return request.spec.idempotency is Idempotency.NON_IDEMPOTENT and may_have_run(request)
 
 
-def window_end(request: Request) -> float:
-    """When a further attempt may begin at the latest; its host holds it to that, whatever delays it."""
+def deduplication_ends_at(request: TrackedRequest) -> float:
+    """Return when a further attempt may begin at the latest; inf where nothing binds it.
+
+    The host holds the attempt to that, whatever delays it.
+    """
     if request.spec.idempotency is not Idempotency.WITH_KEY:
         return math.inf
-    since = request.maybe_since
-    if since is None and request.out is not None:
-        since = request.out.sent
-    return math.inf if since is None else since + WINDOW_PART * request.spec.deduplication_window_ms
+    since = request.may_have_run_since
+    if since is None and request.current_attempt is not None:
+        since = request.current_attempt.sent_at
+    if since is None:
+        return math.inf
+    return since + USABLE_DEDUPLICATION_SHARE * request.spec.deduplication_window_ms
+
+
+def client_may_retry(request: TrackedRequest) -> bool:
+    """Whether a client's own retry does no harm: such a request is rejected, others are failed.
+
+    Under an idempotency key that holds only if all engines share the memory of duplicates.
+    """
+    if not may_have_run(request):
+        return True
+    spec = request.spec
+    if spec.idempotency is Idempotency.WITH_KEY:
+        return spec.deduplication_scope is DeduplicationScope.ALL
+    return spec.idempotency is Idempotency.IDEMPOTENT
+
+
+class RetryPolicy:
+    """Says whether a request may have one more attempt, its first one included."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._attempts_most = settings.max_attempts
+        self._budget = settings.retry_budget or DEFAULT_RETRY_BUDGET
+        window_ms = self._budget.window_ms + 2.0 * WINDOW_EDGE_MS
+        self._arrivals = SlidingWindowCounter(window_ms)
+        self._retries = SlidingWindowCounter(window_ms)
+
+    def record_arrival(self, now: float) -> None:
+        """Count a request that arrives: the budget is in proportion to them."""
+        self._arrivals.add(now)
+
+    def record_retry(self, now: float) -> None:
+        """Count an attempt beyond a request's first."""
+        self._retries.add(now)
+
+    def may_attempt(self, now: float, request: TrackedRequest) -> bool:
+        """Whether the next attempt keeps the request's promises, the cap on attempts and the retry budget.
+
+        Asked before each attempt, and before one is cancelled in order to try elsewhere. False ends the request,
+        or leaves the running attempt alone.
+        """
+        if request.attempts_sent >= self._attempts_most:
+            return False
+        work_ms = SMALLEST_WORK_SHARE_LEFT * request.cost / request.spec.threads
+        if now + work_ms > request.useful_until:
+            return False
+        if len(request.engines_with_errors) >= ERRORS_MOST:
+            return False
+        if must_not_be_retried(request) or now > deduplication_ends_at(request):
+            return False
+        return request.attempts_sent == 0 or self._budget_allows(now)
+
+    def _budget_allows(self, now: float) -> bool:
+        window_start = now - self._budget.window_ms
+        arrivals = self._arrivals.since(window_start + WINDOW_EDGE_MS)
+        retries = self._retries.since(window_start - WINDOW_EDGE_MS)
+        return retries + 1 <= self._budget.free + self._budget.ratio * arrivals
--- /dev/null
+++ b/fordstair/decisions/slow_start.py
@@ -0,0 +1,92 @@
+"""Slow start: how much of its capacity a started engine has, and how much of its budget goes to it from here.
+
+An engine that is warming up collapses under more than ``overload factor x present capacity`` of work in a window;
+the budget binds the sum of all coordinators, which do not know of each other's sends.
+"""
+
+from __future__ import annotations
+
+import math
+
+from fordstair.decisions.cost_model import CostModel
+from fordstair.decisions.settings import Settings
+from fordstair.decisions.statistics import SLOWEST_POOLED_STEP, RunningMean
+from fordstair.decisions.tracked_engine import TrackedEngine
+from fordstair.decisions.tracked_request import TrackedRequest
+
+# A request is light if it takes at most this share of the budget with which an engine starts.
+LIGHT_BUDGET_SHARE = 0.08
+SMALLEST_LIGHT_WORK_SHARE = 0.1
+# From this warm-up factor on, requests of any cost may go to an engine.
+ANY_COST_WARM_UP_FACTOR = 0.6
+USABLE_BUDGET_SHARE = 1.0
+# Busy cores of an engine at its capacity, over its cores.
+BUSY_CORES_AT_CAPACITY = 0.85
+# Margin for chance: the sends of independent coordinators scatter by the root of their number.
+SCATTER_SIGMAS = 2.0
+
+
+class SlowStart:
+    """Decides what engines that are warming up may be sent."""
+
+    def __init__(self, settings: Settings, cost_model: CostModel) -> None:
+        self._settings = settings
+        self._cost_model = cost_model
+        self._light_cost = RunningMean(SLOWEST_POOLED_STEP)  # of all requests, with 0 for those that are not light
+        kinds = settings.cores_by_kind
+        mean_cores = sum(kinds) / max(1, len(kinds))
+        self._light_cost_most = (
+            LIGHT_BUDGET_SHARE
+            * settings.slow_start_overload_factor
+            * settings.slow_start_initial_capacity
+            * mean_cores
+            * settings.slow_start_window_ms
+        )
+
+    def record_arrival(self, cost: float) -> None:
+        """Learn how much of the work that arrives is light; the cost is in thread-milliseconds."""
+        self._light_cost.add(cost if cost <= self._light_cost_most else 0.0)
+
+    def warm_up_factor(self, now: float, engine: TrackedEngine) -> float:
+        """Return the share of its full capacity that an engine surely has: 1 once it is warm.
+
+        The true ramp is not told, so it is assumed to rise with the square of time. An engine that took no
+        connection counts as started then: a process that was not running is cold when it is back.
+        """
+        settings = self._settings
+        started_at = min(now, max(engine.entry.started_ms, engine.unreachable_at))
+        if not started_at > 0.0 or now - started_at >= settings.slow_start_ms:
+            return 1.0
+        initial = settings.slow_start_initial_capacity
+        return initial + (1.0 - initial) * ((now - started_at) / settings.slow_start_ms) ** 2
+
+    def send_probability(
+        self,
+        request: TrackedRequest,
+        engine: TrackedEngine,
+        warm_up_factor: float,
+        fleet_cores: float,
+        *,
+        all_warming_up: bool,
+    ) -> float:
+        """Return the largest probability with which a request may be sent to an engine that is warming up.
+
+        Asked at each draw, for each such engine. With it the sends of all coordinators together, with their
+        scatter, fit the engine's budget. Light requests scatter less, so that more work fits: beside warm
+        engines only they warm an engine up, and others get 0 until it is warm enough.
+        """
+        settings = self._settings
+        if not all_warming_up and request.cost <= self._light_cost_most:
+            largest_cost = self._light_cost_most
+            light_share = self._light_cost.value / max(1.0, self._cost_model.typical_cost.value)
+            work_share = max(SMALLEST_LIGHT_WORK_SHARE, light_share)
+        elif all_warming_up or warm_up_factor >= ANY_COST_WARM_UP_FACTOR:
+            largest_cost = self._cost_model.largest_class_mean()
+            work_share = 1.0
+        else:
+            return 0.0
+        overload = settings.slow_start_overload_factor * warm_up_factor * USABLE_BUDGET_SHARE
+        budget = overload * BUSY_CORES_AT_CAPACITY * engine.cores * settings.slow_start_window_ms
+        grain = SCATTER_SIGMAS**2 * largest_cost / max(1.0, budget)
+        usable_overload = overload * (math.sqrt(grain + 4.0) - math.sqrt(grain)) ** 2 / 4.0
+        return usable_overload * engine.cores / max(1.0, fleet_cores) / work_share
--- /dev/null
+++ b/fordstair/decisions/tracked_engine.py
@@ -0,0 +1,84 @@
+"""One engine as this coordinator sees it: its list entry, own work in flight, and what its signs were."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass, field
+
+from fordstair.decisions.engine_list import EngineEntry
+from fordstair.decisions.settings import RequestClass, Settings
+from fordstair.decisions.statistics import RunningMean
+
+CORES_IF_UNKNOWN = 1.0
+ERROR_RATE_STEP = 0.15
+SLOWNESS_STEP = 0.15
+SLOWNESS_PRIOR_SAMPLES = 10
+OTHER_THREADS_STEP = 0.3
+# A load report was made a moment ago: it is compared with the own threads of this span before.
+REPORT_LAG_MS = 250.0
+
+
+@dataclass(slots=True, eq=False)
+class TrackedEngine:
+    """One engine's state; times are ms of the events' clock."""
+
+    entry: EngineEntry
+    hash_position: float = 0.0  # in [0, 1), other at each coordinator; the lowest positions are preferred
+    error_rate: RunningMean = field(default_factory=lambda: RunningMean(0.0))
+    slowness: RunningMean = field(default_factory=lambda: RunningMean(0.0))  # latency over the others', 1 is alike
+    other_threads: RunningMean = field(default_factory=lambda: RunningMean(0.0))  # of other coordinators, reported
+    cores: float = 0.0
+    memory_mb: float = 0.0
+    own_threads: int = 0  # of own attempts in flight
+    own_threads_before: int = 0  # the same, a moment before the latest change
+    threads_noted_at: float = -math.inf
+    scores_decayed_at: float = 0.0
+    own_attempts: int = 0  # in flight
+    reported_at: float = -math.inf
+    health_checked_at: float = -math.inf
+    heard_at: float = -math.inf  # last sign of work done
+    unreachable_at: float = 0.0  # when it last took no connection
+    silence_score: float = 0.0
+    own_loads: dict[float, int] = field(default_factory=dict)  # own loads in flight, by table group
+
+    def update(self, entry: EngineEntry, settings: Settings) -> None:
+        """Take over a list entry; an engine that was started anew keeps none of the old process's scores."""
+        if entry.started_ms > self.entry.started_ms or not self.cores:
+            self.error_rate = RunningMean(ERROR_RATE_STEP)
+            self.slowness = RunningMean(SLOWNESS_STEP, 1.0, SLOWNESS_PRIOR_SAMPLES)
+            self.other_threads = RunningMean(OTHER_THREADS_STEP)
+            self.silence_score = 0.0
+        self.entry = entry
+        kind = entry.kind
+        known_cores = settings.cores_by_kind
+        known_memory = settings.memory_mb_by_kind
+        cores = known_cores[kind] if kind < len(known_cores) else entry.weight
+        self.cores = cores if math.isfinite(cores) and cores > 0.0 else CORES_IF_UNKNOWN
+        self.memory_mb = known_memory[kind] if kind < len(known_memory) else 0.0
+
+    def threads_at_report(self, now: float) -> int:
+        """Return the own threads that a report arriving now has most likely seen."""
+        return self.own_threads_before if now - self.threads_noted_at < REPORT_LAG_MS else self.own_threads
+
+    def attempt_sent(self, now: float, spec: RequestClass, table_group: float) -> None:
+        """Count an attempt that goes out."""
+        self._note_threads(now)
+        self.own_threads += spec.threads
+        self.own_attempts += 1
+        if spec.is_load:
+            self.own_loads[table_group] = self.own_loads.get(table_group, 0) + 1
+
+    def attempt_ended(self, now: float, spec: RequestClass, table_group: float) -> None:
+        """Count an attempt that has ended."""
+        self._note_threads(now)
+        self.own_threads -= spec.threads
+        self.own_attempts -= 1
+        if spec.is_load:
+            self.own_loads[table_group] -= 1
+            if not self.own_loads[table_group]:
+                del self.own_loads[table_group]
+
+    def _note_threads(self, now: float) -> None:
+        if now - self.threads_noted_at >= REPORT_LAG_MS:
+            self.own_threads_before = self.own_threads
+            self.threads_noted_at = now
