--- /dev/null
+++ b/tests/wires/test_rest.py
@@ -0,0 +1,63 @@
+"""Requests towards the platform's engines, as bytes of HTTP/1.1 with their headers in order."""
+
+from __future__ import annotations
+
+import re
+
+import trio
+
+from tests.standins import RestEngine, config, program
+from tests.test_platform import play
+from tests.wires.recordings import recorded, tapped_engine
+
+TXN = "9b1f03aa5c7e2d41"
+
+
+async def two_pages(
+    engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+) -> tuple[int, dict[str, str], bytes]:
+    """A query that runs on once, and has two pages."""
+    if method == "POST":
+        return 202, {}, b""
+    if path.endswith("/0"):
+        return 200, {"X-Sheets": "2", "X-Gauges": "inflight:1;util:0.10"}, b"a\tb\tc\n"
+    return 200, {"X-Sheet": "1"}, b"d\te\tf\n"
+
+
+async def no_end(
+    engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+) -> tuple[int, dict[str, str], bytes]:
+    """A query that runs on."""
+    if method == "DELETE":
+        return 204, {}, b""
+    await trio.sleep(0.05)
+    return 202, {}, b""
+
+
+def messages() -> dict[str, str]:
+    told = dict[str, str]()
+
+    async def scene() -> None:
+        async with tapped_engine(two_pages) as one, program(config(one.address)) as node:
+            client = await node.client()
+            error, _ = await client.answer(await client.ask(txn=TXN))
+            assert error is None
+            names = ("start", "poll", "further page")
+            told.update(zip(names, one.requests, strict=True))
+        async with tapped_engine(no_end) as one, program(config(one.address)) as node:
+            client = await node.client()
+            number = await client.ask("meter-load", txn=TXN)
+            while "DELETE" not in one.calls:
+                if len(one.requests) >= 2 and number:
+                    await client.send([2, "cancelRequest", [number]])
+                    number = 0
+                await trio.sleep(0.01)
+            told["start of a load"] = one.requests[0]
+            told["cancel"] = next(each for each in one.requests if each.startswith("DELETE"))
+
+    play(scene)
+    return {name: re.sub("(?i)(x-limit-ms: )[0-9]+", r"\1<ms>", text) for name, text in told.items()}
+
+
+def test_requests_are_the_recorded_bytes() -> None:
+    assert messages() == recorded("rest")
