--- /dev/null
+++ b/tests/wires/test_odata_front.py
@@ -0,0 +1,113 @@
+"""The OData front's answers, as bytes of HTTP/1.1 with their headers in order."""
+
+from __future__ import annotations
+
+import re
+import tempfile
+from pathlib import Path
+
+import trio
+import ujson
+
+from tests.standins import RestEngine, Script, breaks, engine
+from tests.test_odata import READING, appliance, five_rows
+from tests.test_platform import play
+from tests.wires.recordings import recorded
+
+JSON = "Content-Type: application/json\r\n"
+LOAD = ujson.dumps(READING)
+PARTS = [
+    {"id": "a", "method": "POST", "url": "Readings", "body": READING},
+    {"id": "b", "method": "GET", "url": "/odata/Settlements('a0')"},
+    {"id": "c", "method": "GET", "url": "Nothing"},
+    {"id": "d", "method": "GET", "url": "Settlements", "dependsOn": ["c"]},
+    {"id": "e", "method": "GET", "url": "Settlements", "atomicityGroup": "g"},
+    {"id": "f", "method": "GET", "url": "$metadata"},
+]
+BATCH = ujson.dumps({"requests": PARTS})
+NAMED = JSON + "Repeatability-Request-ID: r-1\r\n"
+
+# name: method, path, headers, body
+SERVED = {
+    "service document": ("GET", "/odata/", "", ""),
+    "metadata": ("GET", "/odata/$metadata", "", ""),
+    "first page": ("GET", "/odata/Settlements?$count=true", "", ""),
+    "page size": ("GET", "/odata/Settlements", "Prefer: maxpagesize=1\r\n", ""),
+    "select": ("GET", "/odata/Settlements?$select=amount&$top=1", "", ""),
+    "entity": ("GET", "/odata/Settlements('a0')", "", ""),
+    "load": ("POST", "/odata/Readings", JSON, LOAD),
+    "load, minimal": ("POST", "/odata/Readings", JSON + "Prefer: return=minimal\r\n", LOAD),
+    "named load": ("POST", "/odata/Readings", NAMED, LOAD),
+    "repeated load": ("POST", "/odata/Readings", NAMED, LOAD),
+    "batch": ("POST", "/odata/$batch", JSON, BATCH),
+    "no such set": ("GET", "/odata/Nothing", "", ""),
+    "no such path": ("GET", "/other", "", ""),
+    "bad filter": ("GET", "/odata/Settlements?$filter=secret%20eq%201", "", ""),
+    "no function": ("GET", "/odata/Settlements?$filter=contains(account,'x')", "", ""),
+    "bad option": ("GET", "/odata/Settlements?$top=-1", "", ""),
+    "no such option": ("GET", "/odata/Settlements?$expand=x", "", ""),
+    "bad order": ("GET", "/odata/Settlements?$orderby=amount;drop", "", ""),
+    "result gone": ("GET", "/odata/Settlements?$skiptoken=0-1", "", ""),
+    "bad method": ("DELETE", "/odata/Settlements", "", ""),
+    "read-only set": ("POST", "/odata/Settlements", JSON, LOAD),
+    "no JSON": ("POST", "/odata/Readings", JSON, "{"),
+    "bad batch": ("POST", "/odata/$batch", JSON, "{}"),
+    "batch of another kind": ("POST", "/odata/$batch", "Content-Type: multipart/mixed\r\n", "x"),
+}
+BROKEN = {
+    "failed": ("POST", "/odata/Readings", JSON, LOAD),
+    "failed, named": ("POST", "/odata/Readings", NAMED, LOAD),
+    "failed, repeated": ("POST", "/odata/Readings", NAMED, LOAD),
+    "timeout": ("GET", "/odata/Settlements", "Prefer: wait=0\r\n", ""),
+}
+
+
+async def exchange(port: int, method: str, path: str, headers: str, body: str) -> str:
+    """Make one call on a connection of its own; return the answer's bytes, as text."""
+    async with await trio.open_tcp_stream("127.0.0.1", port) as stream:
+        head = f"{method} {path} HTTP/1.1\r\nHost: x\r\n{headers}Content-Length: {len(body)}\r\n\r\n"
+        await stream.send_all((head + body).encode())
+        answer = b""
+        while b"\r\n\r\n" not in answer or len(answer) < whole(answer):
+            chunk = await stream.receive_some(65_536)
+            assert chunk, (path, answer)
+            answer += chunk
+    text = re.sub("skiptoken=[0-9a-f]{32}", "skiptoken=<name>", answer.decode())
+    return re.sub("Retry-After: [1-9][0-9]*", "Retry-After: <s>", text)
+
+
+def whole(answer: bytes) -> int:
+    """Return how long an answer is whose head has come."""
+    told = re.search(rb"(?i)\r\ncontent-length: ([0-9]+)", answer)
+    return answer.index(b"\r\n\r\n") + 4 + (int(told[1]) if told else 0)
+
+
+async def answers(
+    folder: Path, script: Script | None, calls: dict[str, tuple[str, str, str, str]]
+) -> dict[str, str]:
+    folder.mkdir()
+    told = dict[str, str]()
+    async with engine(script or five_rows) as one:
+        engines: list[RestEngine] = [one] if script is not None else []
+        async with appliance(folder, *engines) as node:
+            for name, call in calls.items():
+                told[name] = await exchange(node.ports["odata"], *call)
+    return told
+
+
+def messages() -> dict[str, str]:
+    told = dict[str, str]()
+
+    async def scene() -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            told.update(await answers(Path(folder) / "served", five_rows, SERVED))
+            told.update(await answers(Path(folder) / "broken", breaks, BROKEN))
+            refused = {"refused": ("GET", "/odata/Settlements", "", "")}
+            told.update(await answers(Path(folder) / "none", None, refused))
+
+    play(scene)
+    return told
+
+
+def test_answers_are_the_recorded_bytes() -> None:
+    assert messages() == recorded("odata_front")
--- /dev/null
+++ b/tests/wires/test_replication.py
@@ -0,0 +1,171 @@
+"""Frames between the holders of the ledger: what a member answers, what it asks, and how digests are made."""
+
+from __future__ import annotations
+
+import struct
+import tempfile
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from typing import Any
+
+import msgpack
+import pytest
+import trio
+
+from fordstair.replication.clock import Stamp
+from fordstair.replication.engines import EngineSet, Kept
+from fordstair.replication.ledger import Entry, Holder
+from fordstair.replication.messages import Reader, encode
+from fordstair.replication.registers import Register, Registers
+from fordstair.replication.service import Ledger, running
+from tests.test_platform import play
+from tests.wires.recordings import recorded
+
+ENGINE: list[Any] = ["s-00000001", "10.0.0.1:80", "rest", 1, 2, 3, 5.0, 0.5]
+ROSTER = [[[[7, "m1"], ENGINE]], {"m1": 7}, 9]
+VALUE = ("class|lookup|mean", msgpack.packb([12.5, 7]))
+KEY_RANGE = 22  # of the key "team|load"
+VALUE_RANGE = 36  # of VALUE's key
+
+QUESTIONS: list[list[Any]] = [
+    [1, 1, "team|load", "m1:1:a:1"],  # granted
+    [1, 2, "team|load", "m1:1:a:2"],  # taken
+    [2, 3, "team|load", "m1:1:a:1"],  # released
+    [1, 4, "team|load", "m1:1:a:3"],
+    [3, 5, "team|load", "m1:1:a:3", b"outcome"],  # settled
+    [1, 6, "team|load", "m1:1:a:4"],  # taken, with the outcome
+    [4, 7],
+    [5, 8, KEY_RANGE, "", False],
+    [6, 9],
+    [7, 10, VALUE_RANGE, ""],
+    [8, 11, 0],
+]
+ANSWERS: dict[int, list[Any]] = {
+    1: [16, 0, 0, "", None],
+    2: [17, 0, True],
+    3: [17, 0, True],
+    4: [18, 0, [1] + [0] * 63],
+    5: [19, 0, [], False, False, True],
+    6: [18, 0, [2] + [0] * 63],
+    7: [20, 0, [], False],
+    8: [21, 0, ROSTER, 9],
+}
+
+
+def frame(item: list[Any]) -> bytes:
+    body: bytes = msgpack.packb(item)
+    return struct.pack(">I", len(body)) + body
+
+
+async def frames(stream: trio.SocketStream) -> AsyncIterator[list[Any]]:
+    """Yield frame after frame until the connection ends."""
+    buffer = b""
+    while chunk := await stream.receive_some(65_536):
+        buffer += chunk
+        while len(buffer) >= 4 and len(buffer) >= (end := 4 + int.from_bytes(buffer[:4], "big")):
+            yield msgpack.unpackb(buffer[4:end], strict_map_key=False)
+            buffer = buffer[end:]
+
+
+def steady(item: Any) -> Any:
+    """Return a frame with its times of day, and what is made from them, set to fixed ones."""
+    match item:
+        case list():
+            return [steady(each) for each in item]
+        case dict():
+            return {key: steady(value) for key, value in item.items()}
+        case str() if item.startswith("m0:"):
+            return "m0:<ms>:" + item.split(":", 2)[2]
+        case bool():
+            return item
+        case int() if 10**12 < item < 10**13:
+            return 10**12
+    return item
+
+
+@asynccontextmanager
+async def member(folder: str, peer: str) -> AsyncIterator[Any]:
+    holders = {"m0": "127.0.0.1:1", "m1": peer}
+    told = Ledger("c", "m0", holders, ("127.0.0.1", 0), f"{folder}/store", exchange_ms=100.0)
+    async with running(told, 11) as service:
+        yield service
+
+
+async def conversation(folder: str) -> dict[str, str]:
+    """Ask a member, and answer what it asks."""
+    asked = dict[tuple[Any, ...], list[Any]]()
+    answered = list[list[Any]]()
+
+    async def answer(stream: trio.SocketStream) -> None:
+        async for item in frames(stream):
+            kind = (item[0], *(item[4:] if item[0] == 5 else ()))
+            asked.setdefault(kind, [item[0], 0, *item[2:]])
+            if item[0] in ANSWERS:
+                reply = ANSWERS[item[0]]
+                await stream.send_all(frame([reply[0], item[1], *reply[2:]]))
+
+    async with trio.open_nursery() as nursery:
+        listeners = await nursery.start(trio.serve_tcp, answer, 0)
+        peer = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
+        async with member(folder, peer) as service:
+            while len(asked) < 7:  # the greeting, and each question of an exchange
+                await trio.sleep(0.01)
+            await service.set_values([VALUE])
+            for number, done in enumerate((service.settle, service.release)):
+                _, begun, _ = await service.begin(f"key {number}")
+                await done(begun, *([b"outcome"] if number == 0 else []))
+            stream = await trio.open_tcp_stream("127.0.0.1", service.port)
+            await stream.send_all(frame([0, 0, "c", "m1"]))
+            coming = frames(stream)
+            for question in QUESTIONS:
+                await stream.send_all(frame(question))
+                answered.append(await anext(coming))
+            await stream.aclose()
+        nursery.cancel_scope.cancel()
+    for item in answered:
+        if item[0] == 18:  # most are made from the time of day: see ``digests``
+            item[2] = [
+                each if each and which == KEY_RANGE else int(each > 0) for which, each in enumerate(item[2])
+            ]
+    told = {f"asked {kind}": item for kind, item in sorted(asked.items())}
+    told |= {f"answer {item[1]}": item for item in answered}
+    return {name: frame(steady(item)).hex() for name, item in told.items()}
+
+
+def digests() -> dict[str, str]:
+    """The digests that members compare, over fixed contents."""
+    values = Registers("m0", 1e9, 10)
+    values.take(1_000.0, VALUE[0], Register(VALUE[1], Stamp(900, 1, "m1")))
+    holder = Holder("m0", ("m0", "m1"), 3, 600_000.0, 10)
+    holder.take("team|load", Entry("m1:1:a:3", 900, b"outcome"))
+    engines = EngineSet("m0")
+    engines.follow(1_000.0, 900.0, [Kept(*ENGINE)])
+    return {
+        "digests of values": str(values.digests),
+        "digests of the ledger": str(holder.digests),
+        "digest of engines": str(engines.digest),
+    }
+
+
+def messages() -> dict[str, str]:
+    told = dict[str, str]()
+
+    async def scene() -> None:
+        with tempfile.TemporaryDirectory() as folder:
+            told.update(await conversation(folder))
+
+    play(scene)
+    return told | digests()
+
+
+SENT = [frame(item) for item in [[0, 0, "c", "m1"], *QUESTIONS, *ANSWERS.values()]]
+FRAMES = [bytes.fromhex(text) for name, text in recorded("replication").items() if "digest" not in name]
+
+
+@pytest.mark.parametrize("data", [*SENT, *FRAMES], ids=lambda data: data[:12].hex())
+def test_a_frame_is_read_and_written_again(data: bytes) -> None:
+    assert [encode(each) for each in Reader().take(data)] == [data]
+
+
+def test_a_member_says_the_recorded_bytes() -> None:
+    assert messages() == recorded("replication")
