--- /dev/null
+++ b/tests/wires/test_traffic_file.py
@@ -0,0 +1,28 @@
+"""The traffic file: one JSON object a line, read and written again, and made from a seed."""
+
+from __future__ import annotations
+
+import tempfile
+from pathlib import Path
+
+from fordstair.lab.billing_close import Shape, generate, read, write
+from tests.wires.recordings import recorded
+
+
+def messages() -> dict[str, str]:
+    """Five seconds of a billing close."""
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "traffic.jsonl"
+        write(path, generate(Shape(5.0, 8.0, doubled=((2.0, 3.0),)), 11))
+        return {"traffic": path.read_text()}
+
+
+def test_a_file_is_written_as_recorded() -> None:
+    assert messages() == recorded("traffic_file")
+
+
+def test_a_file_is_read_and_written_again(tmp_path: Path) -> None:
+    before, after = tmp_path / "before.jsonl", tmp_path / "after.jsonl"
+    before.write_text(recorded("traffic_file")["traffic"])
+    write(after, read(before))
+    assert after.read_text() == before.read_text()
