--- a/tests/wires/test_replication.py
+++ b/tests/wires/test_replication.py
@@ -13,7 +13,7 @@
 import trio
 
 from fordstair.replication.clock import Stamp
-from fordstair.replication.engines import EngineSet, Kept
+from fordstair.replication.engines import Dot, EngineSet, Kept, Restored, Roster, kept
 from fordstair.replication.ledger import Entry, Holder
 from fordstair.replication.messages import Reader, encode
 from fordstair.replication.registers import Register, Registers
@@ -158,6 +158,14 @@
     return told | digests()
 
 
+def test_a_known_engine_keeps_each_field_in_its_place() -> None:
+    """A field that is read from another's place leaves the bytes as they are, and means something else."""
+    known = EngineSet("m0")
+    known.merge(1_000.0, Roster([(Dot(7, "m1"), Kept(*ENGINE))], {"m1": 7}, 900))
+    (engine,) = Restored(1e9).engines(1_000.0, known)
+    assert kept([engine]) == [Kept(*ENGINE)]
+
+
 SENT = [frame(item) for item in [[0, 0, "c", "m1"], *QUESTIONS, *ANSWERS.values()]]
 FRAMES = [bytes.fromhex(text) for name, text in recorded("replication").items() if "digest" not in name]
 
--- a/tests/wires/test_rest.py
+++ b/tests/wires/test_rest.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from tests.standins import RestEngine, config, program
+from tests.standins import RestEngine, config, connect, inside, program
 from tests.test_platform import play
 from tests.wires.recordings import recorded, tapped_engine
 
@@ -28,12 +28,18 @@
     engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
 ) -> tuple[int, dict[str, str], bytes]:
     """A query that runs on."""
-    if method == "DELETE":
+    if method in ("DELETE", "PUT"):
         return 204, {}, b""
     await trio.sleep(0.05)
     return 202, {}, b""
 
 
+async def until(engine: RestEngine, method: str) -> None:
+    """Wait until an engine has got such a request."""
+    while method not in engine.calls:
+        await trio.sleep(0.01)
+
+
 def messages() -> dict[str, str]:
     told = dict[str, str]()
 
@@ -44,16 +50,17 @@
             assert error is None
             names = ("start", "poll", "further page")
             told.update(zip(names, one.requests, strict=True))
-        async with tapped_engine(no_end) as one, program(config(one.address)) as node:
-            client = await node.client()
+        async with tapped_engine(no_end) as one, inside(config(one.address)) as coordination:
+            client = await connect(coordination)
             number = await client.ask("meter-load", txn=TXN)
-            while "DELETE" not in one.calls:
-                if len(one.requests) >= 2 and number:
-                    await client.send([2, "cancelRequest", [number]])
-                    number = 0
-                await trio.sleep(0.01)
-            told["start of a load"] = one.requests[0]
-            told["cancel"] = next(each for each in one.requests if each.startswith("DELETE"))
+            await until(one, "GET")
+            coordinator = coordination.coordinator
+            coordinator.lower(next(iter(coordinator.live.values())), True)
+            await until(one, "PUT")
+            await client.send([2, "cancelRequest", [number]])
+            await until(one, "DELETE")
+            for name, method in (("start of a load", "POST"), ("priority", "PUT"), ("cancel", "DELETE")):
+                told[name] = next(each for each in one.requests if each.startswith(method))
 
     play(scene)
     return {name: re.sub("(?i)(x-limit-ms: )[0-9]+", r"\1<ms>", text) for name, text in told.items()}
--- a/tests/wires/test_store.py
+++ b/tests/wires/test_store.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from fordstair.net.clients.odata_model import Response
-from fordstair.net.clients.repeatable_requests import read_response
+from fordstair.net.clients.repeatable_requests import SharedRepeats, read_response
 from fordstair.replication.clock import Stamp
 from fordstair.replication.costs import learned, restore
 from fordstair.replication.engines import Dot, Kept, Roster
@@ -73,6 +73,17 @@
     assert outcome is not None and read_response(outcome) == ANSWER
 
 
+def test_the_answer_of_a_load_is_kept_as_before() -> None:
+    kept = list[bytes]()
+
+    class Holders:
+        def settle_later(self, begun: object, outcome: bytes) -> None:
+            kept.append(outcome)
+
+    SharedRepeats(Holders()).end(None, ANSWER)  # type: ignore[arg-type]  # stand-ins for ledger and claim
+    assert kept == [ENTRIES[1][1].outcome]
+
+
 def test_a_store_is_written_as_before(tmp_path: Path) -> None:
     write(tmp_path / "store")
     shutil.copy(FILE, tmp_path / "before")
