--- a/fordstair/budgets/whole.py
+++ b/fordstair/budgets/whole.py
@@ -84,20 +84,22 @@
     @cached_property
     def digest(self) -> int:
         """48 bits that differ between two plans: who has another plan is neither granted nor voted for."""
-        told = repr(
-            (
-                self.cluster,
-                self.wholes,
-                sorted(self.members),
-                self.term_ms,
-                self.drift,
-                self.floor_part,
-                self.size,
-            )
-        )
+        wholes = ", ".join(_as_digested(whole) for whole in self.wholes)
+        if len(self.wholes) == 1:
+            wholes += ","
+        others = (sorted(self.members), self.term_ms, self.drift, self.floor_part, self.size)
+        told = f"({self.cluster!r}, ({wholes}), " + repr(others)[1:]
         return int.from_bytes(blake2b(told.encode(), digest_size=6).digest(), "big")
 
 
+def _as_digested(whole: Whole) -> str:
+    """Return the text that the digest reads; it goes on the wire, so no name in the code may change it."""
+    return (
+        f"Whole(kind={whole.kind!r}, units={whole.units!r}, team={whole.team!r}, klass={whole.class_name!r}, "
+        f"quantum={whole.quantum!r}, least={whole.least!r})"
+    )
+
+
 @dataclass(frozen=True, slots=True)
 class Part:
     """One member's part in a plan, as its file tells it."""
