--- a/tests/wires/test_store.py
+++ b/tests/wires/test_store.py
@@ -70,7 +70,8 @@
     assert (told.doubted, told.spoilt) == ("", 0)
     assert (told.entries, told.values, told.roster) == (ENTRIES, VALUES, ROSTER)
     outcome = told.entries[1][1].outcome
-    assert outcome is not None and read_response(outcome) == ANSWER
+    assert outcome is not None
+    assert read_response(outcome) == ANSWER
 
 
 def test_the_answer_of_a_load_is_kept_as_before() -> None:
