--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -45,7 +45,7 @@
         """Wait until the module has been told of the request, or it is over."""
         told, now = self.coordinator.arrival(live), self.coordinator.deadlines.clock()
         gateway, spec = self.coordinator.gateway, self.coordinator.settings.classes[told.class_index]
-        work_ms = gateway.cache.forecast(told.class_index, told.group, told.cost_ms)
+        work_ms = gateway.predicted_cost(told)
         self._resize()
         caps = () if self.caps is None else self.caps.binding(now, told.tenant, told.class_index)
         admission = self.scheduler.arrive(
@@ -124,9 +124,9 @@
             self.coordinator.deadlines.clock(), item.team, item.class_index, item.threads
         ):
             return Room.BUDGET_FULL
-        if gateway.has_room(self.coordinator.arrival(self._lives[item.id])):
+        if gateway.has_capacity(self.coordinator.arrival(self._lives[item.id])):
             return Room.FITS
-        return Room.CLASS_FULL if item.class_index in gateway.limits else Room.FULL
+        return Room.CLASS_FULL if item.class_index in gateway.admission.concurrency_limits else Room.FULL
 
     def _refuse(self, live: LiveRequest, why: Refused, later_ms: float) -> None:
         """Answer at once, with the time from which there is room: nothing of it ever ran."""
@@ -141,7 +141,7 @@
 
     def _resize(self) -> None:
         """Follow the engines that take new work."""
-        cores = sum(e.cores for e in self.coordinator.gateway.open_to(0))
+        cores = sum(e.cores for e in self.coordinator.gateway.selector.eligible(0))
         capacity = max(1.0, cores * self.threads_a_core / self.coordinator.settings.instances)
         if capacity != self.scheduler.budgets.capacity:
             self.scheduler.budgets.resize(capacity)
@@ -184,7 +184,7 @@
         """Return one attempt as pre-emption sees it."""
         coordinator, query = self.coordinator, live.query
         attempt = coordinator.gateway.attempts.get((live.id, live.attempts - 1))
-        left_ms = attempt.sent + attempt.expected - now if attempt is not None else 0.0
+        left_ms = attempt.sent_at + attempt.expected_latency_ms - now if attempt is not None else 0.0
         engine = coordinator.engines.get(live.engine)
         return Runs(
             live.id,
--- a/fordstair/decisions/actions.py
+++ b/fordstair/decisions/actions.py
@@ -41,7 +41,7 @@
 
     request: int
     retry_after_ms: float = 0.0
-    reason: str = ""  # one of a few fixed texts, for those who look on
+    reason: RejectionReason | str = ""
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,7 +49,7 @@
     """Final answer: failed; nothing is promised about the effect."""
 
     request: int
-    reason: str = ""
+    reason: RejectionReason | str = ""
 
 
 @dataclass(slots=True, frozen=True)
--- a/fordstair/decisions/admission.py
+++ b/fordstair/decisions/admission.py
@@ -1,7 +1,7 @@
 """Admission: whether a request that arrives is admitted or rejected at once, and why.
 
-Rules in order: the tenant's quota, the operator's limit on its class, this coordinator's part of the fleet's threads, and
-the rate of expensive requests. Quota and rate bind under pressure only.
+Rules in order: the tenant's quota, the operator's limit on its class, this coordinator's part of the fleet's
+threads, and the rate of expensive requests. Quota and rate bind under pressure only.
 """
 
 from __future__ import annotations
@@ -31,6 +31,9 @@
 THREADS_FACTOR_OF_COSTLY_REQUESTS = 0.6
 # A part of the fleet under one query tells nothing: so many of them fit in any case.
 SMALLEST_QUERIES_IN_FLIGHT = 2.0
+# Retry-After of a rejection, over the largest that the settings allow: when calm, and what pressure adds.
+RETRY_AFTER_SHARE_WHEN_CALM = 0.25
+RETRY_AFTER_SHARE_BY_PRESSURE = 0.75
 
 
 class AdmissionPolicy:
@@ -90,6 +93,14 @@
         engines = self._selector.eligible(class_index)
         return self._load.pressure(now, engines, self._load.capacity(now, engines))
 
+    def retry_after_ms(self, now: float, class_index: int) -> float:
+        """Return the Retry-After of a rejection in ms, longer with pressure; 0 where none is sent."""
+        if not self._settings.sends_retry_after:
+            return 0.0
+        pressure = self.pressure(now, class_index)
+        share = RETRY_AFTER_SHARE_WHEN_CALM + RETRY_AFTER_SHARE_BY_PRESSURE * pressure
+        return self._settings.max_retry_after_ms * share
+
     def _is_over_quota(self, now: float, request: TrackedRequest, pressure: float) -> bool:
         """Whether the tenant's requests come faster than its quota, while there is pressure."""
         if not 0 <= request.tenant < len(self._tenant_buckets):
--- a/fordstair/decisions/cost_model.py
+++ b/fordstair/decisions/cost_model.py
@@ -1,7 +1,7 @@
 """Predicted cost, memory and latency of requests, learned from the outcomes of attempts.
 
-Cost is work on one thread: thread-milliseconds. A prediction is the client's estimate corrected by how estimates of
-its class turned out; without an estimate, the mean of its class and table group; without that, the class's mean.
+Cost is work on one thread: thread-milliseconds. A prediction is the client's estimate, corrected by how
+estimates of its class turned out; without one, the mean of its class and table group, or of its class.
 """
 
 from __future__ import annotations
@@ -39,7 +39,15 @@
 class ClassStatistics:
     """What outcomes of one request class have shown."""
 
-    __slots__ = ("cost", "cost_estimate", "cost_ratio", "expensive_cost", "memory_mb", "memory_ratio", "slowness")
+    __slots__ = (
+        "cost",
+        "cost_estimate",
+        "cost_ratio",
+        "expensive_cost",
+        "memory_mb",
+        "memory_ratio",
+        "slowness",
+    )
 
     def __init__(self) -> None:
         self.cost = RunningMean(CLASS_STEP)
@@ -93,7 +101,12 @@
         return max(SMALLEST_COST_MS, cached.value) if cached else self.class_mean(class_index)
 
     def learn_served(
-        self, request: TrackedRequest, engine: TrackedEngine, work_ms: float, latency_ms: float, memory_mb: float
+        self,
+        request: TrackedRequest,
+        engine: TrackedEngine,
+        work_ms: float,
+        latency_ms: float,
+        memory_mb: float,
     ) -> None:
         """Learn from a served attempt; others teach nothing, as quick errors would drag the means down."""
         statistics = self.classes[request.class_index]
@@ -113,7 +126,7 @@
         self._fleet_slowness.add(slowness)
 
     def learn_stopped(self, request: TrackedRequest, engine: TrackedEngine, ran_ms: float) -> None:
-        """Learn how slow an engine is at least from an attempt that was stopped; often nothing else shows it."""
+        """Learn from a stopped attempt how slow its engine is at least; often nothing else shows it."""
         statistics = self.classes[request.class_index]
         slowness = ran_ms * request.spec.threads / request.cost / self._class_slowness(statistics)
         slowness = min(LARGEST_ENGINE_SLOWNESS, slowness)
--- a/fordstair/decisions/engine_selection.py
+++ b/fordstair/decisions/engine_selection.py
@@ -75,8 +75,8 @@
     def is_preferred(self, engine: TrackedEngine) -> bool:
         """Whether an engine is one of the few that this coordinator prefers.
 
-        Where there are many of both, each coordinator would meet every engine too seldom to learn of it, and at
-        a new connection each time; the preferences of all together still cover the engines evenly.
+        Where there are many of both, each coordinator would meet every engine too seldom to learn of it, each
+        time at a new connection; the preferences of all together still cover the engines evenly.
         """
         return engine.hash_position * len(self._engines) < PREFERRED_ENGINES
 
@@ -121,7 +121,7 @@
         return now - max(engine.reported_at, engine.health_checked_at) >= STALE_REPORT_MS
 
     def _candidates(self, request: TrackedRequest, eligible: list[TrackedEngine]) -> list[TrackedEngine]:
-        """Leave out engines that would not discard a duplicate, and the last one tried if there are others."""
+        """Leave out engines that would not discard a duplicate, and the last one tried unless it is alone."""
         candidates = eligible
         first = request.may_have_run_on
         if first is not None and request.spec.idempotency is Idempotency.WITH_KEY:
--- a/fordstair/decisions/latency_objective.py
+++ b/fordstair/decisions/latency_objective.py
@@ -2,11 +2,14 @@
 
 from __future__ import annotations
 
+from fordstair.decisions.load_estimation import BINDING_PRESSURE
 from fordstair.decisions.settings import RequestClass
 from fordstair.decisions.tracked_request import TrackedRequest
 
 # A request may take that many times its predicted work before its objective counts as missed.
 PREDICTION_SLACK = 1.5
+# Between two checks whether a late answer is still waited for.
+LATE_CHECK_MS = 250.0
 
 
 def latency_objective_ms(spec: RequestClass, work_ms: float) -> float:
@@ -22,7 +25,15 @@
 
 
 def useful_until(request: TrackedRequest, objective_ends_at: float) -> float:
-    """Return from when an answer is worth nothing: its deadline, or its objective where late ones earn nothing."""
+    """Return from when an answer is worth nothing: the deadline, or the objective's end if late ones are."""
     if request.spec.late_weight > 0.0:
         return request.deadline
     return min(request.deadline, objective_ends_at)
+
+
+def may_be_late(now: float, request: TrackedRequest, pressure: float) -> bool:
+    """Whether an answer after the objective is waited for; asked when that has passed, and at later checks.
+
+    It is while it earns anything, but not under pressure: what it occupies keeps a jam going.
+    """
+    return now < request.useful_until and pressure <= BINDING_PRESSURE
--- a/fordstair/decisions/load_estimation.py
+++ b/fordstair/decisions/load_estimation.py
@@ -51,7 +51,7 @@
         self._queries = PooledMean()
 
     def threads_per_core(self, now: float, engine: TrackedEngine) -> float:
-        """Return an engine's load: own threads, and others' by its report, which fades into the fleet's mean."""
+        """Return an engine's load: own threads, and others' by a report that fades into the fleet's mean."""
         trust: float = 0.5 ** max(0.0, (now - engine.reported_at) / REPORT_HALF_LIFE_MS)
         pooled_age = max(0.0, (now - self.others_per_core.updated_at) / REPORT_HALF_LIFE_MS)
         pooled: float = self.others_per_core.value * 0.5**pooled_age
@@ -98,7 +98,7 @@
         )
 
     def expected_threads(self, engine: TrackedEngine, report: LoadReport) -> float:
-        """Return the threads that an engine should run at least: own ones, or as many as the others' engines."""
+        """Return the threads that an engine should run at least: own ones, or as many as other engines."""
         return max(report.own_threads, self.others_per_core.value * engine.cores)
 
     def record_report(self, now: float, engine: TrackedEngine, report: LoadReport) -> None:
--- a/fordstair/decisions/outlier_detection.py
+++ b/fordstair/decisions/outlier_detection.py
@@ -1,7 +1,7 @@
 """Outlier detection: which engines fail, fall silent or are slower than the others, and for how long.
 
-Three scores are kept for each engine, and decay with time: the share of attempts that ended in a fault, a silence
-score, and its slowness against the others. Together they make the factor by which an engine is drawn.
+Three scores are kept for each engine, and decay with time: the share of attempts that ended in a fault, a
+silence score, and its slowness against the others. They make the factor by which an engine is drawn.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
         return float(soundness * SILENCE_FACTOR**silence)
 
     def selection_factor(self, reliability: float, engine: TrackedEngine) -> float:
-        """Return the factor by which an engine is drawn: its reliability, and its speed against the others'."""
+        """Return the factor by which an engine is drawn: its reliability, and its speed against others."""
         speed = min(1.0, max(SLOWEST_SPEED, 1.0 / max(0.01, engine.slowness.value)))
         return max(SMALLEST_SELECTION_FACTOR, reliability * speed**SPEED_EXPONENT)
 
--- a/fordstair/decisions/query_priorities.py
+++ b/fordstair/decisions/query_priorities.py
@@ -11,6 +11,7 @@
 HIGH_PRIORITY = 3
 NORMAL_PRIORITY = 2
 LOW_PRIORITY = 1
+DEFAULT_PRIORITY = 1
 # Stands for the memory of an engine that does not tell it, MB: no grant reaches it.
 UNKNOWN_MEMORY_MB = 1e9
 
@@ -32,7 +33,7 @@
     def priority(self, request: TrackedRequest) -> int:
         """Return the priority: by weight per thread-second, and low for the costly requests of a class."""
         if not self._settings.priorities:
-            return LOW_PRIORITY
+            return DEFAULT_PRIORITY
         if self._cost_model.is_high_priority(request.class_index):
             return HIGH_PRIORITY
         is_costly = request.cost > self._cost_model.class_mean(request.class_index)
--- a/fordstair/decisions/retries.py
+++ b/fordstair/decisions/retries.py
@@ -1,7 +1,7 @@
 """Retries: whether a request may be sent (again), and until when its next attempt must have begun.
 
-What may have run decides, and never the time alone: a request without idempotency is not sent again once an attempt
-may have run. One with an idempotency key may be, while its engines still discard duplicates.
+What may have run decides, and never the time alone: a request without idempotency is not sent again once an
+attempt may have run. One with an idempotency key may be, while its engines still discard duplicates.
 """
 
 from __future__ import annotations
@@ -82,8 +82,8 @@
     def may_attempt(self, now: float, request: TrackedRequest) -> bool:
         """Whether the next attempt keeps the request's promises, the cap on attempts and the retry budget.
 
-        Asked before each attempt, and before one is cancelled in order to try elsewhere. False ends the request,
-        or leaves the running attempt alone.
+        Asked before each attempt, and before one is cancelled in order to try elsewhere. False ends the
+        request, or leaves the running attempt alone.
         """
         if request.attempts_sent >= self._attempts_most:
             return False
--- a/fordstair/decisions/slow_start.py
+++ b/fordstair/decisions/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: how much of its capacity a started engine has, and how much of its budget goes to it from here.
 
-An engine that is warming up collapses under more than ``overload factor x present capacity`` of work in a window;
-the budget binds the sum of all coordinators, which do not know of each other's sends.
+An engine that is warming up collapses under more than ``overload factor x present capacity`` of work in a
+window; the budget binds the sum of all coordinators, which do not know of each other's sends.
 """
 
 from __future__ import annotations
@@ -32,7 +32,9 @@
     def __init__(self, settings: Settings, cost_model: CostModel) -> None:
         self._settings = settings
         self._cost_model = cost_model
-        self._light_cost = RunningMean(SLOWEST_POOLED_STEP)  # of all requests, with 0 for those that are not light
+        self._light_cost = RunningMean(
+            SLOWEST_POOLED_STEP
+        )  # of all requests, with 0 for those that are not light
         kinds = settings.cores_by_kind
         mean_cores = sum(kinds) / max(1, len(kinds))
         self._light_cost_most = (
--- /dev/null
+++ b/fordstair/decisions/timers.py
@@ -0,0 +1,29 @@
+"""The timers that a gateway has asked its host for, by their tokens."""
+
+from __future__ import annotations
+
+from typing import TypeAlias
+
+from fordstair.decisions.actions import StartTimer
+from fordstair.decisions.request_ordering import OrderingQueue
+from fordstair.decisions.tracked_request import TrackedAttempt, TrackedRequest
+
+TimerTarget: TypeAlias = TrackedRequest | TrackedAttempt | OrderingQueue
+
+
+class Timers:
+    """Remembers what each running timer is for."""
+
+    def __init__(self) -> None:
+        self._targets: dict[int, TimerTarget] = {}
+        self._last_token = 0
+
+    def start(self, delay_ms: float, target: TimerTarget) -> StartTimer:
+        """Return the action that starts a timer for a target."""
+        self._last_token += 1
+        self._targets[self._last_token] = target
+        return StartTimer(self._last_token, delay_ms)
+
+    def fired(self, token: int) -> TimerTarget | None:
+        """Return what a timer was for; None for a token that was never given, or has fired already."""
+        return self._targets.pop(token, None)
--- a/fordstair/decisions/tracked_engine.py
+++ b/fordstair/decisions/tracked_engine.py
@@ -25,8 +25,12 @@
     entry: EngineEntry
     hash_position: float = 0.0  # in [0, 1), other at each coordinator; the lowest positions are preferred
     error_rate: RunningMean = field(default_factory=lambda: RunningMean(0.0))
-    slowness: RunningMean = field(default_factory=lambda: RunningMean(0.0))  # latency over the others', 1 is alike
-    other_threads: RunningMean = field(default_factory=lambda: RunningMean(0.0))  # of other coordinators, reported
+    slowness: RunningMean = field(
+        default_factory=lambda: RunningMean(0.0)
+    )  # latency over the others', 1 is alike
+    other_threads: RunningMean = field(
+        default_factory=lambda: RunningMean(0.0)
+    )  # of other coordinators, reported
     cores: float = 0.0
     memory_mb: float = 0.0
     own_threads: int = 0  # of own attempts in flight
--- a/fordstair/lab/virtual.py
+++ b/fordstair/lab/virtual.py
@@ -162,7 +162,7 @@
         if self.scheduler is None:
             record.released_ms = 0.0
             return self._feed(event)
-        work = self.gateway.cache.forecast(record.class_index, float(arrival.group), arrival.told_ms)
+        work = self.gateway.predicted_cost(event)
         last = last_start(spec, work, self.now, self.now + arrival.limit_ms)
         told = Told(id, record.team, record.class_index, spec.threads, work, last)
         admission = self.scheduler.arrive(told, self.now)
@@ -212,7 +212,7 @@
         return max(0.0, record.arrival.told_ms / spec.threads - (self.now - record.out[2]))
 
     def _room(self, item: Item) -> Room:
-        return Room.FITS if self.gateway.has_room(self._arrived[item.id]) else Room.FULL
+        return Room.FITS if self.gateway.has_capacity(self._arrived[item.id]) else Room.FULL
 
     def _release(self) -> None:
         assert self.scheduler is not None
--- a/fordstair/replication/costs.py
+++ b/fordstair/replication/costs.py
@@ -7,17 +7,23 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Iterator, Mapping
+from collections.abc import Callable, Iterator, Mapping
 
 import msgspec
 
+from fordstair.decisions.cost_model import ClassStatistics
 from fordstair.decisions.gateway import Gateway
-from fordstair.decisions.state import Mean
+from fordstair.decisions.statistics import RunningMean
 
 LEAST_OUTCOMES = 5  # fewer tell too little to be passed on
 WEIGHT_MOST = 30  # outcomes that a value taken over counts as at most: it must not outlast what is seen
 APART = 0.2  # of the logarithm: values a fifth apart
-FIGURES = ("mean", "memory", "pace")  # of a class
+# A class's figures, by their names in stored and replicated keys.
+FIGURES: dict[str, Callable[[ClassStatistics], RunningMean]] = {
+    "mean": lambda statistics: statistics.cost,
+    "memory": lambda statistics: statistics.memory_mb,
+    "pace": lambda statistics: statistics.slowness,
+}
 
 _values: msgspec.msgpack.Decoder[tuple[float, int]] = msgspec.msgpack.Decoder(tuple[float, int])
 
@@ -25,10 +31,10 @@
 def learned(gateway: Gateway) -> Iterator[tuple[str, bytes]]:
     """Yield what the module has learned from enough outcomes, to three figures."""
     names = [spec.name for spec in gateway.settings.classes]
-    for name, of in zip(names, gateway.cache.of, strict=True):
-        for figure in FIGURES:
-            yield from _told(f"class|{name}|{figure}", getattr(of, figure))
-    for (k, group), mean in gateway.cache.groups.means.items():
+    for name, of in zip(names, gateway.cost_model.classes, strict=True):
+        for figure, mean_of in FIGURES.items():
+            yield from _told(f"class|{name}|{figure}", mean_of(of))
+    for (k, group), mean in gateway.cost_model.table_groups.means.items():
         yield from _told(f"group|{names[k]}|{group:g}", mean)
 
 
@@ -48,22 +54,22 @@
         found = _read(values[key])
         if found is None or name not in places:
             continue
-        of, groups = gateway.cache.of[places[name]], gateway.cache.groups
+        of, groups = gateway.cost_model.classes[places[name]], gateway.cost_model.table_groups
         if kind == "class" and what in FIGURES:
-            mean: Mean = getattr(of, what)
+            mean = FIGURES[what](of)
         elif kind == "group" and (group := _number(what)) is not None and len(groups.means) < groups.size:
-            mean = groups.means.setdefault((places[name], group), Mean(groups.step))
+            mean = groups.means.setdefault((places[name], group), RunningMean(groups.step))
         else:
             continue
-        if mean.n < LEAST_OUTCOMES:
-            mean.value, mean.n = found
+        if mean.count < LEAST_OUTCOMES:
+            mean.value, mean.count = found
             taken += 1
     return taken
 
 
-def _told(key: str, mean: Mean) -> Iterator[tuple[str, bytes]]:
-    if mean.n >= LEAST_OUTCOMES and math.isfinite(mean.value) and mean.value > 0.0:
-        yield key, msgspec.msgpack.encode((float(f"{mean.value:.3g}"), min(mean.n, WEIGHT_MOST)))
+def _told(key: str, mean: RunningMean) -> Iterator[tuple[str, bytes]]:
+    if mean.count >= LEAST_OUTCOMES and math.isfinite(mean.value) and mean.value > 0.0:
+        yield key, msgspec.msgpack.encode((float(f"{mean.value:.3g}"), min(mean.count, WEIGHT_MOST)))
 
 
 def _read(value: bytes) -> tuple[float, int] | None:
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections import deque
-from copy import copy
 from itertools import islice
 from typing import TYPE_CHECKING, Any
 
@@ -13,8 +12,8 @@
 from fordstair.core.live_request import LiveRequest
 from fordstair.core.ports import Engine
 from fordstair.decisions.engine_list import EngineState
-from fordstair.decisions.gateway import SOUND
-from fordstair.decisions.state import Engine as Believed
+from fordstair.decisions.engine_registry import EngineAssessment
+from fordstair.decisions.outlier_detection import BELIEVABLE_RELIABILITY
 from fordstair.overrides.register import Ledger
 from fordstair.runtime.clock import WallClock
 from fordstair.snapshots.snapshot import (
@@ -101,37 +100,35 @@
     def _engines(self, now: float) -> dict[str, EngineView]:
         views, changes = dict[str, EngineView](), dict[str, tuple[State, float]]()
         for name, engine in self.coordinator.engines.items():
-            view = self._engine(name, engine, self.coordinator.gateway.engines.get(name), now)
+            view = self._engine(name, engine, self.coordinator.gateway.assess(name), now)
             before = self._changes.get(name)
             changes[name] = before if before is not None and before[0] == view.state else (view.state, now)
             views[name] = msgspec.structs.replace(view, changed_ms=self._unix(changes[name][1]))
         self._changes = changes
         return views
 
-    def _engine(self, name: str, engine: Engine, known: Believed | None, now: float) -> EngineView:
-        gateway, entry = self.coordinator.gateway, engine.entry
-        if known is None:  # told of, but not yet taken in: nothing is sent there
+    def _engine(self, name: str, engine: Engine, known: EngineAssessment | None, now: float) -> EngineView:
+        entry = engine.entry
+        if known is None:  # listed, but not yet taken in by the decisions: nothing is sent there
             return EngineView(name, "draining", engine.address, engine.protocol, entry.zone, 0.0)
-        # The module brings its marks up to date as it reads them. It is asked about a copy, so that being
-        # looked at changes nothing of what it will decide.
-        seen = copy(known)
-        seen.errors, seen.pace = copy(known.errors), copy(known.pace)
-        trust, warmth = gateway.marks(seen), gateway.warmth(seen)
+        state = engine_state(
+            engine, known.reliability, known.warm_up_factor, known.silence_score, now - known.heard_at
+        )
         return EngineView(
             name,
-            engine_state(engine, trust, warmth, seen.strikes, now - seen.heard_at),
+            state,
             engine.address,
             engine.protocol,
             entry.zone,
-            seen.cores,
-            seen.count,
-            seen.threads,
-            round(gateway.load(seen), 2),
-            round(trust, 3),
-            round(warmth, 2),
-            round(seen.strikes, 2),
-            self._unix(seen.heard_at),
-            self._unix(seen.report_at),
+            known.cores,
+            known.own_attempts,
+            known.own_threads,
+            round(known.threads_per_core, 2),
+            round(known.reliability, 3),
+            round(known.warm_up_factor, 2),
+            round(known.silence_score, 2),
+            self._unix(known.heard_at),
+            self._unix(known.reported_at),
             priorities=engine.protocol != "odata",
         )
 
@@ -150,7 +147,7 @@
                 len(mine),
                 out,
                 out * spec.threads,
-                gateway.limits.get(k),
+                gateway.admission.concurrency_limits.get(k),
                 counters[f"taken.{spec.name}"],
                 served,
                 refused,
@@ -265,7 +262,7 @@
         return "avoided"
     if engine.entry.state is not EngineState.READY:
         return "draining"
-    if trust < SOUND:  # by this the module takes what looks idle there for a fault
+    if trust < BELIEVABLE_RELIABILITY:  # by this the module takes what looks idle there for a fault
         if strikes < 0.5:
             return "failing"
         return "silent" if unheard_ms > SILENT_MS else "doubted"  # it answers, yet looks too idle to be sound
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,6 +24,7 @@
 )
 from fordstair.decisions.gateway import Gateway
 from fordstair.decisions.settings import Idempotency, RequestClass, Settings
+from fordstair.decisions.tracked_engine import TrackedEngine
 
 A = TypeVar("A")
 SAFE, LOAD, KEYED = 0, 1, 2
@@ -88,6 +89,12 @@
     return EngineEntry(f"10.0.0.{number}:80", state, started_ms=started, **more)
 
 
+def selection_factor(gateway: Gateway, engine: TrackedEngine) -> float:
+    """Return the factor by which the gateway draws an engine at its latest event."""
+    reliability = gateway.outliers.reliability(gateway.now, engine)
+    return gateway.outliers.selection_factor(reliability, engine)
+
+
 class Rig:
     """Feeds events, runs timers when due, and remembers every action with its time."""
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -465,7 +465,9 @@
             assert error[0] == "Overloaded"
             assert not one.posts
             module = node.coordinator.gateway
-            assert module.warmth(module.engines["s-00000000"]) == 1.0  # late is not down
+            assert (
+                module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) == 1.0
+            )  # late is not down
             gate.open.set()
             await until(lambda: node.pool.open == node.counters["engine.connections_late"] > 0)
             await until(lambda: one.calls["connections"] == node.pool.open)
@@ -494,9 +496,9 @@
                 for _ in range(2):
                     nursery.start_soon(failing, node.pool, one.address)
             module = node.coordinator.gateway
-            assert module.warmth(module.engines["s-00000000"]) == 1.0
-            await until(lambda: module.engines["s-00000000"].down_at)
-            assert module.warmth(module.engines["s-00000000"]) < 1.0
+            assert module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) == 1.0
+            await until(lambda: module.engines["s-00000000"].unreachable_at)
+            assert module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) < 1.0
             assert node.pool.open == 0
 
     play(scene)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -11,8 +11,9 @@
 from fordstair.decisions.engine_list import EngineState, ListUpdateKind
 from fordstair.decisions.events import AttemptNote, HealthCheckEnded, NoteKind, RequestArrived, Status
 from fordstair.decisions.settings import Idempotency, RequestClass, RetryBudget, Tenant
-from fordstair.decisions.state import Engine, Request
-from tests.helpers import CLASSES, LOAD, SAFE, Rig, entry, settings
+from fordstair.decisions.tracked_engine import TrackedEngine
+from fordstair.decisions.tracked_request import TrackedRequest
+from tests.helpers import CLASSES, LOAD, SAFE, Rig, entry, selection_factor, settings
 
 HEAVY = RequestClass(
     "heavy",
@@ -26,7 +27,7 @@
 )
 
 
-def engine(rig: Rig, number: int) -> Engine:
+def engine(rig: Rig, number: int) -> TrackedEngine:
     return rig.gateway.engines[f"10.0.0.{number}:80"]
 
 
@@ -44,8 +45,8 @@
 
 def choices(rig: Rig, count: int = 300) -> Counter[int]:
     """Where requests of no load would go now."""
-    request = Request.of(RequestArrived(0, SAFE, 3000.0), CLASSES[SAFE])
-    picks = [rig.gateway.choose(request) for _ in range(count)]
+    request = TrackedRequest.from_event(RequestArrived(0, SAFE, 3000.0), CLASSES[SAFE])
+    picks = [rig.gateway.selector.select(rig.gateway.now, request) for _ in range(count)]
     return Counter(int(e.entry.engine[7]) for e in picks if e is not None)
 
 
@@ -53,7 +54,7 @@
 def test_fast_failures_lose_the_draw_and_come_back(status: Status) -> None:
     rig = Rig()
     serve(rig, 30)
-    means = rig.gateway.cache.mean(SAFE)
+    means = rig.gateway.cost_model.class_mean(SAFE)
     for _ in range(60):
         r = rig.ask(SAFE, 100.0)
         while not rig.answers(r) and rig.sends(r)[-1].engine == "10.0.0.1:80":
@@ -62,7 +63,9 @@
             rig.end(r, Status.OK, 100.0, work_ms=100.0)
         rig.now += 5.0
     assert choices(rig)[1] < 30
-    assert rig.gateway.cache.mean(SAFE) == pytest.approx(means, rel=0.05)  # quick errors teach no cost
+    assert rig.gateway.cost_model.class_mean(SAFE) == pytest.approx(
+        means, rel=0.05
+    )  # quick errors teach no cost
     rig.pass_time(30000.0)
     assert choices(rig)[1] > 50
 
@@ -81,9 +84,9 @@
     for r in hung:
         rig.end(r, Status.CANCELLED, 400.0)
         assert rig.sends(r)[-1].engine != "10.0.0.1:80"
-    assert engine(rig, 1).strikes >= 1.0 or len(hung) < 2
+    assert engine(rig, 1).silence_score >= 1.0 or len(hung) < 2
     rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.1,)))
-    assert engine(rig, 1).strikes > 0.0  # a shallow probe proves only a live process
+    assert engine(rig, 1).silence_score > 0.0  # a shallow probe proves only a live process
 
 
 def test_a_slow_engine_gets_less_and_forgiveness_brings_it_back() -> None:
@@ -98,15 +101,15 @@
     rig = Rig()
     serve(rig, 60)
     serve(rig, 120, {1: 3.0, 2: 3.0, 3: 3.0})
-    assert all(rig.gateway.health(e) > 0.4 for e in rig.gateway.engines.values())
+    assert all(selection_factor(rig.gateway, e) > 0.4 for e in rig.gateway.engines.values())
 
 
 def test_most_engines_silent_still_count_in_pressure() -> None:
     rig = Rig()
     for number in (1, 2):
-        engine(rig, number).strikes = 3.0
-        engine(rig, number).threads = 80
-    assert rig.gateway.pressure(SAFE) == 1.0
+        engine(rig, number).silence_score = 3.0
+        engine(rig, number).own_threads = 80
+    assert rig.gateway.admission.pressure(rig.gateway.now, SAFE) == 1.0
 
 
 def test_reports_steer_the_draw_and_their_age_fades() -> None:
@@ -117,14 +120,16 @@
         rig.feed(HealthCheckEnded("10.0.0.3:80", Status.OK, 1.0, (0.05,)))
     assert choices(rig)[1] < 30
     rig.pass_time(60000.0)
-    assert rig.gateway.load(engine(rig, 1)) < 0.01  # own threads alone, and there are none
+    assert (
+        rig.gateway.load.threads_per_core(rig.gateway.now, engine(rig, 1)) < 0.01
+    )  # own threads alone, and there are none
 
 
 def test_own_sends_count_at_once_without_any_report() -> None:
     rig = Rig(settings(load_report_fields=()))
     for _ in range(24):
         rig.ask(SAFE, 100.0)
-    threads = [e.threads for e in rig.gateway.engines.values()]
+    threads = [e.own_threads for e in rig.gateway.engines.values()]
     assert min(threads) >= 3
 
 
@@ -132,15 +137,18 @@
 def test_odd_figures_neither_crash_nor_poison(odd: float) -> None:
     rig = Rig()
     serve(rig, 20)
-    before = rig.gateway.cache.mean(SAFE)
+    before = rig.gateway.cost_model.class_mean(SAFE)
     rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, odd, (odd,)))
     r = rig.ask(SAFE, odd if not math.isfinite(odd) or odd < 0 else 100.0, memory_mb=odd, group=odd)
     rig.end(r, Status.OK, odd if not math.isfinite(odd) else 100.0, work_ms=0.0, memory_mb=0.0)
     rig.members(entry(5, started=odd if math.isfinite(odd) else 0.0, kind=9), kind=ListUpdateKind.DELTA)
     for _ in range(10):
         rig.feed(AttemptNote(rig.ask(SAFE), 0, "10.0.0.1:80", NoteKind.PROGRESS, odd))
-    assert rig.gateway.cache.mean(SAFE) == pytest.approx(before, rel=0.2)
-    assert all(math.isfinite(rig.gateway.load(e)) for e in rig.gateway.engines.values())
+    assert rig.gateway.cost_model.class_mean(SAFE) == pytest.approx(before, rel=0.2)
+    assert all(
+        math.isfinite(rig.gateway.load.threads_per_core(rig.gateway.now, e))
+        for e in rig.gateway.engines.values()
+    )
 
 
 def test_a_still_clock_a_start_ahead_of_it_and_one_engine() -> None:
@@ -181,7 +189,7 @@
         r = rig.ask(0, 2000.0, budget_ms=20000.0)
         rig.end(r, Status.OK, 1000.0, work_ms=2000.0)
     for e in rig.gateway.engines.values():
-        e.threads = 13  # 1.6 threads a core
+        e.own_threads = 13  # 1.6 threads a core
     heavy, light = rig.ask(0, 8000.0, budget_ms=20000.0), rig.ask(0, 100.0, budget_ms=20000.0)
     while not rig.of(RejectRequest, heavy):
         heavy = rig.ask(0, 8000.0, budget_ms=20000.0)
@@ -196,7 +204,7 @@
     calm = [rig.ask(0, 10.0, tenant=0, budget_ms=9000.0) for _ in range(12)]
     assert all(rig.sends(r) for r in calm)
     for e in rig.gateway.engines.values():
-        e.threads = 12
+        e.own_threads = 12
     assert rig.of(RejectRequest, rig.ask(0, 10.0, tenant=0, budget_ms=9000.0))
     rig.ask(0, 10.0, tenant=1, budget_ms=9000.0)
     rig.now += 1000.0  # its bucket started at a random part and has filled
@@ -223,11 +231,11 @@
 
 def test_a_restarted_engine_begins_without_its_old_marks() -> None:
     rig = Rig()
-    engine(rig, 1).strikes = 4.0
+    engine(rig, 1).silence_score = 4.0
     rig.pass_time(5000.0)
     rig.members(entry(1, started=rig.now))
-    assert engine(rig, 1).strikes == 0.0
-    assert rig.gateway.warmth(engine(rig, 1)) < 0.5
+    assert engine(rig, 1).silence_score == 0.0
+    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) < 0.5
     rig.members(entry(1, EngineState.DRAINING, started=rig.now))
     assert 1 not in choices(rig)
 
@@ -252,10 +260,10 @@
     for _ in range(20):
         r = rig.ask(SAFE, 100.0)
         rig.end(r, Status.CONNECT_FAILED if rig.sends(r)[0].engine == "10.0.0.1:80" else Status.OK, 1.0)
-    assert rig.gateway.warmth(engine(rig, 1)) < 0.5
-    assert rig.gateway.warmth(engine(rig, 2)) == 1.0
+    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) < 0.5
+    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 2)) == 1.0
     rig.pass_time(11000.0)
-    assert rig.gateway.warmth(engine(rig, 1)) == 1.0
+    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) == 1.0
 
 
 def test_a_connection_that_is_late_shows_no_engine_to_be_down_and_one_that_never_comes_up_does() -> None:
@@ -264,12 +272,12 @@
         r = rig.ask(SAFE, 100.0)
         late = rig.sends(r)[0].engine == "10.0.0.1:80"
         rig.end(r, Status.CONNECT_FAILED if late else Status.OK, 250.0, late=late)
-    assert rig.gateway.warmth(engine(rig, 1)) == 1.0
+    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) == 1.0
     # warm or not, it is avoided while connections to it are slow
-    assert rig.gateway.marks(engine(rig, 1)) < 0.6
+    assert rig.gateway.outliers.reliability(rig.gateway.now, engine(rig, 1)) < 0.6
     rig.feed(HealthCheckEnded("10.0.0.1:80", Status.CONNECT_FAILED, 3_000.0))
-    assert rig.gateway.warmth(engine(rig, 1)) < 0.5
-    assert rig.gateway.warmth(engine(rig, 2)) == 1.0
+    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) < 0.5
+    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 2)) == 1.0
 
 
 def test_no_storm_of_attempts_where_no_budget_is_stated() -> None:
@@ -283,9 +291,9 @@
 
 def test_a_marked_engine_does_not_win_by_looking_idle() -> None:
     rig = Rig()
-    engine(rig, 1).errors.value = 0.9  # it fails at once, so nothing of it is ever out
+    engine(rig, 1).error_rate.value = 0.9  # it fails at once, so nothing of it is ever out
     for number in (2, 3):
-        engine(rig, number).threads = 16
+        engine(rig, number).own_threads = 16
     assert choices(rig, 1000)[1] < 50
 
 
@@ -309,12 +317,12 @@
         while not rig.answers(bad):
             rig.end(bad, Status.ERROR, 1.0)
         assert len(rig.sends(bad)) == 2  # a third engine would find no more use for it
-    assert all(one.errors.value == 0.0 for one in rig.gateway.engines.values())
+    assert all(one.error_rate.value == 0.0 for one in rig.gateway.engines.values())
     good = rig.ask(SAFE)
     rig.end(good, Status.ERROR, 1.0)
     rig.end(good)
     sick = rig.gateway.engines[rig.sends(good)[0].engine]
-    assert sick.errors.value == 1.0  # another engine could serve it
+    assert sick.error_rate.value == 1.0  # another engine could serve it
 
 
 @pytest.mark.parametrize("jam", [False, True])
@@ -326,5 +334,5 @@
         rig.pass_time(100.0)
         rig.feed(AttemptNote(r, 0, rig.sends(r)[0].engine, NoteKind.PROGRESS, 0.5 + step / 100.0))
         if jam:
-            rig.gateway.take_in(rig.gateway.late, 2.0)
+            rig.gateway.load.lateness.add_at(rig.gateway.now, 2.0)
     assert bool(rig.answers(r)) == jam
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -8,6 +8,7 @@
 import time
 from collections import Counter
 from contextlib import suppress
+from random import Random
 from typing import Any
 
 import pytest
@@ -21,7 +22,7 @@
 from fordstair.core.ports import Engine
 from fordstair.decisions.engine_list import ListUpdateKind
 from fordstair.decisions.events import Status
-from fordstair.decisions.gateway import SOUND
+from fordstair.decisions.outlier_detection import BELIEVABLE_RELIABILITY
 from fordstair.lab.machine import Job, Machine
 from fordstair.logs.repeats import Repeats
 from fordstair.logs.setup import Log
@@ -53,7 +54,7 @@
     follow,
     step,
 )
-from tests.helpers import CLASSES, Rig, entry
+from tests.helpers import CLASSES, Rig, entry, selection_factor
 from tests.test_settings import APPLIANCE
 
 many = settings(max_examples=150, derandomize=True, deadline=None)
@@ -141,6 +142,7 @@
     for one in (plain, watched):
         one.members(ListUpdateKind.FULL, [Engine(entry(n), f"127.0.0.1:{n}") for n in range(1, 4)])
     sent: dict[int, list[str]] = {0: [], 1: []}
+    draws = Random(7), Random(7)
     for turn in range(400):
         now = 1_000.0 + turn * 37.0
         for number, one in enumerate((plain, watched)):
@@ -148,12 +150,15 @@
             gateway.now = now
             for k, e in enumerate(gateway.engines.values()):
                 if turn % 90 == 20 + k:
-                    gateway.strike(e, 0.5 * (1 + turn % 4))
+                    gateway.outliers.record_silence(e, 0.5 * (1 + turn % 4))
                 if turn % 120 == 60 and k == 0:
-                    e.down_at = now
-            drawn = gateway.random.choices(
+                    e.unreachable_at = now
+            drawn = draws[number].choices(
                 list(gateway.engines),
-                [gateway.health(e) * gateway.warmth(e) for e in gateway.engines.values()],
+                [
+                    selection_factor(gateway, e) * gateway.slow_start.warm_up_factor(gateway.now, e)
+                    for e in gateway.engines.values()
+                ],
             )[0]
             sent[number].append(drawn)
         observer.look(now)
@@ -161,8 +166,11 @@
             believed = watched.gateway.engines[view.id]
             named.add(view.state)
             if view.state == "ready":
-                assert watched.gateway.warmth(believed) >= 1.0
-                assert 0.2 ** min(3.0, believed.strikes) >= SOUND - 1e-9 or believed.faded_at < now - 250.0
+                assert watched.gateway.slow_start.warm_up_factor(watched.gateway.now, believed) >= 1.0
+                assert (
+                    0.2 ** min(3.0, believed.silence_score) >= BELIEVABLE_RELIABILITY - 1e-9
+                    or believed.scores_decayed_at < now - 250.0
+                )
     assert sent[0] == sent[1]
     assert named >= {"ready", "silent", "warming"}
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -51,7 +51,7 @@
                 rig.end(request, Status.OK, 100.0, work_ms=100.0)
         rig.pass_time(20.0)
     late = Counter(send.engine for send in rig.sends()[-100:])
-    assert rig.gateway.engines[slow].pace.value > 1.5
+    assert rig.gateway.engines[slow].slowness.value > 1.5
     assert late[slow] < 100 / 8 / 3
 
 
@@ -64,7 +64,7 @@
     sick = rig.sends(request)[0].engine
     rig.end(request, Status.ERROR, 20.0)
     rig.end(request, Status.OK, 100.0, work_ms=100.0)
-    assert rig.gateway.marks(rig.gateway.engines[sick]) < 0.25
+    assert rig.gateway.outliers.reliability(rig.gateway.now, rig.gateway.engines[sick]) < 0.25
 
 
 def test_gateways_prefer_different_engines_and_cover_all_of_them_evenly() -> None:
@@ -116,9 +116,14 @@
 def test_cold_cores_count_by_their_warmth_where_pressure_is_judged() -> None:
     rig = after_a_release(1)
     for engine in list(rig.gateway.engines.values())[:12]:
-        engine.others.value, engine.report_at = 2.0 * engine.cores, rig.now
-    assert rig.gateway.pressure(SAFE) > 0.1  # 24 threads a core on 12 engines, and 5.4 engines' worth beside
-    assert rig.gateway.capacity(list(rig.gateway.engines.values())) < 8.0 * (12 + 18 * 0.31)
+        engine.other_threads.value = 2.0 * engine.cores
+        engine.reported_at = rig.now
+    assert (
+        rig.gateway.admission.pressure(rig.gateway.now, SAFE) > 0.1
+    )  # 24 threads a core on 12 engines, and 5.4 engines' worth beside
+    assert rig.gateway.load.capacity(rig.gateway.now, list(rig.gateway.engines.values())) < 8.0 * (
+        12 + 18 * 0.31
+    )
 
 
 def test_an_attempt_that_may_begin_yet_is_followed_by_no_other() -> None:
@@ -213,7 +218,12 @@
                 match action:
                     case SendAttempt(request, engine):
                         cost, job = rig.gateway.requests[request].cost, f"{number}.{id(rig)}.{request}"
-                        self.jobs[job] = rig, request, rig.gateway.requests[request].sent - 1, self.now
+                        self.jobs[job] = (
+                            rig,
+                            request,
+                            rig.gateway.requests[request].attempts_sent - 1,
+                            self.now,
+                        )
                         self.machines[engine].start(Job(job, cost, 1), self.now)
                         self.sent.append((self.now, engine, cost))
                     case CancelAttempt(request, _):
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -544,11 +544,11 @@
             "group|quick|nan": values["class|quick|mean"],
         },
     ) == len(values)
-    assert new.gateway.cache.forecast(0, 7.0, 0.0) == pytest.approx(340.0, rel=0.02)
+    assert new.gateway.cost_model.predict(0, 7.0, 0.0) == pytest.approx(340.0, rel=0.02)
     assert restore(new.gateway, values) == 0  # what it has goes first
     request = new.ask(0, 0.0, group=7.0)
     new.end(request, work_ms=3_400.0, latency=400.0)
-    assert new.gateway.cache.mean(0) > 400.0  # and what it sees counts at once
+    assert new.gateway.cost_model.class_mean(0) > 400.0  # and what it sees counts at once
     old, other = values["class|quick|mean"], values["class|quick|memory"]
     assert not is_news(old, old)
     assert is_news(old, other)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -18,9 +18,9 @@
     depth: int = 0,
     seen: set[int] | None = None,
 ) -> Iterator[tuple[str, int]]:
-    """Yield the path and length of every sized attribute reachable from a thing, four attributes deep."""
+    """Yield the path and length of every sized attribute reachable from a thing, five attributes deep."""
     seen = set() if seen is None else seen
-    if id(thing) in seen or depth > 3:
+    if id(thing) in seen or depth > 4:
         return
     seen.add(id(thing))
     names = list(getattr(thing, "__dict__", {})) + list(getattr(type(thing), "__slots__", ()))
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -470,7 +470,7 @@
             assert not coordinator.live
             assert not gateway.requests
             assert not gateway.attempts
-            assert gateway.engines["s-1"].threads == 0
+            assert gateway.engines["s-1"].own_threads == 0
             nursery.cancel_scope.cancel()
 
     play(scene)
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -253,7 +253,7 @@
 def test_what_the_module_orders_against_the_rule_is_counted_and_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("fordstair.decisions.gateway.must_not_repeat", lambda request: False)
+    monkeypatch.setattr("fordstair.decisions.retries.must_not_be_retried", lambda request: False)
 
     async def scene() -> None:
         held = HeldEngine(LOST)
