--- a/fordstair/decisions/actions.py
+++ b/fordstair/decisions/actions.py
@@ -27,17 +27,17 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Send the request's next attempt; a limit of 0 lets it run until the client leaves."""
+    """Send the request's next attempt."""
 
     request: int
     engine: EngineId
-    limit_ms: float = 0.0
-    begin_by: float = math.inf  # from then on it must not begin: what ran before may be forgotten there
+    limit_ms: float = 0.0  # 0: it may run until the client leaves
+    begin_by: float = math.inf  # after that it must not begin: engines may have forgotten an earlier run
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: no, and a retry does no harm."""
+    """Final answer: rejected; a retry does no harm."""
 
     request: int
     retry_after_ms: float = 0.0
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetQueryResources:
-    """Memory for the next attempts (0: the engine's choice) and priority, 0 to 3."""
+    """Set memory (0: the engine's choice) and priority (0 to 3) of the next attempt, and of running ones."""
 
     request: int
     memory_mb: float = 0.0
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Ask an engine for its state."""
+    """Check the health of an engine."""
 
     engine: EngineId
 
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPeerMessage:
-    """Tell a sibling, or all where peer is None."""
+    """Send a message to another coordinator, or to all of them where peer is None."""
 
     peer: int | None
     payload: bytes
@@ -108,14 +108,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEngineList:
-    """Start or stop the subscription to discovery."""
+    """Start or stop watching the engine list."""
 
     on: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class FetchEngineList:
-    """Ask discovery for the whole list once."""
+    """Fetch the full engine list once."""
 
 
 Action: TypeAlias = (
--- a/fordstair/decisions/engine_list.py
+++ b/fordstair/decisions/engine_list.py
@@ -10,7 +10,7 @@
 
 
 class EngineState(Enum):
-    """Discovery's word on an engine."""
+    """The state of an engine in the list; the numbers are those of the simulator's wire."""
 
     GONE = 0
     READY = 1
@@ -18,7 +18,7 @@
 
 
 class ListUpdateKind(Enum):
-    """What a membership event holds."""
+    """What an update of the list holds; the numbers are those of the simulator's wire."""
 
     CACHED = 0
     FULL = 1
@@ -28,12 +28,12 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineEntry:
-    """One line of the list of engines; started_ms is 0 where the start is long past."""
+    """One engine of the list."""
 
     engine: EngineId
     state: EngineState = EngineState.READY
     zone: int = 0
     cell: int = 0
     kind: int = 0
-    started_ms: float = 0.0
-    weight: float = 1.0
+    started_ms: float = 0.0  # of its process, by the events' clock; 0: long past
+    weight: float = 1.0  # its cores, where its kind of machine is unknown
--- a/fordstair/decisions/engine_selection.py
+++ b/fordstair/decisions/engine_selection.py
@@ -99,7 +99,7 @@
         Asked once before each attempt. None where the settings allow no health checks, the request is cheap,
         the credit is spent or reports are fresh.
         """
-        if request.health_checks_sent or not self._settings.probes:
+        if request.health_checks_sent or not self._settings.health_checks:
             return []
         if request.cost < self._cost_model.typical_cost.value:
             return []
--- a/fordstair/decisions/events.py
+++ b/fordstair/decisions/events.py
@@ -10,7 +10,7 @@
 
 
 class Status(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -23,7 +23,7 @@
 
     @property
     def proves_not_run(self) -> bool:
-        """True where the attempt certainly never ran."""
+        """Whether the attempt certainly never ran."""
         return self in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
 
 
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineListChanged:
-    """News from discovery."""
+    """An update of the engine list from discovery."""
 
     kind: ListUpdateKind
     entries: tuple[EngineEntry, ...] = ()
@@ -46,18 +46,18 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A client's request; estimates of 0 mean that none was given."""
+    """A client's request; an estimate of 0 was not given."""
 
     request: int
     class_index: int
-    budget_ms: float
+    time_left_ms: float  # until the client gives up
     tenant: int = 0
-    cost_ms: float = 0.0
-    memory_mb: float = 0.0
-    group: float = 0.0
-    key: int = 0
-    client_retry: bool = False
-    write: bool = False
+    cost_ms: float = 0.0  # estimate, thread-milliseconds
+    memory_mb: float = 0.0  # estimate
+    table_group: float = 0.0  # the tables that the query reads
+    ordering_key: int = 0
+    is_client_retry: bool = False
+    is_write: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -72,24 +72,24 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """The one outcome of an attempt; work and memory are 0 where not told."""
+    """The one end of an attempt; work and memory are 0 where the engine does not tell them."""
 
     request: int
     attempt: int
     engine: EngineId
     status: Status
     latency_ms: float
-    complete: bool = False
-    work_ms: float = 0.0
+    complete: bool = False  # the request is over
+    work_ms: float = 0.0  # thread-milliseconds
     memory_mb: float = 0.0
-    report: tuple[float, ...] = ()
+    report: tuple[float, ...] = ()  # load report, in the order of the settings
     may_still_run: bool = False  # it could not be taken back, and may begin or run yet
     late: bool = False  # no connection came up in time; that shows nobody to be down
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptNote:
-    """Word on an attempt that is still out."""
+    """A note on an attempt that is in flight; its value is a share done, MB missing or what it waits for."""
 
     request: int
     attempt: int
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckEnded:
-    """The result of a probe, or of a connection that nobody waited for any more."""
+    """The end of a health check, or of a connection that nobody waited for any more."""
 
     engine: EngineId
     status: Status
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestWithdrawn:
-    """The host is about to end: the request needs its final answer now."""
+    """The host shuts down: the request needs its final answer now."""
 
     request: int
 
@@ -131,7 +131,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConcurrencyLimitSet:
-    """An operator bounds the threads that a class may have out; None lifts the bound."""
+    """An operator limits the threads that a class may have in flight; None lifts the limit."""
 
     class_index: int
     threads: int | None
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A message from a sibling gateway."""
+    """A message from another coordinator."""
 
     sender: int
     payload: bytes
--- a/fordstair/decisions/gateway.py
+++ b/fordstair/decisions/gateway.py
@@ -173,7 +173,7 @@
         self._retries.record_arrival(self.now)
         self.selector.record_arrival()
         self.slow_start.record_arrival(request.cost)
-        time_left_ms = event.budget_ms if is_usable(event.budget_ms) else 0.0
+        time_left_ms = event.time_left_ms if is_usable(event.time_left_ms) else 0.0
         request.deadline = self.now + time_left_ms - DEADLINE_MARGIN_MS
         objective_ends_at = objective_end(self.now, request)
         request.useful_until = useful_until(request, objective_ends_at)
--- a/fordstair/decisions/query_priorities.py
+++ b/fordstair/decisions/query_priorities.py
@@ -25,7 +25,7 @@
 
     def memory_grant_mb(self, request: TrackedRequest, engine: TrackedEngine) -> float:
         """Return the memory to grant; 0 leaves it to the engine."""
-        if not self._settings.grants:
+        if not self._settings.memory_grants:
             return 0.0
         largest = self._settings.largest_memory_grant_share * (engine.memory_mb or UNKNOWN_MEMORY_MB)
         return min(largest, self._cost_model.memory_grant_mb(request))
--- a/fordstair/decisions/retries.py
+++ b/fordstair/decisions/retries.py
@@ -18,7 +18,7 @@
 ERRORS_MOST = 2
 # An attempt is not begun unless this share of its predicted work still fits into the time left.
 SMALLEST_WORK_SHARE_LEFT = 0.5
-DEFAULT_RETRY_BUDGET = RetryBudget(free=1.0, ratio=0.5, window_ms=5_000.0)
+DEFAULT_RETRY_BUDGET = RetryBudget(base_retries=1.0, ratio=0.5, window_ms=5_000.0)
 # Both edges of the budget's window are read against us, by this margin on each side.
 WINDOW_EDGE_MS = 1.0
 
@@ -100,4 +100,4 @@
         window_start = now - self._budget.window_ms
         arrivals = self._arrivals.since(window_start + WINDOW_EDGE_MS)
         retries = self._retries.since(window_start - WINDOW_EDGE_MS)
-        return retries + 1 <= self._budget.free + self._budget.ratio * arrivals
+        return retries + 1 <= self._budget.base_retries + self._budget.ratio * arrivals
--- a/fordstair/decisions/tracked_request.py
+++ b/fordstair/decisions/tracked_request.py
@@ -45,8 +45,8 @@
             class_index=event.class_index,
             spec=spec,
             tenant=event.tenant,
-            table_group=event.group if math.isfinite(event.group) else 0.0,
-            ordering_key=event.key,
+            table_group=event.table_group if math.isfinite(event.table_group) else 0.0,
+            ordering_key=event.ordering_key,
             cost_estimate=event.cost_ms if is_usable(event.cost_ms) else 0.0,
             memory_estimate_mb=event.memory_mb if is_usable(event.memory_mb) else 0.0,
         )
@@ -54,7 +54,7 @@
     @property
     def queue_key(self) -> int:
         """The key whose order binds this request; 0 where none does."""
-        return self.ordering_key if self.spec.ordered else 0
+        return self.ordering_key if self.spec.ordered_by_key else 0
 
 
 @dataclass(slots=True, eq=False)
--- a/fordstair/lab/virtual.py
+++ b/fordstair/lab/virtual.py
@@ -228,7 +228,7 @@
                     event.tenant,
                     event.cost_ms,
                     event.memory_mb,
-                    event.group,
+                    event.table_group,
                 )
             )
 
--- a/tests/decisions/recording.py
+++ b/tests/decisions/recording.py
@@ -169,12 +169,12 @@
             cost_ms = math.nan
         elif odd < 0.01:
             memory_mb = -1.0
-        budget_ms = classes[index].client_timeout_ms * self.random.choice((0.1, 0.5, 1.0))
+        time_left_ms = classes[index].client_timeout_ms * self.random.choice((0.1, 0.5, 1.0))
         self._feed(
             RequestArrived(
                 request,
                 index,
-                budget_ms,
+                time_left_ms,
                 self.random.randrange(max(1, len(self.settings.tenants))),
                 cost_ms,
                 memory_mb,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -45,7 +45,7 @@
         priority_weight=7,
         late_weight=0.5,
         threads=2,
-        ordered=True,
+        ordered_by_key=True,
         is_load=True,
     ),
     RequestClass(
@@ -76,9 +76,9 @@
         "slow_start_overload_factor": 3.0,
         "slow_start_window_ms": 2000.0,
         "load_report_fields": ("util",),
-        "probes": False,
+        "health_checks": False,
         "priorities": True,
-        "grants": True,
+        "memory_grants": True,
     }
     return Settings(**{**values, **changes})
 
@@ -120,7 +120,7 @@
     def ask(self, class_index: int = SAFE, cost: float = 100.0, **more: Any) -> int:
         self.ids += 1
         budget = more.pop(
-            "budget_ms", CLASSES[class_index].client_timeout_ms if class_index < len(CLASSES) else 3000.0
+            "time_left_ms", CLASSES[class_index].client_timeout_ms if class_index < len(CLASSES) else 3000.0
         )
         self.feed(RequestArrived(self.ids, class_index, budget, cost_ms=cost, **more))
         return self.ids
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -139,7 +139,7 @@
     serve(rig, 20)
     before = rig.gateway.cost_model.class_mean(SAFE)
     rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, odd, (odd,)))
-    r = rig.ask(SAFE, odd if not math.isfinite(odd) or odd < 0 else 100.0, memory_mb=odd, group=odd)
+    r = rig.ask(SAFE, odd if not math.isfinite(odd) or odd < 0 else 100.0, memory_mb=odd, table_group=odd)
     rig.end(r, Status.OK, odd if not math.isfinite(odd) else 100.0, work_ms=0.0, memory_mb=0.0)
     rig.members(entry(5, started=odd if math.isfinite(odd) else 0.0, kind=9), kind=ListUpdateKind.DELTA)
     for _ in range(10):
@@ -161,7 +161,7 @@
 
 def test_bad_plan_told_by_notes_is_cut_and_tried_elsewhere() -> None:
     rig = Rig(settings(classes=(HEAVY,), progress_interval_ms=1000.0))
-    r = rig.ask(0, 2000.0, budget_ms=20000.0)
+    r = rig.ask(0, 2000.0, time_left_ms=20000.0)
     first = rig.sends(r)[0].engine
     rig.pass_time(1000.0)
     rig.feed(AttemptNote(r, 0, first, NoteKind.PROGRESS, 0.5))
@@ -175,7 +175,7 @@
 
 def test_bad_plan_without_notes_is_cut_by_elapsed_time() -> None:
     rig = Rig(settings(classes=(HEAVY,)))
-    r = rig.ask(0, 2000.0, budget_ms=20000.0)
+    r = rig.ask(0, 2000.0, time_left_ms=20000.0)
     rig.gateway.engines[rig.sends(r)[0].engine].heard_at = rig.now + 1.0  # it answers others
     rig.pass_time(2900.0)
     assert not rig.cancels(r)
@@ -186,13 +186,13 @@
 def test_pressure_refuses_the_heavy_first_and_at_once() -> None:
     rig = Rig(settings(classes=(HEAVY,)))
     for _ in range(30):
-        r = rig.ask(0, 2000.0, budget_ms=20000.0)
+        r = rig.ask(0, 2000.0, time_left_ms=20000.0)
         rig.end(r, Status.OK, 1000.0, work_ms=2000.0)
     for e in rig.gateway.engines.values():
         e.own_threads = 13  # 1.6 threads a core
-    heavy, light = rig.ask(0, 8000.0, budget_ms=20000.0), rig.ask(0, 100.0, budget_ms=20000.0)
+    heavy, light = rig.ask(0, 8000.0, time_left_ms=20000.0), rig.ask(0, 100.0, time_left_ms=20000.0)
     while not rig.of(RejectRequest, heavy):
-        heavy = rig.ask(0, 8000.0, budget_ms=20000.0)
+        heavy = rig.ask(0, 8000.0, time_left_ms=20000.0)
         assert heavy < 60, "the bucket never empties"
     assert rig.sends(light)
     assert not rig.sends(heavy)
@@ -201,14 +201,14 @@
 def test_a_tenants_excess_is_refused_under_pressure_only() -> None:
     config = settings(classes=(HEAVY,), tenants=(Tenant("one", 5.0), Tenant("two", 5.0)))
     rig = Rig(config)
-    calm = [rig.ask(0, 10.0, tenant=0, budget_ms=9000.0) for _ in range(12)]
+    calm = [rig.ask(0, 10.0, tenant=0, time_left_ms=9000.0) for _ in range(12)]
     assert all(rig.sends(r) for r in calm)
     for e in rig.gateway.engines.values():
         e.own_threads = 12
-    assert rig.of(RejectRequest, rig.ask(0, 10.0, tenant=0, budget_ms=9000.0))
-    rig.ask(0, 10.0, tenant=1, budget_ms=9000.0)
+    assert rig.of(RejectRequest, rig.ask(0, 10.0, tenant=0, time_left_ms=9000.0))
+    rig.ask(0, 10.0, tenant=1, time_left_ms=9000.0)
     rig.now += 1000.0  # its bucket started at a random part and has filled
-    assert rig.sends(rig.ask(0, 10.0, tenant=1, budget_ms=9000.0))
+    assert rig.sends(rig.ask(0, 10.0, tenant=1, time_left_ms=9000.0))
 
 
 def test_grants_follow_what_was_needed() -> None:
@@ -223,9 +223,9 @@
 
 def test_a_load_keeps_others_off_its_table_group() -> None:
     rig = Rig(engines=3)
-    load = rig.ask(LOAD, 3000.0, group=4.0)
+    load = rig.ask(LOAD, 3000.0, table_group=4.0)
     holder = rig.sends(load)[0].engine
-    elsewhere = [rig.ask(LOAD, 3000.0, group=4.0) for _ in range(2)]
+    elsewhere = [rig.ask(LOAD, 3000.0, table_group=4.0) for _ in range(2)]
     assert sum(rig.sends(r)[0].engine != holder for r in elsewhere) >= 1
 
 
@@ -242,8 +242,8 @@
 
 def test_a_fresh_gateway_keeps_its_buckets_open() -> None:
     rig = Rig(settings(classes=(HEAVY,)))
-    assert rig.sends(rig.ask(0, 50.0, budget_ms=9000.0))
-    assert rig.sends(rig.ask(0, 90000.0, budget_ms=90000.0))
+    assert rig.sends(rig.ask(0, 50.0, time_left_ms=9000.0))
+    assert rig.sends(rig.ask(0, 90000.0, time_left_ms=90000.0))
 
 
 def test_same_seed_same_actions() -> None:
@@ -300,12 +300,12 @@
 def test_a_full_counter_refuses_the_light_as_well_and_opens_again() -> None:
     """Light requests were let in without bound under pressure, until the engines paged and nothing ended."""
     rig = Rig(settings(classes=(HEAVY,), instances=2), engines=2)  # 16 cores, 8 of them this gateway's part
-    asked = [rig.ask(0, 10.0, budget_ms=20000.0) for _ in range(40)]
+    asked = [rig.ask(0, 10.0, time_left_ms=20000.0) for _ in range(40)]
     out = [r for r in asked if rig.sends(r)]
     assert 1.0 <= 2 * len(out) / 8 <= 3.0  # threads a core
     assert all(rig.of(RejectRequest, r) for r in asked if r not in out)
     rig.end(out[0], Status.OK, 10.0)
-    assert rig.sends(rig.ask(0, 10.0, budget_ms=20000.0))
+    assert rig.sends(rig.ask(0, 10.0, time_left_ms=20000.0))
 
 
 def test_errors_of_one_bad_statement_mark_no_engine() -> None:
@@ -329,7 +329,7 @@
 def test_late_work_goes_on_while_calm_and_ends_at_its_aim_in_a_jam(jam: bool) -> None:
     """What is late earns little, and what it holds keeps a jam going."""
     rig = Rig(settings(classes=(HEAVY,), progress_interval_ms=500.0))
-    r = rig.ask(0, 100.0, budget_ms=20000.0)
+    r = rig.ask(0, 100.0, time_left_ms=20000.0)
     for step in range(30):
         rig.pass_time(100.0)
         rig.feed(AttemptNote(r, 0, rig.sends(r)[0].engine, NoteKind.PROGRESS, 0.5 + step / 100.0))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -72,7 +72,7 @@
     for seed in range(40):
         rig, mine = Rig(settings(instances=40), engines=30, seed=seed), Counter[str]()
         for _ in range(30):
-            request = rig.ask(SAFE, 100.0, group=7.0)  # the same tables everywhere
+            request = rig.ask(SAFE, 100.0, table_group=7.0)  # the same tables everywhere
             rig.end(request, Status.OK, 100.0, work_ms=100.0)
             rig.pass_time(100.0)
             mine[rig.sends(request)[0].engine] += 1
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -529,7 +529,7 @@
 def test_costs_learned_by_one_module_serve_another_that_has_seen_nothing() -> None:
     rig = Rig(settings_of(instances=2))
     for _ in range(20):
-        request = rig.ask(0, 0.0, group=7.0)
+        request = rig.ask(0, 0.0, table_group=7.0)
         rig.end(request, work_ms=340.0, latency=400.0, memory_mb=50.0)
     values = dict(learned(rig.gateway))
     assert "class|quick|mean" in values
@@ -546,7 +546,7 @@
     ) == len(values)
     assert new.gateway.cost_model.predict(0, 7.0, 0.0) == pytest.approx(340.0, rel=0.02)
     assert restore(new.gateway, values) == 0  # what it has goes first
-    request = new.ask(0, 0.0, group=7.0)
+    request = new.ask(0, 0.0, table_group=7.0)
     new.end(request, work_ms=3_400.0, latency=400.0)
     assert new.gateway.cost_model.class_mean(0) > 400.0  # and what it sees counts at once
     old, other = values["class|quick|mean"], values["class|quick|memory"]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -88,7 +88,7 @@
     rig = Rig(settings(classes=(keyed,), max_attempts=3, retry_budget=ample), engines=0)
     rig.members(*(entry(i, zone=i % 2, cell=i % 2) for i in range(1, 7)), kind=ListUpdateKind.FULL)
     for _ in range(20):
-        r = rig.ask(0, budget_ms=9000.0)
+        r = rig.ask(0, time_left_ms=9000.0)
         for _ in range(3):
             rig.end(r, Status.RESET)
         assert len({int(s.engine[7]) % 2 for s in rig.sends(r)}) == 1
@@ -120,7 +120,11 @@
 
 def test_order_is_kept_and_a_key_rests_after_an_uncertain_end() -> None:
     rig = Rig()
-    first, second, other = rig.ask(LOAD, key=7), rig.ask(LOAD, key=7), rig.ask(LOAD, key=8)
+    first, second, other = (
+        rig.ask(LOAD, ordering_key=7),
+        rig.ask(LOAD, ordering_key=7),
+        rig.ask(LOAD, ordering_key=8),
+    )
     assert rig.sends(first)
     assert not rig.sends(second)
     assert rig.sends(other)
@@ -134,7 +138,7 @@
 
 def test_order_waits_for_the_outcome_of_a_client_that_left() -> None:
     rig = Rig()
-    first, second = rig.ask(LOAD, key=7), rig.ask(LOAD, key=7)
+    first, second = rig.ask(LOAD, ordering_key=7), rig.ask(LOAD, ordering_key=7)
     rig.feed(ClientDisconnected(first))
     assert not rig.sends(second)
     rig.end(first, Status.OK)
@@ -143,17 +147,17 @@
 
 def test_what_waits_behind_a_key_is_answered_in_time() -> None:
     rig = Rig()
-    rig.ask(LOAD, key=7)
-    waiting = rig.ask(LOAD, key=7, budget_ms=3000.0)
+    rig.ask(LOAD, ordering_key=7)
+    waiting = rig.ask(LOAD, ordering_key=7, time_left_ms=3000.0)
     rig.pass_time(3000.0)
     assert len(rig.of(RejectRequest, waiting)) == 1
     assert not rig.sends(waiting)
-    hopeless = rig.ask(LOAD, 90000.0, key=7)
+    hopeless = rig.ask(LOAD, 90000.0, ordering_key=7)
     assert len(rig.of(RejectRequest, hopeless)) == 1
 
 
 def test_placement_holds_even_when_all_of_it_is_down() -> None:
-    bound = RequestClass("bound", kinds=frozenset({1}), zones=frozenset({0}))
+    bound = RequestClass("bound", allowed_machine_kinds=frozenset({1}), allowed_zones=frozenset({0}))
     rig = Rig(settings(classes=(bound,)), engines=0)
     rig.members(entry(1, kind=0), entry(2, kind=1), entry(3, kind=1, zone=1), kind=ListUpdateKind.FULL)
     for _ in range(20):
@@ -189,7 +193,7 @@
         client_timeout_ms=6000.0,
         late_weight=0.3,
         deduplication_window_ms=3000.0,
-        ordered=True,
+        ordered_by_key=True,
     )
     config = settings(classes=(*CLASSES[:2], keyed), retry_budget=RetryBudget(3.0, 0.1, 5000.0))
     rig = Rig(config, engines, seed)
@@ -244,7 +248,7 @@
             budget = chance.choice([50.0, 1500.0, 6000.0])
             born[rig.ids] = (rig.now, class_index, key, budget)
             rig.ids -= 1
-            rig.ask(class_index, chance.choice([0.0, 50.0, 2000.0]), key=key, budget_ms=budget)
+            rig.ask(class_index, chance.choice([0.0, 50.0, 2000.0]), ordering_key=key, time_left_ms=budget)
         elif dice < 0.75 and out:
             pick = chance.choice(list(out))
             status = chance.choice(list(Status))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -44,7 +44,7 @@
     rigs = [Rig(settings(instances=MANY), engines=0, seed=seed) for seed in range(MANY)]
     for rig in rigs:
         rig.members(*(entry(i, started=990.0) for i in range(1, 4)), kind=ListUpdateKind.FULL)
-        rig.ask(LOAD, 4000.0, key=1)
+        rig.ask(LOAD, 4000.0, ordering_key=1)
     part = sum(len(rig.sends()) for rig in rigs) / MANY
     assert 0.0 < part < 3.0 * 0.3 / 2.0  # of full load: half of what the rule allows
     assert all(rig.sends() or rig.answers(1) for rig in rigs)  # nobody is left without an answer
@@ -112,12 +112,12 @@
 
 
 def test_a_heavy_query_looks_at_a_few_engines_and_goes_to_the_least_busy() -> None:
-    rig = Rig(settings(probes=True), engines=30)
+    rig = Rig(settings(health_checks=True), engines=30)
     for step in range(20):
         rig.ask(SAFE, 10.0 if step == 0 else 1.0)
     rig.pass_time(1000.0)
     before = len(rig.of(CheckHealth))
-    r = rig.ask(LOAD, 4000.0, key=1)
+    r = rig.ask(LOAD, 4000.0, ordering_key=1)
     asked = rig.of(CheckHealth)[before:]
     assert 2 <= len(asked) <= ENGINES_CHECKED_PER_ATTEMPT
     assert not rig.sends(r)
@@ -128,7 +128,7 @@
 
 
 def test_a_held_query_goes_out_without_any_answer_and_probes_are_rationed() -> None:
-    rig = Rig(settings(probes=True), engines=30)
+    rig = Rig(settings(health_checks=True), engines=30)
     for _ in range(100):
         r = rig.ask(SAFE, 1000.0)
         rig.pass_time(HEALTH_CHECK_WAIT_MS + 1.0)
@@ -137,7 +137,7 @@
 
 
 def test_an_idle_gateway_sets_no_timers_and_sends_no_probes() -> None:
-    rig = Rig(settings(probes=True), engines=30)
+    rig = Rig(settings(health_checks=True), engines=30)
     rig.pass_time(60000.0)
     assert not rig.log
 
@@ -268,7 +268,7 @@
 @pytest.mark.parametrize("engines", [0, 1, 300])
 def test_any_number_of_gateways_and_engines(instances: int, engines: int) -> None:
     budget = RetryBudget(3.0, 0.1, 5000.0)
-    rig = Rig(settings(instances=instances, probes=True, retry_budget=budget), engines=0)
+    rig = Rig(settings(instances=instances, health_checks=True, retry_budget=budget), engines=0)
     listed = [entry(i, started=500.0 if i % 2 else 0.0) for i in range(1, engines + 1)]
     rig.feed(EngineListChanged(ListUpdateKind.FULL, tuple(listed)))
     for step in range(30):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -177,10 +177,10 @@
     assert told.retry_budget is not None
     assert told.retry_budget.window_ms == 4000.0
     (only,) = told.classes
-    assert only.kinds == frozenset({0, 2})
-    assert only.zones is None
+    assert only.allowed_machine_kinds == frozenset({0, 2})
+    assert only.allowed_zones is None
     assert only.is_load
-    assert told.reports_by_probe_only
+    assert told.reports_by_health_check_only
     assert told.load_report_fields == ("util",)
     assert parse_settings(SETTINGS).retry_budget is None
 
--- a/tests/wires/test_store.py
+++ b/tests/wires/test_store.py
@@ -57,7 +57,7 @@
     """What a member has learned of costs, as the store and the other members get it."""
     rig = Rig(settings(instances=2))
     for _ in range(20):
-        request = rig.ask(0, 0.0, group=7.0)
+        request = rig.ask(0, 0.0, table_group=7.0)
         rig.end(request, work_ms=340.0, latency=400.0, memory_mb=50.0)
     return {key: value.hex() for key, value in sorted(learned(rig.gateway))}
 
