--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -16,11 +16,12 @@
 
 from benchmarks.command import run as run_command
 from fordstair.lab.gossip import Heartbeats, Network, names_of, swim_fleet
-from fordstair.membership.awareness import Awareness
-from fordstair.membership.messages import DEAD
-from fordstair.membership.swim import Fleet, Swim
+from fordstair.membership.configuration import MembershipConfig
+from fordstair.membership.local_health import LocalHealth
+from fordstair.membership.messages import MemberState
+from fordstair.membership.swim import SwimMember
 
-FLEET = Fleet("bench", "x", "x:1")
+CONFIG = MembershipConfig("bench", "x", "x:1")
 SETTLE_MS = 5_000.0
 LOSSES = (0.0, 0.1, 0.3, 0.5)
 MISSED = (3, 5)  # periods of silence after which a heartbeat's member is dead
@@ -40,10 +41,10 @@
 QUICK = (Size(5, 20, 1, 600.0), Size(50, 4, 4, 30.0))
 
 
-class Plain(Swim):
+class PlainSwimMember(SwimMember):
     """SWIM as first published: no local health, a suspicion of one length, no heed of own pauses."""
 
-    def _overslept(self, late_ms: float) -> None:
+    def _handle_stall(self, late_ms: float) -> None:
         pass
 
 
@@ -85,7 +86,7 @@
                 seen.observer: seen.at - at
                 for seen in reversed(network.seen)
                 if seen.at >= at
-                and seen.change.state == DEAD
+                and seen.change.state == MemberState.DEAD
                 and seen.change.name.split(":")[0] == name
                 and seen.observer in network.nodes
             }
@@ -106,7 +107,7 @@
     died = {
         (seen.change.name, seen.change.incarnation, int(seen.at / 60_000.0))
         for seen in network.seen
-        if seen.change.state == DEAD
+        if seen.change.state == MemberState.DEAD
     }
     counts: Counter[str] = Counter()
     for node in network.nodes.values():
@@ -114,15 +115,15 @@
     return len(died) / (members * seconds / 3600.0), counts
 
 
-def stalled(members: int, seconds: float, kind: type[Swim], seed: int) -> dict[str, Any]:
+def stalled(members: int, seconds: float, kind: type[SwimMember], seed: int) -> dict[str, Any]:
     """A tenth run for 0.2 s and stand still for 1.5 s, over and over, with 5 % lost: who accuses whom?"""
     network = Network(seed, loss=0.05)
-    told = FLEET if kind is Swim else replace(FLEET, suspicion_most=1.0)
+    told = CONFIG if kind is SwimMember else replace(CONFIG, suspicion_max_factor=1.0)
     addresses = swim_fleet(network, members, told, seed, kind=kind)
-    if kind is Plain:
+    if kind is PlainSwimMember:
         for node in network.nodes.values():
-            assert isinstance(node, Swim)
-            node.awareness = Awareness(0)
+            assert isinstance(node, SwimMember)
+            node.context.local_health = LocalHealth(max_score=0)
     slow = addresses[: max(1, members // 10)]
 
     def stall(address: str) -> None:
@@ -134,14 +135,14 @@
     network.run(seconds * 1000.0)
     names = {address[:-2] for address in slow}
     accused = Counter(seen.change.state for seen in network.seen if seen.change.name not in names)
-    return {"healthy_suspected": accused[1], "healthy_dead": accused[DEAD]}
+    return {"healthy_suspected": accused[MemberState.SUSPECT], "healthy_dead": accused[MemberState.DEAD]}
 
 
 def measure(size: Size, seed: int) -> dict[str, Any]:
     """Return the figures of one size."""
 
     def swim(network: Network, seed: int) -> list[str]:
-        return swim_fleet(network, size.members, FLEET, seed)
+        return swim_fleet(network, size.members, CONFIG, seed)
 
     told: dict[str, Any] = {"swim": detection(size.members, size.kills, size.together, swim, 25_000.0, seed)}
     rate, counts = false_deaths(size.members, size.lossy_s, 0.0, swim, seed)
@@ -186,13 +187,13 @@
 
 def measure_all(quick: bool, seed: int) -> dict[str, Any]:
     """Return all figures."""
-    told: dict[str, Any] = {"probe_ms": FLEET.probe_ms, "seed": seed, "members": {}}
+    told: dict[str, Any] = {"probe_ms": CONFIG.probe_interval_ms, "seed": seed, "members": {}}
     for size in QUICK if quick else FULL:
         began = time.monotonic()
         told["members"][size.members] = measure(size, seed)
         print(f"{size.members} members: {time.monotonic() - began:.0f} s", flush=True)
     seconds = 60.0 if quick else 600.0
-    kinds: dict[str, type[Swim]] = {"lifeguard": Swim, "plain": Plain}
+    kinds: dict[str, type[SwimMember]] = {"lifeguard": SwimMember, "plain": PlainSwimMember}
     told["a_tenth_stalled"] = {name: stalled(50, seconds, kind, seed) for name, kind in kinds.items()}
     return told
 
--- a/fordstair/budgets/messages.py
+++ b/fordstair/budgets/messages.py
@@ -8,11 +8,11 @@
 
 from typing import Annotated, TypeAlias
 
-import msgspec
 from msgspec import Meta, Struct
 
 from fordstair.budgets.whole import WHOLES_MOST
-from fordstair.membership.messages import Incarnation, Name, Number, checked
+from fordstair.membership.messages import MAX_DATAGRAM_BYTES, Incarnation, MemberName, SequenceNumber
+from fordstair.runtime.message_codec import MessageCodec
 
 UNITS_MOST = 10**12
 
@@ -22,9 +22,9 @@
 
 class _Message(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     plan: Annotated[int, Meta(ge=0, lt=2**48)]
-    sender: Name
+    sender: MemberName
     incarnation: Incarnation  # of the sender's present life
-    number: Number  # of the question; its answer has the same
+    number: SequenceNumber  # of the question; its answer has the same
 
 
 class Vote(_Message, frozen=True, tag=1):
@@ -38,7 +38,7 @@
 
     ok: bool
     epoch: Incarnation  # where promised the vote's own, else the greatest that the voter has heard of
-    leader: Name | None
+    leader: MemberName | None
 
 
 class Unvote(_Message, frozen=True, tag=3):
@@ -55,7 +55,7 @@
     is out and waits, ``wants`` what could be used, also beyond the floor.
     """
 
-    applied: Number
+    applied: SequenceNumber
     has: Units
     uses: Units
     needs: Units
@@ -73,20 +73,19 @@
 class Elsewhere(_Message, frozen=True, tag=6):
     """The reader of an Ask is not the leader; who is, as far as it knows."""
 
-    leader: Name | None
+    leader: MemberName | None
 
 
 Message: TypeAlias = Vote | Voted | Unvote | Ask | Granted | Elsewhere
 
-_encoder = msgspec.msgpack.Encoder()
-_decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
+_codec = MessageCodec[Message](Message, MAX_DATAGRAM_BYTES)
 
 
 def encode(message: Message) -> bytes:
     """Return the datagram."""
-    return _encoder.encode(message)
+    return _codec.encode(message)
 
 
 def decode(datagram: bytes) -> Message:
-    """Read a datagram; raise Malformed for all that is not wholly right."""
-    return checked(_decoder, datagram)
+    """Read a datagram; raise MalformedMessageError for all that is not wholly right."""
+    return _codec.decode(datagram)
--- a/fordstair/budgets/node.py
+++ b/fordstair/budgets/node.py
@@ -27,7 +27,7 @@
     encode,
 )
 from fordstair.budgets.whole import Plan
-from fordstair.membership.messages import Malformed
+from fordstair.runtime.message_codec import MalformedMessageError
 
 ASKS_A_TERM = 5.0  # questions in a term: four may be lost before a share is
 ASK_LEAST_MS = 100.0  # between two questions, however fast demand changes
@@ -109,7 +109,7 @@
         """Take a datagram in; what is none of this plan's is counted and dropped."""
         try:
             message = decode(datagram)
-        except Malformed:
+        except MalformedMessageError:
             self.counts["malformed"] += 1
             return
         if message.plan != self.plan.digest:
--- a/fordstair/budgets/transport.py
+++ b/fordstair/budgets/transport.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import socket
 import time
 from collections.abc import Callable, Iterator, Mapping
 from pathlib import Path
@@ -14,10 +13,10 @@
 from fordstair.budgets.holding import Share
 from fordstair.budgets.node import Node
 from fordstair.budgets.whole import MILLI, Part
-from fordstair.membership.messages import LARGEST
-from fordstair.membership.transport import BUFFER_BYTES, address_text, cannot_reach
+from fordstair.membership.messages import MAX_DATAGRAM_BYTES
 from fordstair.runtime.clock import unix_now
 from fordstair.runtime.event_log import EventLog
+from fordstair.runtime.udp_endpoint import UdpEndpoint, open_udp_endpoint
 
 log = EventLog(__name__)
 
@@ -60,7 +59,7 @@
         self.node = Node(part.plan, part.member, int(unix_now().value), part.addresses, seed)
         self.node.on_share = self._shared
         self.on_share: Callable[[], None] = lambda: None  # called when a share has changed
-        self._sock: trio.socket.SocketType | None = None
+        self._endpoint: UdpEndpoint | None = None
         self._audit: TextIO | None = None
         self._wake = trio.Event()
         self._last: tuple[int, ...] = ()
@@ -125,14 +124,12 @@
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Take part until cancelled; raise OSError where the address or the audit's file cannot be had."""
-        host, port = self._part.listen
-        family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        with trio.socket.socket(family, socket.SOCK_DGRAM) as self._sock:
-            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER_BYTES)
-            await self._sock.bind((host, port))
+        async with open_udp_endpoint(self._part.listen, MAX_DATAGRAM_BYTES) as endpoint:
+            self._endpoint = endpoint
+            endpoint.counts = self.node.counts
             if self._part.audit:
                 self._audit = Path(self._part.audit).open("a", encoding="utf-8")
-            bound = self._sock.getsockname()[:2]
+            bound = endpoint.bound
             log.info(
                 "listening",
                 name=self.node.name,
@@ -146,7 +143,7 @@
             task_status.started()
             try:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._receive, self._sock)
+                    nursery.start_soon(self._receive, endpoint)
                     nursery.start_soon(self._tick)
             finally:
                 if self._audit is not None:
@@ -154,23 +151,16 @@
 
     async def leave(self) -> None:
         """Give this member's share back."""
-        if self._sock is not None and not self.node.left:
+        if self._endpoint is not None and not self.node.left:
             self._guarded(lambda: self.node.leave(lease_ms()))
             await self._carry_out()
             now = lease_ms()
             self._write(Share(now, now, (0,) * len(self.plan.wholes)))
 
-    async def _receive(self, sock: trio.socket.SocketType) -> None:
+    async def _receive(self, endpoint: UdpEndpoint) -> None:
         while True:
-            try:
-                datagram, source = await sock.recvfrom(LARGEST + 1)
-            except OSError as error:
-                if not cannot_reach(error):
-                    raise
-                self.node.counts["unreachable"] += 1
-                continue
-            address = address_text(source)
-            self._guarded(lambda: self.node.receive(lease_ms(), datagram, address))
+            datagram, source = await endpoint.receive()
+            self._guarded(lambda: self.node.receive(lease_ms(), datagram, source))
             await self._carry_out()
 
     async def _tick(self) -> None:
@@ -198,13 +188,8 @@
             log.exception("budgets.broke", member=self.node.name)
 
     async def _carry_out(self) -> None:
-        assert self._sock is not None
-        for address, datagram in self.node.outgoing():
-            host, _, port = address.rpartition(":")
-            try:
-                await self._sock.sendto(datagram, (host.strip("[]"), int(port)))
-            except (OSError, ValueError):
-                self.node.counts["unreachable"] += 1
+        assert self._endpoint is not None
+        await self._endpoint.send(self.node.outgoing())
         self._wake.set()
 
     def _shared(self, share: Share) -> None:
--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from fordstair.budgets.whole import Part
-    from fordstair.membership.swim import Fleet
+    from fordstair.membership.configuration import MembershipConfig
     from fordstair.replication.service import Ledger
 
 LARGEST_FILE = 1024 * 1024
@@ -150,14 +150,14 @@
     )
 
 
-def _fleet(file: File) -> Fleet | None:
+def _fleet(file: File) -> MembershipConfig | None:
     if (told := file.fleet) is None:
         return None
-    from fordstair.membership.swim import Fleet
+    from fordstair.membership.configuration import MembershipConfig
 
     # Port 0 is known once it is bound; a member's name is the site's where the file gives none.
     advertised = told.advertise or ("" if told.listen.endswith(":0") else told.listen)
-    return Fleet(
+    return MembershipConfig(
         told.cluster,
         member_of(file),
         advertised,
--- a/fordstair/lab/gossip.py
+++ b/fordstair/lab/gossip.py
@@ -7,14 +7,16 @@
 
 import heapq
 from collections import Counter
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, replace
 from functools import partial
 from random import Random
 from typing import Protocol
 
-from fordstair.membership.messages import ALIVE, DEAD, Update
-from fordstair.membership.swim import Changed, Fleet, Swim
+from fordstair.membership.configuration import MembershipConfig
+from fordstair.membership.member_table import MemberChanged
+from fordstair.membership.messages import MemberState, Update
+from fordstair.membership.swim import SwimMember
 
 START = 1_000_000.0  # the day starts there, so that no time is 0
 
@@ -39,10 +41,10 @@
     def tick(self, now: float) -> None:
         """Do what is due."""
 
-    def outgoing(self) -> list[tuple[str, bytes]]:
+    def outgoing(self) -> Sequence[tuple[str, bytes]]:
         """Take the datagrams to send."""
 
-    def changes(self) -> list[Changed]:
+    def changes(self) -> list[MemberChanged]:
         """Take what has changed."""
 
 
@@ -52,7 +54,7 @@
 
     at: float
     observer: str
-    change: Changed
+    change: MemberChanged
 
 
 class Network:
@@ -105,7 +107,7 @@
         return {
             name: {other: member.state for other, member in node.members.items()}
             for name, node in self.nodes.items()
-            if isinstance(node, Swim)
+            if isinstance(node, SwimMember)
         }
 
     def _resume(self, name: str) -> None:
@@ -165,7 +167,7 @@
         self._random, self._others, self._dead = Random(seed), dict.fromkeys(others, 0.0), set[str]()
         self._next = 0.0
         self._out: list[tuple[str, bytes]] = []
-        self._changes: list[Changed] = []
+        self._changes: list[MemberChanged] = []
         self._datagram = name.encode()
 
     @property
@@ -184,7 +186,7 @@
         self._others[source] = now
         if source in self._dead:
             self._dead.discard(source)
-            self._change(source, DEAD, ALIVE, now)
+            self._change(source, MemberState.DEAD, MemberState.ALIVE, now)
 
     def tick(self, now: float) -> None:
         """Send what is due, and look at who is silent."""
@@ -196,18 +198,18 @@
         for other, heard in self._others.items():
             if other not in self._dead and now - heard > self.missed * self.period_ms:
                 self._dead.add(other)
-                self._change(other, ALIVE, DEAD, now)
+                self._change(other, MemberState.ALIVE, MemberState.DEAD, now)
         self._look = now + self.period_ms / 10.0
 
-    def _change(self, other: str, before: int, state: int, now: float) -> None:
-        self._changes.append(Changed(other, other, before, state, 0, self.name, now))
+    def _change(self, other: str, before: MemberState, state: MemberState, now: float) -> None:
+        self._changes.append(MemberChanged(other, other, before, state, 0, self.name, now))
 
     def outgoing(self) -> list[tuple[str, bytes]]:
         """Take the datagrams to send."""
         out, self._out = self._out, []
         return out
 
-    def changes(self) -> list[Changed]:
+    def changes(self) -> list[MemberChanged]:
         """Take what has changed."""
         changes, self._changes = self._changes, []
         return changes
@@ -219,14 +221,14 @@
 
 
 def swim_fleet(
-    network: Network, count: int, fleet: Fleet, seed: int, *, kind: type[Swim] = Swim
+    network: Network, count: int, config: MembershipConfig, seed: int, *, kind: type[SwimMember] = SwimMember
 ) -> list[str]:
     """Start that many SWIM members who know each other already; return their addresses."""
     addresses = names_of(count)
-    known = [Update(address[:-2], address, 1, ALIVE, address[:-2]) for address in addresses]
+    known = [Update(address[:-2], address, 1, MemberState.ALIVE, address[:-2]) for address in addresses]
     for number, address in enumerate(addresses):
-        told = replace(fleet, name=address[:-2], address=address, seeds=tuple(addresses[:2]))
+        told = replace(config, name=address[:-2], address=address, seeds=tuple(addresses[:2]))
         node = kind(told, 1, seed * 10_007 + number)
-        node.know(START, [update for update in known if update.address != address])
+        node.preload(START, [update for update in known if update.address != address])
         network.add(address, node)
     return addresses
--- a/fordstair/lab/shares.py
+++ b/fordstair/lab/shares.py
@@ -15,7 +15,7 @@
 from fordstair.budgets.whole import Plan
 from fordstair.lab.audit import Audit
 from fordstair.lab.gossip import Network
-from fordstair.membership.swim import Changed
+from fordstair.membership.member_table import MemberChanged
 
 
 class Member:
@@ -64,7 +64,7 @@
         """Take what is to be sent."""
         return self.node.outgoing()
 
-    def changes(self) -> list[Changed]:
+    def changes(self) -> list[MemberChanged]:
         """It has no news of members."""
         return []
 
--- a/fordstair/membership/dissemination.py
+++ b/fordstair/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""News to pass on, piggybacked on whatever is sent (SWIM, section 4.1); pure."""
+"""The gossip queue: updates to piggyback on whatever is sent (SWIM, section 4.1); pure."""
 
 from __future__ import annotations
 
@@ -6,56 +6,57 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from fordstair.membership.messages import Update, size
+from fordstair.membership.messages import Update, encoded_bytes
+
+RETRANSMIT_FACTOR = 4  # SWIM's lambda: an update is sent so many times log10(N + 1), rounded up
+MAX_PIGGYBACKED = 32  # updates on one message
+MIN_UPDATE_BYTES = 60  # with less space left, no further update is tried
 
 
 @dataclass(slots=True)
-class _Rumour:
+class _Queued:
     update: Update
-    bytes: int
-    number: int
-    sent: int = 0
+    size_bytes: int
+    number: int  # in order of queueing
+    times_sent: int = 0
 
 
 class Dissemination:
-    """At most one rumour a member, the newest; each is sent some ``spread`` log10(N + 1) times, then dropped.
+    """At most one queued update a member, the newest; each is dropped once it was sent often enough.
 
     Those sent least go first, the newest of them before the others.
     """
 
-    def __init__(self, spread: int = 4) -> None:
-        self.spread = spread
-        self._rumours: dict[str, _Rumour] = {}
+    def __init__(self) -> None:
+        self._queue: dict[str, _Queued] = {}
         self._number = 0
 
     def __len__(self) -> int:
-        return len(self._rumours)
+        return len(self._queue)
 
     def add(self, update: Update) -> None:
-        """Spread an update; it takes the place of an older one on the same member."""
+        """Queue an update; it replaces an older one on the same member."""
         self._number += 1
-        self._rumours[update.name] = _Rumour(update, size(update), self._number)
+        self._queue[update.name] = _Queued(update, encoded_bytes(update), self._number)
 
-    def forget(self, name: str) -> None:
+    def discard(self, name: str) -> None:
         """Spread nothing more on a member."""
-        self._rumours.pop(name, None)
-
-    def news(self, members: int, room: int, first: Iterable[Update] = ()) -> tuple[Update, ...]:
-        """Return what goes on a message with that many bytes of room; ``first`` goes before all rumours."""
-        chosen, names = list[Update](), set[str]()
-        for update in first:
-            chosen.append(update)
-            names.add(update.name)
-            room -= size(update)
-        most = self.spread * max(1, math.ceil(math.log10(members + 1)))
-        for rumour in sorted(self._rumours.values(), key=lambda each: (each.sent, -each.number)):
-            if len(chosen) >= 32 or room < 60:
+        self._queue.pop(name, None)
+
+    def select(self, member_count: int, space_bytes: int, first: Iterable[Update] = ()) -> tuple[Update, ...]:
+        """Return the updates for a message with that much space; ``first`` goes before those queued."""
+        selected = list(first)
+        names = {update.name for update in selected}
+        space_bytes -= sum(encoded_bytes(update) for update in selected)
+        max_times = RETRANSMIT_FACTOR * max(1, math.ceil(math.log10(member_count + 1)))
+        for queued in sorted(self._queue.values(), key=lambda each: (each.times_sent, -each.number)):
+            if len(selected) >= MAX_PIGGYBACKED or space_bytes < MIN_UPDATE_BYTES:
                 break
-            if rumour.bytes > room or rumour.update.name in names:
+            if queued.size_bytes > space_bytes or queued.update.name in names:
                 continue
-            chosen.append(rumour.update)
-            room -= rumour.bytes
-            rumour.sent += 1
-            if rumour.sent >= most:
-                del self._rumours[rumour.update.name]
-        return tuple(chosen)
+            selected.append(queued.update)
+            space_bytes -= queued.size_bytes
+            queued.times_sent += 1
+            if queued.times_sent >= max_times:
+                del self._queue[queued.update.name]
+        return tuple(selected)
--- /dev/null
+++ b/fordstair/membership/invariants.py
@@ -0,0 +1,32 @@
+"""What always holds for one member's state between two calls; for tests and simulations."""
+
+from __future__ import annotations
+
+from fordstair.membership.indirect_probes import MAX_RELAYED_PROBES
+from fordstair.membership.messages import MAX_INCARNATION, MemberState
+from fordstair.membership.swim import SwimMember
+
+
+class InvariantViolationError(Exception):
+    """A member's state contradicts itself; the text names the rule and the member."""
+
+
+def check_invariants(swim: SwimMember) -> None:
+    """Raise InvariantViolationError for the first rule that does not hold."""
+    name = swim.config.name
+    _require(name not in swim.members, f"{name} is in its own table")
+    _require(1 <= swim.local.incarnation <= MAX_INCARNATION, f"incarnation of {name} out of bounds")
+    _require(len(swim.members) <= swim.config.max_members, f"table of {name} is too large")
+    _require(swim.table.present_count == 1 + len(swim.table.present), f"{name} miscounts present members")
+    _require(len(swim.probe_relay) <= MAX_RELAYED_PROBES, f"{name} relays too many probes")
+    for member in swim.members.values():
+        suspected = member.state == MemberState.SUSPECT
+        _require(suspected == (member.suspicion is not None), f"{name}: suspicion of {member.name}")
+        _require(
+            (member.timer is None) == (member.state == MemberState.ALIVE), f"{name}: timer of {member.name}"
+        )
+
+
+def _require(holds: bool, rule: str) -> None:
+    if not holds:
+        raise InvariantViolationError(rule)
--- a/fordstair/membership/messages.py
+++ b/fordstair/membership/messages.py
@@ -1,127 +1,130 @@
-"""What members say to each other: MessagePack arrays, every field checked, every datagram bounded; pure.
+"""The membership protocol's messages: MessagePack arrays, one to a datagram, every field checked; pure.
 
-A datagram is one message. All carry the cluster's name first, the sender's name and news: updates on members,
-piggybacked (SWIM, section 4.1).
+Each message begins with the cluster's name, the sender's name and piggybacked updates on members (SWIM,
+section 4.1).
 """
 
 from __future__ import annotations
 
-from typing import Annotated, TypeAlias, TypeVar
+from enum import IntEnum
+from typing import Annotated, TypeAlias
 
-import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta
 
-T = TypeVar("T")
-LARGEST = 1_400  # bytes of a datagram: under the usual path's MTU, so that none is cut into fragments
-LAST_INCARNATION = 2**62  # what is told beyond is malformed; refutations stop growing below
+from fordstair.runtime.message_codec import MessageCodec, WireMessage
+
+MAX_DATAGRAM_BYTES = 1_400  # under the usual path MTU: no datagram is fragmented
+MAX_INCARNATION = 2**62
+MAX_UPDATES = 64  # in one message
 
 Cluster: TypeAlias = Annotated[str, Meta(min_length=1, max_length=64)]
-Name: TypeAlias = Annotated[str, Meta(pattern=r"\A[A-Za-z][A-Za-z0-9._-]{0,63}\Z")]
+MemberName: TypeAlias = Annotated[str, Meta(pattern=r"\A[A-Za-z][A-Za-z0-9._-]{0,63}\Z")]
 Address: TypeAlias = Annotated[
     str, Meta(pattern=r"\A[^\s:/]+:[0-9]{1,5}\Z|\A\[[0-9A-Fa-f:.]+\]:[0-9]{1,5}\Z", max_length=80)
 ]
-Incarnation: TypeAlias = Annotated[int, Meta(ge=0, le=LAST_INCARNATION)]
-Number: TypeAlias = Annotated[int, Meta(ge=0, le=2**32 - 1)]
-State: TypeAlias = Annotated[int, Meta(ge=0, le=3)]
+Incarnation: TypeAlias = Annotated[int, Meta(ge=0, le=MAX_INCARNATION)]
+SequenceNumber: TypeAlias = Annotated[int, Meta(ge=0, le=2**32 - 1)]
+Digest: TypeAlias = Annotated[int, Meta(ge=0, le=2**32 - 1)]
+
+
+class MemberState(IntEnum):
+    """A member's state as others believe it; of two at one incarnation the greater takes precedence."""
 
-ALIVE, SUSPECT, DEAD, LEFT = range(4)
-STATES = ("alive", "suspect", "dead", "left")
+    ALIVE = 0
+    SUSPECT = 1
+    DEAD = 2
+    LEFT = 3
+
+    @property
+    def label(self) -> str:
+        """Its name in logs and on the console."""
+        return self.name.lower()
 
 
-class Update(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One member's state at one incarnation, as ``by`` says; of two, the greater ``order`` holds."""
+class Update(WireMessage, frozen=True):
+    """One member's state at one incarnation, as ``reporter`` believes it."""
 
-    name: Name
+    name: MemberName
     address: Address
     incarnation: Incarnation
-    state: State
-    by: Name
+    state: MemberState
+    reporter: MemberName
 
     @property
-    def order(self) -> tuple[int, int]:
-        """The rule for copies that differ: incarnation first, then alive < suspect < dead < left."""
+    def precedence(self) -> tuple[int, int]:
+        """Of two updates the greater holds: incarnation first, then alive < suspect < dead < left."""
         return self.incarnation, self.state
 
 
-News: TypeAlias = Annotated[tuple[Update, ...], Meta(max_length=64)]
-
-
-class _Message(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class _Message(WireMessage, frozen=True):
     cluster: Cluster
-    sender: Name
-    news: News
+    sender: MemberName
+    updates: Annotated[tuple[Update, ...], Meta(max_length=MAX_UPDATES)]
+
+    @property
+    def text_bytes(self) -> int:
+        """Bytes of the texts that follow the updates."""
+        return 0
 
 
 class Ping(_Message, frozen=True, tag=1):
-    """Asks ``target`` for an Ack with the same number; any other member that reads it stays silent."""
+    """Asks ``target`` for an Ack of the same sequence number; another member that reads it stays silent."""
 
-    number: Number
-    target: Name
+    sequence: SequenceNumber
+    target: MemberName
+
+    @property
+    def text_bytes(self) -> int:
+        """Bytes of the target's name."""
+        return len(self.target)
 
 
 class Ack(_Message, frozen=True, tag=2):
-    """Answers a Ping, or a PingReq whose target has answered the helper."""
+    """Answers a Ping, or an IndirectPing whose target has answered the relay."""
 
-    number: Number
+    sequence: SequenceNumber
 
 
-class PingReq(_Message, frozen=True, tag=3):
-    """Asks the reader to ping the target, and to pass its Ack on or say Nack (Lifeguard, section IV-A)."""
+class IndirectPing(_Message, frozen=True, tag=3):
+    """Asks the reader to ping the target, and to answer Ack or Nack (SWIM's ping-req)."""
 
-    number: Number
-    target: Name
+    sequence: SequenceNumber
+    target: MemberName
     address: Address
 
+    @property
+    def text_bytes(self) -> int:
+        """Bytes of the target's name and address."""
+        return len(self.target) + len(self.address)
 
-class Nack(_Message, frozen=True, tag=4):
-    """The helper is there and has asked, but has not been answered in time."""
-
-    number: Number
-
-
-class Sync(_Message, frozen=True, tag=5):
-    """Opens a push-pull: a digest of the sender's view; one whose own differs answers with View messages."""
 
-    digest: Number
+class Nack(_Message, frozen=True, tag=4):
+    """The relay works, but the target has not answered it in time (Lifeguard, section IV-A)."""
 
+    sequence: SequenceNumber
 
-class View(_Message, frozen=True, tag=6):
-    """A part of the sender's view, as news; ``back`` asks for the reader's own view in return."""
 
-    back: bool
+class PushPull(_Message, frozen=True, tag=5):
+    """Opens a push-pull with a digest of the sender's table; a reader whose own differs sends its table."""
 
+    digest: Digest
 
-Message: TypeAlias = Ping | Ack | PingReq | Nack | Sync | View
 
+class TablePart(_Message, frozen=True, tag=6):
+    """A part of the sender's member table, as updates."""
 
-class Malformed(Exception):
-    """A datagram that is no message of this protocol."""
+    reply_requested: bool  # the reader sends its own table in return
 
 
-_encoder = msgspec.msgpack.Encoder()
-_decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
+Message: TypeAlias = Ping | Ack | IndirectPing | Nack | PushPull | TablePart
 
+_codec = MessageCodec[Message](Message, MAX_DATAGRAM_BYTES)
+_update_codec = MessageCodec[Update](Update, MAX_DATAGRAM_BYTES)
 
-def encode(message: Message) -> bytes:
-    """Return the datagram."""
-    return _encoder.encode(message)
+encode = _codec.encode
+decode = _codec.decode  # raises MalformedMessageError
 
 
-def size(update: Update) -> int:
+def encoded_bytes(update: Update) -> int:
     """Return how many bytes of a datagram an update takes."""
-    return len(_encoder.encode(update))
-
-
-def decode(datagram: bytes) -> Message:
-    """Read a datagram; raise Malformed for all that is not wholly right."""
-    return checked(_decoder, datagram)
-
-
-def checked(decoder: msgspec.msgpack.Decoder[T], datagram: bytes) -> T:
-    """Read a datagram of any protocol among members; raise Malformed for all that is not wholly right."""
-    if len(datagram) > LARGEST:
-        raise Malformed(f"{len(datagram)} bytes")
-    try:
-        return decoder.decode(datagram)
-    except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise Malformed(str(error)) from None
+    return len(_update_codec.encode(update))
--- a/fordstair/membership/timers.py
+++ b/fordstair/membership/timers.py
@@ -1,4 +1,4 @@
-"""Timers without a clock: what is due is told the time, in one sorted structure."""
+"""Timers without a clock of their own: whoever drives them hands in the time."""
 
 from __future__ import annotations
 
@@ -7,38 +7,45 @@
 
 from sortedcontainers import SortedDict
 
-Ticket: TypeAlias = tuple[float, int]
+TimerHandle: TypeAlias = tuple[float, int]  # due time (ms) and a number that keeps the order of setting
+Action: TypeAlias = Callable[[], None]
 
 
 class Timers:
-    """Actions by the time (ms) at which they are due; each is called with the time at which it was due."""
+    """Actions in the order of the times (ms) at which they are due."""
 
     def __init__(self) -> None:
-        self._due: SortedDict[Ticket, Callable[[float], None]] = SortedDict()
+        self._due: SortedDict[TimerHandle, Action] = SortedDict()
         self._number = 0
 
     def __len__(self) -> int:
         return len(self._due)
 
     @property
-    def next_due(self) -> float | None:
+    def next_due_ms(self) -> float | None:
         """The time of the first timer; None where there is none."""
         return self._due.peekitem(0)[0][0] if self._due else None
 
-    def add(self, at: float, action: Callable[[float], None]) -> Ticket:
-        """Set a timer; the ticket takes it back."""
+    def add(self, due_ms: float, action: Action) -> TimerHandle:
+        """Set a timer; the handle cancels it."""
         self._number += 1
-        self._due[(at, self._number)] = action
-        return at, self._number
-
-    def drop(self, ticket: Ticket | None) -> None:
-        """Take a timer back; one that has fired, or None, is no error."""
-        if ticket is not None:
-            self._due.pop(ticket, None)
-
-    def take(self, now: float) -> tuple[float, Callable[[float], None]] | None:
-        """Take out the first timer that is due, with its time; None where none is."""
-        if not self._due or self._due.peekitem(0)[0][0] > now:
+        handle = (due_ms, self._number)
+        self._due[handle] = action
+        return handle
+
+    def cancel(self, handle: TimerHandle | None) -> None:
+        """Cancel a timer; None, and one that has fired, are no errors."""
+        if handle is not None:
+            self._due.pop(handle, None)
+
+    def clear(self) -> None:
+        """Cancel all timers."""
+        self._due.clear()
+
+    def pop_due(self, now_ms: float) -> Action | None:
+        """Take out the first timer that is due; None where none is."""
+        due_ms = self.next_due_ms
+        if due_ms is None or due_ms > now_ms:
             return None
-        (at, _), action = self._due.popitem(0)
-        return at, action
+        _, action = self._due.popitem(0)
+        return action
--- a/fordstair/net/clients/odata_model.py
+++ b/fordstair/net/clients/odata_model.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from fordstair.budgets.whole import Part
-    from fordstair.membership.swim import Fleet
+    from fordstair.membership.configuration import MembershipConfig
     from fordstair.replication.service import Ledger
 
 _KEY = re.compile(r"(?P<set>\w+)\((?:(?P<name>\w+)=)?'(?P<key>(?:[^']|'')*)'\)\Z")
@@ -77,7 +77,7 @@
     identity: Mapping[str, Any] = field(default_factory=dict)
     console: str = ""  # the path of its socket; empty: none
     watchers: int = 8  # consoles that may follow at a time
-    fleet: Fleet | None = None  # membership among coordinators; no address: the one that is bound
+    fleet: MembershipConfig | None = None  # membership among coordinators; no address: the one that is bound
     fleet_listen: tuple[str, int] = ("127.0.0.1", 0)
     ledger: Ledger | None = None  # of loads that run at most once among all coordinators
     shares: Part | None = None  # of budgets that the whole fleet has together
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -211,18 +211,16 @@
     def _members(self) -> dict[str, MemberView]:
         if self.membership is None or (swim := self.membership.swim) is None:
             return {}
-        from fordstair.membership.messages import STATES
-
-        me, shared = swim.update, self.shared
+        me, shared = swim.local.update, self.shared
         views = {
             me.name: MemberView(
                 me.name,
                 me.address,
-                "mute" if swim.mute else STATES[me.state],
+                "mute" if swim.local_health.isolated else me.state.label,
                 me.incarnation,
                 self._unix(self._started_ms),
                 own=True,
-                health=swim.awareness.score,
+                health=swim.local_health.score,
                 entries=len(shared.holder.entries) if shared is not None else 0,
                 store_bytes=shared.disk.size_bytes if shared is not None else 0,
                 doubted=shared.holder.doubted or shared.writer.broken if shared is not None else "",
@@ -233,13 +231,13 @@
             views[each.name] = MemberView(
                 each.name,
                 each.address,
-                STATES[each.state],
+                each.state.label,
                 each.incarnation,
-                self._unix(each.since),
-                each.by,
+                self._unix(each.changed_ms),
+                each.reporter,
                 len(doubt.accusers) if doubt is not None else 0,
-                self._unix(doubt.until) if doubt is not None else 0.0,
-                each.cut_off,
+                self._unix(doubt.expires_ms) if doubt is not None else 0.0,
+                each.link_cut,
                 behind=shared.behind.get(each.name) if shared is not None else None,
             )
         return views
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -18,7 +18,7 @@
 from fordstair.budgets.whole import MILLI, Plan, Whole
 from fordstair.lab.audit import Audit
 from fordstair.lab.shares import Fleet
-from fordstair.membership.messages import Malformed
+from fordstair.runtime.message_codec import MalformedMessageError
 from fordstair.scheduling.later import Places
 from fordstair.scheduling.scheduler import Refused, Room, Scheduler, Told
 from fordstair.scheduling.waits import Cap, Meter
@@ -299,7 +299,7 @@
     assert node.shares(1.0) == told.floors
     assert node.counts["other_plan"] == 1
     assert node.counts["malformed"] + node.counts["answers_late"] >= 1
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         decode(noise + b"\xc1")
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -18,7 +18,7 @@
 
 from fordstair.lab.appliance import ask_door
 from fordstair.lab.relay import Faults, Relay
-from fordstair.membership.messages import ALIVE, Update, View, encode
+from fordstair.membership.messages import MemberState, TablePart, Update, encode
 from tests.standins import ROOT, Program, config, program
 from tests.test_platform import play
 
@@ -92,7 +92,7 @@
         found = set()
         for name, node in self.nodes.items():
             for line in node.log:
-                if "fleet.member" in line and f" state={state} " in line:
+                if "fleet.member_changed" in line and f" state={state} " in line:
                     found.add((name, line.split(" name=")[1].split(" ")[0]))
         return found
 
@@ -151,7 +151,7 @@
             members.signal("m2", signal.SIGCONT)
             await members.until(members.agree, 20.0)
             counts = await members.ask("m2", "counters")
-            assert counts["fleet.overslept"] >= 1
+            assert counts["fleet.stalls"] >= 1
             assert counts["fleet.refutations"] >= 1 or pause_s < 5.0
             assert {name for _, name in members.told("dead")} == ({"m2"} if dies else set())
 
@@ -244,7 +244,7 @@
                 await trio.sleep(0.4)
             assert {name for _, name in members.told("dead")} <= {"m0"}
             await members.until(members.agree, 20.0)
-            assert (await members.ask("m0", "counters"))["fleet.overslept"] >= 3
+            assert (await members.ask("m0", "counters"))["fleet.stalls"] >= 3
 
     play(scene, 110.0)
 
@@ -264,7 +264,9 @@
         async with fleet(3) as members:
             port = members.nodes["m0"].ports["fleet"]
             with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as sock:
-                stranger = View("others", "x", (Update("x", "127.0.0.1:1", 1, ALIVE, "x"),), True)
+                stranger = TablePart(
+                    "others", "x", (Update("x", "127.0.0.1:1", 1, MemberState.ALIVE, "x"),), True
+                )
                 for datagram in (b"", b"\xc1", b"x" * 3_000, encode(stranger), encode(stranger)[:-3]):
                     await sock.sendto(datagram, ("127.0.0.1", port))
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -10,7 +10,6 @@
     "fordstair/core/coordinator.py",
     "fordstair/decisions/gateway.py",
     "fordstair/lab/site.py",
-    "fordstair/membership/swim.py",
     "fordstair/net/clients/odata_front.py",
     "fordstair/net/console_server.py",
     "fordstair/program.py",
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -3,30 +3,30 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from typing import cast
 
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
 from fordstair.lab.gossip import START, Network, swim_fleet
+from fordstair.membership.configuration import MembershipConfig
+from fordstair.membership.invariants import check_invariants
 from fordstair.membership.messages import (
-    ALIVE,
-    DEAD,
-    LARGEST,
-    LEFT,
-    SUSPECT,
+    MAX_DATAGRAM_BYTES,
     Ack,
-    Malformed,
+    MemberState,
     Ping,
+    TablePart,
     Update,
-    View,
     decode,
     encode,
 )
 from fordstair.membership.suspicion import Suspicion
-from fordstair.membership.swim import Fleet, Swim
+from fordstair.membership.swim import SwimMember
+from fordstair.runtime.message_codec import MalformedMessageError
 
-FLEET = Fleet("gardens", "x", "x:1")
+CONFIG = MembershipConfig("gardens", "x", "x:1")
 FIXED = settings(
     max_examples=60,
     deadline=None,
@@ -36,7 +36,9 @@
 )
 
 
-def fleet(count: int, seed: int = 1, *, loss: float = 0.0, told: Fleet = FLEET) -> tuple[Network, list[str]]:
+def fleet(
+    count: int, seed: int = 1, *, loss: float = 0.0, told: MembershipConfig = CONFIG
+) -> tuple[Network, list[str]]:
     network = Network(seed, loss=loss)
     return network, swim_fleet(network, count, told, seed)
 
@@ -45,17 +47,21 @@
     return [
         (seen.observer, seen.change.name)
         for seen in network.seen
-        if seen.change.state == DEAD and seen.at >= since
+        if seen.change.state == MemberState.DEAD and seen.at >= since
     ]
 
 
 def agree(network: Network) -> bool:
     """Whether all running members hold all running members for alive, at the same incarnations."""
-    swims = {name: node for name, node in network.nodes.items() if isinstance(node, Swim)}
-    own = {name.split(":")[0]: node.incarnation for name, node in swims.items()}
+    swims = {name: node for name, node in network.nodes.items() if isinstance(node, SwimMember)}
+    own = {name.split(":")[0]: node.local.incarnation for name, node in swims.items()}
     return all(
-        {member.name: member.incarnation for member in node.members.values() if member.state == ALIVE}
-        | {node.fleet.name: node.incarnation}
+        {
+            member.name: member.incarnation
+            for member in node.members.values()
+            if member.state == MemberState.ALIVE
+        }
+        | {node.config.name: node.local.incarnation}
         == own
         for node in swims.values()
     )
@@ -91,7 +97,7 @@
 def test_a_paused_member_dies_only_after_its_suspicion_and_refutes_on_return(
     pause_ms: float, dies: bool
 ) -> None:
-    network, addresses = fleet(5, told=replace(FLEET, suspicion=15.0))
+    network, addresses = fleet(5, told=replace(CONFIG, suspicion_factor=15.0))
     network.run(20_000.0)
     network.pause(addresses[2], pause_ms)
     network.run(network.now + pause_ms + 1.0)
@@ -102,7 +108,7 @@
     assert agree(network)
     assert not deaths(network, back)  # what it had missed made it accuse nobody
     paused = network.nodes[addresses[2]]
-    assert paused.counts["overslept"] >= 1
+    assert paused.counts["stalls"] >= 1
     assert paused.counts["refutations"] >= 1 or pause_ms < 5_000.0
 
 
@@ -115,15 +121,15 @@
     assert not deaths(network)
     for one, other in ((a, b), (b, a)):  # a ping or its answer is lost, whoever asks
         node = network.nodes[one]
-        assert isinstance(node, Swim)
-        assert node.members[other[:-2]].cut_off
-        assert sum(each.cut_off for each in node.members.values()) == 1
+        assert isinstance(node, SwimMember)
+        assert node.members[other[:-2]].link_cut
+        assert sum(each.link_cut for each in node.members.values()) == 1
     network.cut = lambda source, to: False
     network.run(network.now + 30_000.0)
     assert agree(network)
     node = network.nodes[a]
-    assert isinstance(node, Swim)
-    assert not node.members[b[:-2]].cut_off
+    assert isinstance(node, SwimMember)
+    assert not node.members[b[:-2]].link_cut
 
 
 def test_a_member_that_nobody_hears_is_found_and_accuses_nobody() -> None:
@@ -133,14 +139,14 @@
     network.cut = lambda source, to: source == mute
     network.run(network.now + 15_000.0)
     node = network.nodes[mute]
-    assert isinstance(node, Swim)
-    assert node.mute
+    assert isinstance(node, SwimMember)
+    assert node.local_health.isolated
     network.run(network.now + 30_000.0)
     assert {name for observer, name in deaths(network) if observer != mute} == {mute[:-2]}
     network.cut = lambda source, to: False
     network.run(network.now + 40_000.0)
     assert agree(network)
-    assert not node.mute
+    assert not node.local_health.isolated
 
 
 def test_the_halves_of_a_partition_become_one_view_again() -> None:
@@ -151,11 +157,13 @@
     network.run(network.now + 60_000.0)
     for address in addresses:
         node = network.nodes[address]
-        assert isinstance(node, Swim)
+        assert isinstance(node, SwimMember)
         other = {each[:-2] for each in addresses if (each in one) != (address in one)}
-        assert {each.name for each in node.members.values() if each.state == DEAD} == other
+        assert {each.name for each in node.members.values() if each.state == MemberState.DEAD} == other
     network.cut = lambda source, to: False
-    network.run(network.now + 2.0 * FLEET.sync_ms + 5.0 * FLEET.probe_ms)  # the bound that is told
+    network.run(
+        network.now + 2.0 * CONFIG.push_pull_interval_ms + 5.0 * CONFIG.probe_interval_ms
+    )  # the bound that is told
     assert agree(network)
 
 
@@ -166,8 +174,8 @@
     network.run(11_000.0)
     network.add(
         addresses[4],
-        Swim(
-            replace(FLEET, name=addresses[4][:-2], address=addresses[4], seeds=tuple(addresses[:2])), 500, 77
+        SwimMember(
+            replace(CONFIG, name=addresses[4][:-2], address=addresses[4], seeds=tuple(addresses[:2])), 500, 77
         ),
     )
     network.run(30_000.0)
@@ -178,12 +186,14 @@
     network.run(network.now + 60_000.0)
     network.add(
         addresses[4],
-        Swim(replace(FLEET, name=addresses[4][:-2], address=addresses[4], seeds=tuple(addresses[:2])), 3, 78),
+        SwimMember(
+            replace(CONFIG, name=addresses[4][:-2], address=addresses[4], seeds=tuple(addresses[:2])), 3, 78
+        ),
     )
     network.run(network.now + 30_000.0)
     node = network.nodes[addresses[4]]
-    assert isinstance(node, Swim)
-    assert node.incarnation > 500
+    assert isinstance(node, SwimMember)
+    assert node.local.incarnation > 500
     assert agree(network)
 
 
@@ -200,48 +210,54 @@
     stall()
     network.run(330_000.0)
     assert {name for _, name in deaths(network)} <= {addresses[0][:-2]}
-    assert network.nodes[addresses[0]].counts["overslept"] > 50
+    assert network.nodes[addresses[0]].counts["stalls"] > 50
 
 
 def test_a_leave_is_told_and_is_no_death() -> None:
     network, addresses = fleet(6)
     network.run(10_000.0)
     node = network.nodes[addresses[1]]
-    assert isinstance(node, Swim)
+    assert isinstance(node, SwimMember)
     node.leave(START + network.now)
     network.carry_out(addresses[1])
     network.kill(addresses[1])
     network.run(60_000.0)
     assert not deaths(network)
-    assert all(view[addresses[1][:-2]] == LEFT for view in network.views().values())
+    assert all(view[addresses[1][:-2]] == MemberState.LEFT for view in network.views().values())
 
 
 def test_dead_members_are_forgotten_and_no_table_keeps_them() -> None:
-    network, addresses = fleet(4, told=replace(FLEET, forget_ms=30_000.0))
+    network, addresses = fleet(4, told=replace(CONFIG, forget_after_ms=30_000.0))
     network.run(5_000.0)
     network.kill(addresses[3])
     network.run(90_000.0)
     for node in network.nodes.values():
-        assert isinstance(node, Swim)
+        assert isinstance(node, SwimMember)
         assert addresses[3][:-2] not in node.members
-        assert len(node._dissemination) == 0
-        assert len(node._timers) < 6
-        assert not node._relays
+        assert len(node.dissemination) == 0
+        assert len(node.context.timers) < 6
+        assert not len(node.probe_relay)
 
 
 names = st.sampled_from(["a", "b", "c", "me"])
 hosts = st.sampled_from(["h:1", "h:2"])
-updates = st.builds(Update, names, hosts, st.integers(0, 6), st.integers(0, 3), names)
+
+
+def updates_on(name: str) -> st.SearchStrategy[Update]:
+    return st.builds(Update, st.just(name), hosts, st.integers(0, 6), st.sampled_from(MemberState), names)
+
+
+updates = names.flatmap(updates_on)
 
 
 def believed(news: list[Update]) -> dict[str, tuple[int, int]]:
-    swim = Swim(Fleet("c", "me", "h:9"), 1, 1)
-    swim.know(1.0, [Update(name, "h:1", 0, ALIVE, name) for name in ("a", "b", "c")])
-    least = swim.incarnation
+    swim = SwimMember(MembershipConfig("c", "me", "h:9"), 1, 1)
+    swim.preload(1.0, [Update(name, "h:1", 0, MemberState.ALIVE, name) for name in ("a", "b", "c")])
+    least = swim.local.incarnation
     for number, update in enumerate(news):
-        swim.receive(2.0 + number * 1e-6, encode(View("c", "z", (update,), False)), "h:5")
-        assert swim.incarnation >= least  # incarnations only grow
-        least = swim.incarnation
+        swim.receive(2.0 + number * 1e-6, encode(TablePart("c", "z", (update,), False)), "h:5")
+        assert swim.local.incarnation >= least  # incarnations only grow
+        least = swim.local.incarnation
     return {name: (member.incarnation, member.state) for name, member in swim.members.items()}
 
 
@@ -254,38 +270,42 @@
 
 
 @FIXED
-@given(st.lists(updates.filter(lambda update: update.name == "me"), max_size=25))
+@given(st.lists(updates_on("me"), max_size=25))
 def test_a_member_is_never_less_than_alive_in_its_own_word(news: list[Update]) -> None:
-    swim = Swim(Fleet("c", "me", "h:9"), 1, 1)
+    swim = SwimMember(MembershipConfig("c", "me", "h:9"), 1, 1)
     for update in news:
-        swim.receive(2.0, encode(View("c", "z", (update,), False)), "h:5")
-        assert swim.update.order > update.order or update.state == ALIVE
-        assert swim.update.state == ALIVE
+        swim.receive(2.0, encode(TablePart("c", "z", (update,), False)), "h:5")
+        assert swim.local.update.precedence > update.precedence or update.state == MemberState.ALIVE
+        assert swim.local.update.state == MemberState.ALIVE
 
 
 @FIXED
 @given(st.integers(1, 5), st.integers(0, 3), st.floats(0.0, 9_000.0))
 def test_a_refuted_suspicion_never_ends_in_death(incarnation: int, accusers: int, refuted_at: float) -> None:
-    swim = Swim(Fleet("c", "me", "h:9"), 1, 1)
-    swim.know(0.0, [Update(name, "h:1", 0, ALIVE, name) for name in ("a", "b", "c", "d", "e")])
+    swim = SwimMember(MembershipConfig("c", "me", "h:9"), 1, 1)
+    swim.preload(0.0, [Update(name, "h:1", 0, MemberState.ALIVE, name) for name in ("a", "b", "c", "d", "e")])
     for accuser in ("b", "c", "d")[: accusers + 1]:
         swim.receive(
-            1.0, encode(View("c", "b", (Update("a", "h:1", incarnation, SUSPECT, accuser),), False)), "h:5"
+            1.0,
+            encode(
+                TablePart("c", "b", (Update("a", "h:1", incarnation, MemberState.SUSPECT, accuser),), False)
+            ),
+            "h:5",
         )
     least = swim.members["a"].suspicion
     assert least is not None
-    assert least.until >= 1.0 + 5_000.0
-    swim.tick(min(refuted_at, least.until - 1.0))
+    assert least.expires_ms >= 1.0 + 5_000.0
+    swim.tick(min(refuted_at, least.expires_ms - 1.0))
     swim.receive(
-        min(refuted_at, least.until - 1.0),
-        encode(View("c", "a", (Update("a", "h:1", incarnation + 1, ALIVE, "a"),), False)),
+        min(refuted_at, least.expires_ms - 1.0),
+        encode(TablePart("c", "a", (Update("a", "h:1", incarnation + 1, MemberState.ALIVE, "a"),), False)),
         "h:5",
     )
     now = refuted_at
     for _ in range(200):
         now += 250.0
         swim.tick(now)
-    assert swim.members["a"].state == ALIVE
+    assert swim.members["a"].state == MemberState.ALIVE
 
 
 @FIXED
@@ -319,8 +339,8 @@
             network.kill(victim)
             network.add(
                 victim,
-                Swim(
-                    replace(FLEET, name=victim[:-2], address=victim, seeds=tuple(addresses[:2])),
+                SwimMember(
+                    replace(CONFIG, name=victim[:-2], address=victim, seeds=tuple(addresses[:2])),
                     int(network.now) + 2,
                     seed,
                 ),
@@ -330,30 +350,33 @@
     network.loss = 0.0
     network.run(network.now + 90_000.0)
     assert agree(network)
+    for node in network.nodes.values():
+        assert isinstance(node, SwimMember)
+        check_invariants(node)
 
 
 def test_a_suspicion_shrinks_as_members_confirm_it() -> None:
     doubt = Suspicion(1_000.0, "a", 5_000.0, 30_000.0, 3)
-    ends = [doubt.until]
+    ends = [doubt.expires_ms]
     for accuser in ("a", "b", "c", "d", "e"):
         doubt.confirm(accuser)
-        ends.append(doubt.until)
+        ends.append(doubt.expires_ms)
     assert ends[0] == ends[1] == 31_000.0  # the first accuser again confirms nothing
     assert ends[1] > ends[2] > ends[3] > ends[4] == ends[5] == 6_000.0
-    assert Suspicion(0.0, "a", 5_000.0, 30_000.0, 0).until == 5_000.0  # nobody is there to confirm
+    assert Suspicion(0.0, "a", 5_000.0, 30_000.0, 0).expires_ms == 5_000.0  # nobody is there to confirm
 
 
 @FIXED
 @given(st.binary(max_size=200))
 def test_noise_is_counted_and_dropped(noise: bytes) -> None:
-    swim = Swim(FLEET, 1, 1)
+    swim = SwimMember(CONFIG, 1, 1)
     swim.receive(1.0, noise, "h:1")
     assert swim.counts["malformed"] == 1
     assert not swim.outgoing()
     assert not swim.members
 
 
-GOOD = Ping("gardens", "a", (Update("b", "h:1", 1, ALIVE, "b"),), 7, "x")
+GOOD = Ping("gardens", "a", (Update("b", "h:1", 1, MemberState.ALIVE, "b"),), 7, "x")
 
 
 @pytest.mark.parametrize(
@@ -364,26 +387,32 @@
         Ping("gardens", "a", (), -1, "x"),
         Ping("gardens", "a", (), 2**32, "x"),
         Ack("gardens", "a" * 65, (), 1),
-        View("gardens", "a", (Update("b", "nowhere", 1, ALIVE, "b"),), False),
-        View("gardens", "a", (Update("b", "h:1", -1, ALIVE, "b"),), False),
-        View("gardens", "a", (Update("b", "h:1", 2**62 + 1, ALIVE, "b"),), False),
-        View("gardens", "a", (Update("b", "h:1", 1, 4, "b"),), False),
+        TablePart("gardens", "a", (Update("b", "nowhere", 1, MemberState.ALIVE, "b"),), False),
+        TablePart("gardens", "a", (Update("b", "h:1", -1, MemberState.ALIVE, "b"),), False),
+        TablePart("gardens", "a", (Update("b", "h:1", 2**62 + 1, MemberState.ALIVE, "b"),), False),
+        TablePart("gardens", "a", (Update("b", "h:1", 1, cast(MemberState, 4), "b"),), False),
     ],
 )
-def test_a_field_out_of_its_bounds_makes_a_message_malformed(message: Ping | Ack | View) -> None:
-    with pytest.raises(Malformed):
+def test_a_field_out_of_its_bounds_makes_a_message_malformed(message: Ping | Ack | TablePart) -> None:
+    with pytest.raises(MalformedMessageError):
         decode(encode(message))
     assert decode(encode(GOOD)) == GOOD
 
 
 def test_members_of_another_cluster_are_refused_and_a_full_table_takes_nobody() -> None:
-    swim = Swim(replace(FLEET, members_most=2), 1, 1)
-    swim.receive(1.0, encode(View("others", "a", (Update("a", "h:1", 1, ALIVE, "a"),), True)), "h:1")
+    swim = SwimMember(replace(CONFIG, max_members=2), 1, 1)
+    swim.receive(
+        1.0, encode(TablePart("others", "a", (Update("a", "h:1", 1, MemberState.ALIVE, "a"),), True)), "h:1"
+    )
     assert swim.counts["foreign"] == 1
     assert not swim.members
     assert not swim.outgoing()
     for name in "abcd":
-        swim.receive(1.0, encode(View("gardens", "a", (Update(name, "h:1", 1, ALIVE, "a"),), False)), "h:1")
+        swim.receive(
+            1.0,
+            encode(TablePart("gardens", "a", (Update(name, "h:1", 1, MemberState.ALIVE, "a"),), False)),
+            "h:1",
+        )
     assert sorted(swim.members) == ["a", "b"]
     assert swim.counts["members_refused"] == 2
 
@@ -391,13 +420,13 @@
 def test_no_datagram_is_larger_than_is_read() -> None:
     network, addresses = fleet(60)
     node = network.nodes[addresses[0]]
-    assert isinstance(node, Swim)
+    assert isinstance(node, SwimMember)
     for number in range(90):
-        node._merge(Update("n" * 60 + str(number), "h" * 70 + ":65535", 2**61, ALIVE, "b" * 64))
-    node._tell_all("h:1", back=True)
+        node.apply(Update("n" * 60 + str(number), "h" * 70 + ":65535", 2**61, MemberState.ALIVE, "b" * 64))
+    node.push_pull.send_table("h:1", reply_requested=True)
     network.run(5_000.0)
     sizes = [len(datagram) for _, datagram in node.outgoing()]
-    node._tell_all("h:1", back=True)
+    node.push_pull.send_table("h:1", reply_requested=True)
     sizes += [len(datagram) for _, datagram in node.outgoing()]
     assert len(sizes) > 10
-    assert max(sizes) <= LARGEST
+    assert max(sizes) <= MAX_DATAGRAM_BYTES
