--- a/tests/wires/test_membership.py
+++ b/tests/wires/test_membership.py
@@ -7,18 +7,18 @@
 import pytest
 
 from fordstair.lab.gossip import Network, swim_fleet
+from fordstair.membership.configuration import MembershipConfig
 from fordstair.membership.messages import decode, encode
-from fordstair.membership.swim import Fleet
 from tests.wires.recordings import Datagrams, datagrams, recorded
 
-FLEET = Fleet("gardens", "x", "x:1")
+CONFIG = MembershipConfig("gardens", "x", "x:1")
 
 
 def messages() -> dict[str, str]:
     """A fleet of eight for forty seconds, with losses, a death and a pause."""
     network = Network(11, loss=0.1)
     said = Datagrams(network)
-    addresses = swim_fleet(network, 8, replace(FLEET, sync_ms=3_000.0), 11)
+    addresses = swim_fleet(network, 8, replace(CONFIG, push_pull_interval_ms=3_000.0), 11)
     network.run(10_000.0)
     network.kill(addresses[3])
     network.pause(addresses[5], 4_000.0)
