--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -43,7 +43,7 @@
 
     async def wait(self, live: LiveRequest) -> None:
         """Wait until the module has been told of the request, or it is over."""
-        told, now = self.coordinator.arrival(live), self.coordinator.deadlines.clock()
+        told, now = self.coordinator.arrival_event(live), self.coordinator.deadlines.clock()
         gateway, spec = self.coordinator.gateway, self.coordinator.settings.classes[told.class_index]
         work_ms = gateway.cache.forecast(told.class_index, told.group, told.cost_ms)
         self._resize()
@@ -71,11 +71,11 @@
         self._lives[live.id] = live
         self.release()
         while live.id in self._lives:
-            live.ordered = trio.Event()
+            live.wakeup = trio.Event()
             self._tick()
-            await live.ordered.wait()
+            await live.wakeup.wait()
 
-    def forget(self, live: LiveRequest) -> bool:
+    def remove(self, live: LiveRequest) -> bool:
         """Take a request out, in the table and in the queue alike; whether it waited here."""
         if self._lives.pop(live.id, None) is None:
             return False
@@ -95,20 +95,20 @@
             if self.caps is not None:
                 self.caps.starts(now, released.id, released.team, released.class_index, released.threads)
             self.coordinator.counters.add("turns.released")
-            self.coordinator.tell(self.coordinator.arrival(live))
-            live.ordered.set()
+            self.coordinator.dispatch(self.coordinator.arrival_event(live))
+            live.wakeup.set()
 
-    def ended(self, live: LiveRequest) -> None:
+    def request_finished(self, live: LiveRequest) -> None:
         """A request is over: what it held is settled, and others may have their turn."""
-        self.forget(live)
+        self.remove(live)
         if self.caps is not None:
             self.caps.ends(self.coordinator.deadlines.clock(), live.id)
-        self.scheduler.ended(live.id, self.coordinator.deadlines.clock(), live.held_ms)
+        self.scheduler.ended(live.id, self.coordinator.deadlines.clock(), live.used_thread_ms)
         self.release()
 
     def withdraw(self, live: LiveRequest) -> bool:
         """The program ends: whether the request was waiting here, and is answered."""
-        if not self.forget(live):
+        if not self.remove(live):
             return False
         self._refuse(live, Refused.ENDING, 0.0)
         return True
@@ -116,7 +116,7 @@
     def _gives_up(self, live: LiveRequest) -> None:
         if self.caps is not None:
             threads = self.coordinator.settings.classes[live.query.class_index].threads
-            self.caps.gives_up(live.query.tenant, live.query.class_index, threads)
+            self.caps.gives_up(live.query.tenant_index, live.query.class_index, threads)
 
     def _room(self, item: Item) -> Room:
         gateway = self.coordinator.gateway
@@ -124,7 +124,7 @@
             self.coordinator.deadlines.clock(), item.team, item.class_index, item.threads
         ):
             return Room.BUDGET_FULL
-        if gateway.has_room(self.coordinator.arrival(self._lives[item.id])):
+        if gateway.has_room(self.coordinator.arrival_event(self._lives[item.id])):
             return Room.FITS
         return Room.CLASS_FULL if item.class_index in gateway.limits else Room.FULL
 
@@ -137,7 +137,7 @@
             self.scheduler.turns_a_ms,
             settings.max_retry_after_ms,
         )
-        self.coordinator.refuse(live, later if settings.sends_retry_after else 0.0, why.value)
+        self.coordinator.reject(live, later if settings.sends_retry_after else 0.0, why.value)
 
     def _resize(self) -> None:
         """Follow the engines that take new work."""
@@ -167,36 +167,36 @@
         live = {
             each.id: each
             for each in self.coordinator.live.values()
-            if each.call is not None and not each.over
+            if each.call is not None and not each.finished
         }
         waiting, groups = set[int](), dict[float, set[int]]()
         for each in self._lives.values():
-            waiting.add(each.query.tenant)
-            groups.setdefault(each.query.group, set()).add(each.query.tenant)
+            waiting.add(each.query.tenant_index)
+            groups.setdefault(each.query.table_group, set()).add(each.query.tenant_index)
         accounts = self.scheduler.budgets.accounts
         within = {team for team in accounts if self.scheduler.budgets.within(team)}
         for id, lowered in self.preemption.decide(
             now, [self._runs(each, now) for each in live.values()], within, waiting, groups
         ):
-            self.coordinator.lower(live[id], lowered)
+            self.coordinator.set_deprioritized(live[id], lowered)
 
     def _runs(self, live: LiveRequest, now: float) -> Runs:
         """Return one attempt as pre-emption sees it."""
         coordinator, query = self.coordinator, live.query
-        attempt = coordinator.gateway.attempts.get((live.id, live.attempts - 1))
+        attempt = coordinator.gateway.attempts.get((live.id, live.attempt_count - 1))
         left_ms = attempt.sent + attempt.expected - now if attempt is not None else 0.0
         engine = coordinator.engines.get(live.engine)
         return Runs(
             live.id,
-            query.tenant,
-            query.group,
+            query.tenant_index,
+            query.table_group,
             coordinator.settings.classes[query.class_index].is_load,
             left_ms,
             engine is not None and engine.protocol != "odata",
         )
 
-    def outlook(self, team: int) -> tuple[int, float]:
+    def expected_wait(self, team: int) -> tuple[int, float]:
         """Return how many requests of a team wait, and how long one of the first class would, in ms."""
         spec, now = self.coordinator.settings.classes[0], self.coordinator.deadlines.clock()
-        waiting = sum(each.query.tenant == team for each in self._lives.values())
+        waiting = sum(each.query.tenant_index == team for each in self._lives.values())
         return waiting, self.scheduler.outlook(team, 0, spec.threads, now).likely_ms
--- a/fordstair/core/coordinator.py
+++ b/fordstair/core/coordinator.py
@@ -12,7 +12,7 @@
 from fordstair.core.extensions import AttemptWatch, RequestQueue
 from fordstair.core.invariants import Invariant, Invariants
 from fordstair.core.live_request import AttemptOutcome, LiveRequest
-from fordstair.core.ports import AttemptFailed, AttemptRequest, Call, Engine, Query, Reply, Transport
+from fordstair.core.ports import AttemptFailedError, AttemptRequest, Call, Engine, Query, Reply, Transport
 from fordstair.core.send_guard import Denial, SendGuard
 from fordstair.decisions.actions import (
     CancelAttempt,
@@ -77,7 +77,7 @@
         self.draining = False
         self.closed = False  # what still comes is answered, and nothing of it sent on
         self.cordoned: set[str] = set()  # ids of engines that an operator has set aside, listed or not
-        self.refusals: Counter[tuple[str, str]] = Counter()  # by class and the module's reason
+        self.rejections: Counter[tuple[str, str]] = Counter()  # by class and the module's reason
         self.on_change: Callable[[], None] = _nobody  # called at each transition, for those who look on
         self.admission_queue: RequestQueue | None = None
         self.zone_watch: AttemptWatch | None = None
@@ -90,13 +90,13 @@
             task_status.started()
             await trio.sleep_forever()
 
-    def take(self, query: Query, reply: Reply) -> LiveRequest:
+    def submit(self, query: Query, reply: Reply) -> LiveRequest:
         """Take a request in; its reply gets exactly one final answer, unless the client leaves."""
         assert self._nursery is not None, "the coordinator is not running"
         self._last_id += 1
         now = self.deadlines.clock()
         spec = self.settings.classes[query.class_index]
-        left_ms = max(0.0, query.limit_ms - TRANSIT_MS - query.waited_ms)
+        left_ms = max(0.0, query.timeout_ms - TRANSIT_MS - query.read_delay_ms)
         live = LiveRequest(
             self._last_id,
             query,
@@ -106,90 +106,94 @@
             SendGuard(spec.idempotency, spec.deduplication_window_ms),
         )
         self.live[live.id] = live
-        self._txns.add(query.txn.lower())
+        self._txns.add(query.transaction_id.lower())
         self.counters.add(f"taken.{query.class_name}")
         self._nursery.start_soon(self._guarded, live)
         return live
 
-    def tenant_of(self, team: str) -> int | None:
+    def tenant_index(self, team: str) -> int | None:
         """Return a team's number; None for one that is not known. Where there are no teams all are one."""
         return self.tenants.get(team) if self.tenants else 0
 
-    def knows(self, txn: str) -> bool:
+    def is_in_progress(self, txn: str) -> bool:
         """Whether a request under this id is being worked on."""
         return txn.lower() in self._txns
 
-    def leave(self, live: LiveRequest) -> None:
+    def client_disconnected(self, live: LiveRequest) -> None:
         """The client has stopped waiting: no answer is owed."""
-        if not live.over:
+        if not live.finished:
             self.counters.add("client.left")
-            live.end()
-            if self.admission_queue is None or not self.admission_queue.forget(live):
-                self.tell(ClientDisconnected(live.id))
+            live.abandon()
+            if self.admission_queue is None or not self.admission_queue.remove(live):
+                self.dispatch(ClientDisconnected(live.id))
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """How many requests still wait for their answer."""
-        return sum(not live.over for live in self.live.values())
+        return sum(not live.finished for live in self.live.values())
 
-    def close(self) -> None:
+    def withdraw_all(self) -> None:
         """The program ends: the module gives its word on every request that is still open, or comes yet."""
         self.closed = True
-        for live in [live for live in self.live.values() if not live.over]:
+        for live in [live for live in self.live.values() if not live.finished]:
             if self.admission_queue is None or not self.admission_queue.withdraw(live):
-                self.tell(RequestWithdrawn(live.id))
+                self.dispatch(RequestWithdrawn(live.id))
 
     async def _guarded(self, live: LiveRequest) -> None:
         """Keep a fault in one request from taking down the others: it becomes a failed answer."""
         try:
             await self.serve(live)
         except Exception:
-            log.exception("request.broke", txn=live.query.txn, engine=live.engine)
+            log.exception("request.broke", txn=live.query.transaction_id, engine=live.engine)
             self.answer(live, "failed", partial(live.reply.failed, "internal error"))
             self._write_off(live)
         finally:
-            if not (live.over or trio.current_effective_deadline() == -math.inf):
-                self.invariants.violated(Invariant.EVERY_ANSWER, txn=live.query.txn, attempts=live.attempts)
+            if not (live.finished or trio.current_effective_deadline() == -math.inf):
+                self.invariants.violated(
+                    Invariant.EVERY_ANSWER, txn=live.query.transaction_id, attempts=live.attempt_count
+                )
                 self.answer(live, "failed", partial(live.reply.failed, "internal error"))
             self.live.pop(live.id, None)
-            self._txns.discard(live.query.txn.lower())
+            self._txns.discard(live.query.transaction_id.lower())
             if self.zone_watch is not None:
-                self.zone_watch.ended(live.id)
+                self.zone_watch.attempt_ended(live.id)
             if self.admission_queue is not None:
-                self.admission_queue.ended(live)
+                self.admission_queue.request_finished(live)
 
     def _write_off(self, live: LiveRequest) -> None:
         """Tell the module that nothing is out; else it would count the attempt's threads for good."""
         try:
-            self.tell(ClientDisconnected(live.id))
-            self.tell(AttemptEnded(live.id, live.attempts - 1, live.engine, Status.ERROR, 0.0, complete=True))
+            self.dispatch(ClientDisconnected(live.id))
+            self.dispatch(
+                AttemptEnded(live.id, live.attempt_count - 1, live.engine, Status.ERROR, 0.0, complete=True)
+            )
         except Exception:
-            log.exception("module.broke", txn=live.query.txn)
+            log.exception("module.broke", txn=live.query.transaction_id)
 
     async def serve(self, live: LiveRequest) -> None:
         """One request from its arrival to its single final answer."""
-        if live.over:  # withdrawn before its turn came: the module must not plan for it
+        if live.finished:  # withdrawn before its turn came: the module must not plan for it
             return
         if self.admission_queue is None or self.closed:
-            self.tell(self.arrival(live))
+            self.dispatch(self.arrival_event(live))
         else:
             await self.admission_queue.wait(live)
         if self.closed:
-            self.tell(RequestWithdrawn(live.id))
-        while (order := await live.next_order()) is not None:
-            self.tell(await self._attempt(live, order))
+            self.dispatch(RequestWithdrawn(live.id))
+        while (order := await live.next_send()) is not None:
+            self.dispatch(await self._attempt(live, order))
 
     async def _attempt(self, live: LiveRequest, order: SendAttempt) -> AttemptEnded:
         """Carry one attempt out; return its end, of which the module must hear whatever it was."""
-        number, live.attempts = live.attempts, live.attempts + 1
-        live.engine, live.lowered = order.engine, False
+        number, live.attempt_count = live.attempt_count, live.attempt_count + 1
+        live.engine, live.deprioritized = order.engine, False
         engine = self.engines.get(order.engine)
         denial = Denial.ENGINE_CLOSED if engine is None else self._denial(live, engine, order)
         if engine is None or denial is not None:
             # Its client left, or the engine went, before the order's turn came: nothing is sent, but the
             # module counts it as out until it is told of an end.
             self._held(live, order, denial or Denial.ENGINE_CLOSED)
-            return AttemptEnded(live.id, number, order.engine, Status.MOOT, 0.0, complete=live.over)
+            return AttemptEnded(live.id, number, order.engine, Status.MOOT, 0.0, complete=live.finished)
         self._note_sent(live, order, number)
         sent_ms = self.deadlines.clock()
         until_ms = live.deadline_ms
@@ -197,14 +201,14 @@
             until_ms = min(until_ms, sent_ms + order.limit_ms)
         call = live.call = self._call(live, engine, order, until_ms - sent_ms)
         outcome = AttemptOutcome()
-        with self.deadlines.limit(until_ms) as live.scope:
+        with self.deadlines.limit(until_ms) as live.attempt_scope:
             await self._follow(live, order, number, call, outcome)
-        if live.scope.cancelled_caught and self.deadlines.clock() >= until_ms:
+        if live.attempt_scope.cancelled_caught and self.deadlines.clock() >= until_ms:
             outcome.status = Status.TIMEOUT
         if outcome.status is not Status.OK:  # what may still run must be given up before the next attempt
             outcome.may_still_run = not await call.abandon()
-        live.guard.end(outcome.status, may_still_run=outcome.may_still_run)
-        live.scope, live.call = None, None
+        live.send_guard.end(outcome.status, may_still_run=outcome.may_still_run)
+        live.attempt_scope, live.call = None, None
         took_ms = self.deadlines.clock() - sent_ms
         self._note_end(live, order, number, outcome, took_ms)
         if outcome.status is Status.OK:
@@ -215,10 +219,10 @@
             order.engine,
             outcome.status,
             took_ms,
-            complete=live.over,
-            report=outcome.report,
+            complete=live.finished,
+            report=outcome.load_report,
             may_still_run=outcome.may_still_run,
-            late=outcome.late,
+            late=outcome.may_connect_late,
         )
 
     def _call(self, live: LiveRequest, engine: Engine, order: SendAttempt, limit_ms: float) -> Call:
@@ -237,40 +241,46 @@
             progress = await call.start()
             while progress.running:
                 if self.zone_watch is not None:
-                    self.zone_watch.heard(live.id, order.engine)
+                    self.zone_watch.engine_responded(live.id, order.engine)
                 if progress.note is not None:
-                    self.tell(AttemptNote(live.id, number, order.engine, *progress.note))
+                    self.dispatch(AttemptNote(live.id, number, order.engine, *progress.note))
                 progress = await call.poll()
-            outcome.report, outcome.pages = progress.report, [progress.rows]
+            outcome.load_report, outcome.pages = progress.load_report, [progress.rows]
             while (rows := await call.next_page()) is not None:
                 outcome.pages.append(rows)
                 # a result without an end must not fill the memory
                 if sum(map(len, outcome.pages)) > LARGEST_RESULT:
-                    raise AttemptFailed(Status.ERROR, "the result is too large")
+                    raise AttemptFailedError(Status.ERROR, "the result is too large")
             outcome.status = Status.OK  # only now: a page that is lost is an error that may have run
-        except AttemptFailed as failure:
-            outcome.status, outcome.report, outcome.late = failure.status, failure.report, failure.late
-            outcome.why = str(failure)
-            if self.zone_watch is not None and not failure.reached:
-                self.zone_watch.missed(order.engine)
+        except AttemptFailedError as failure:
+            outcome.status, outcome.load_report, outcome.may_connect_late = (
+                failure.status,
+                failure.load_report,
+                failure.may_connect_late,
+            )
+            outcome.reason = str(failure)
+            if self.zone_watch is not None and not failure.reachable:
+                self.zone_watch.connect_failed(order.engine)
 
     def _held(self, live: LiveRequest, order: SendAttempt, denial: Denial) -> None:
         """Count an attempt that was not begun; whoever ordered one that no rule allows has a fault."""
         self.counters.add(f"held.{denial.name.lower()}")
         if (rule := denial.violates) is None:
             return
-        self.invariants.violated(rule, txn=live.query.txn, engine=order.engine, attempt=live.attempts - 1)
+        self.invariants.violated(
+            rule, txn=live.query.transaction_id, engine=order.engine, attempt=live.attempt_count - 1
+        )
         self.answer(live, "failed", partial(live.reply.failed, denial.value))
 
     def _note_sent(self, live: LiveRequest, order: SendAttempt, number: int) -> None:
         self.counters.add(f"sent.{live.query.class_name}")
         if self.zone_watch is not None:
-            self.zone_watch.sent(live.id)
+            self.zone_watch.attempt_sent(live.id)
         if number:
             self.counters.add(f"repeated.{live.query.class_name}")
             log.info(
                 "attempt.repeated",
-                txn=live.query.txn,
+                txn=live.query.transaction_id,
                 class_name=live.query.class_name,
                 attempt=number,
                 engine=order.engine,
@@ -281,16 +291,16 @@
         self, live: LiveRequest, order: SendAttempt, number: int, outcome: AttemptOutcome, took_ms: float
     ) -> None:
         status = outcome.status
-        live.held_ms += took_ms * self.settings.classes[live.query.class_index].threads
+        live.used_thread_ms += took_ms * self.settings.classes[live.query.class_index].threads
         self.counters.add(f"outcome.{status.value}")
         if self.zone_watch is not None:
-            self.zone_watch.ended(live.id)
+            self.zone_watch.attempt_ended(live.id)
             if status is Status.OK:
-                self.zone_watch.heard(live.id, order.engine)
+                self.zone_watch.engine_responded(live.id, order.engine)
         if status is not Status.OK:
             log.info(
                 "attempt.ended",
-                txn=live.query.txn,
+                txn=live.query.transaction_id,
                 class_name=live.query.class_name,
                 attempt=number,
                 engine=order.engine,
@@ -298,59 +308,63 @@
                 not_run=status.proves_not_run,
                 may_still_run=outcome.may_still_run,
                 after_ms=round(took_ms),
-                why=outcome.why,
+                why=outcome.reason,
             )
 
-    def arrival(self, live: LiveRequest) -> RequestArrived:
+    def arrival_event(self, live: LiveRequest) -> RequestArrived:
         """Return the request as the module is told it now, with the time that it has left."""
         query = live.query
         return RequestArrived(
             live.id,
             query.class_index,
             live.deadline_ms - self.deadlines.clock(),
-            query.tenant,
+            query.tenant_index,
             query.cost_ms,
             query.memory_mb,
-            query.group,
+            query.table_group,
         )
 
-    def tell(self, event: Event) -> None:
+    def dispatch(self, event: Event) -> None:
         """Hand the module an event and carry out what it answers, in order."""
         now = self.deadlines.clock()
         for action in self.gateway.handle(now, event):
             match action:
                 case SendAttempt(request):
                     if (live := self.live.get(request)) is not None:
-                        live.order = action
-                        live.ordered.set()
+                        live.pending_send = action
+                        live.wakeup.set()
                 case RejectRequest(request, later, reason):
                     if (live := self.live.get(request)) is not None:
-                        self.refuse(live, later, reason)
+                        self.reject(live, later, reason)
                 case FailRequest(request, reason):
                     if (live := self.live.get(request)) is not None:
                         log.info(
                             "request.failed",
-                            txn=live.query.txn,
+                            txn=live.query.transaction_id,
                             class_name=live.query.class_name,
                             why=reason,
-                            attempts=live.attempts,
+                            attempts=live.attempt_count,
                         )
                         self.answer(live, "failed", partial(live.reply.failed, reason or "given up"))
                 case CancelAttempt(request, attempt):
                     live = self.live.get(request)
-                    if live is not None and live.scope is not None and live.attempts == attempt + 1:
-                        live.scope.cancel()
+                    if (
+                        live is not None
+                        and live.attempt_scope is not None
+                        and live.attempt_count == attempt + 1
+                    ):
+                        live.attempt_scope.cancel()
                 case SetQueryResources(request, _, priority):
                     self._set_priority(request, priority)
                 case StartTimer(token, delay):
-                    self.deadlines.add(now + delay, partial(self.tell, TimerFired(token)))
+                    self.deadlines.add(now + delay, partial(self.dispatch, TimerFired(token)))
                 case LogMessage(text):
                     log.info("module.says", text=text)
                 case _:  # this deployment knows neither probes nor peers, and its register pushes
                     log.warning("module.asks_in_vain", action=action)
         self.on_change()
 
-    def members(self, kind: ListUpdateKind, engines: Iterable[Engine]) -> None:
+    def update_engines(self, kind: ListUpdateKind, engines: Iterable[Engine]) -> None:
         """Take news of the register in, and pass it to the module."""
         listed = list(engines)
         if kind is not ListUpdateKind.DELTA:
@@ -372,45 +386,45 @@
             if engine.entry.state is EngineState.GONE:
                 self._retire(self.engines.pop(engine.entry.engine))
         if self.zone_watch is not None:
-            self.zone_watch.listed()
+            self.zone_watch.engines_updated()
         self.counters.add("members.events")
         # As they are kept here: one that is listed again may stand in a hall that is avoided.
         known = (self.engines.get(engine.entry.engine, engine) for engine in listed)
-        self.tell(EngineListChanged(kind, tuple(engine.notified_entry for engine in known)))
+        self.dispatch(EngineListChanged(kind, tuple(engine.notified_entry for engine in known)))
 
-    def unreached(self, address: str, after_ms: float) -> None:
+    def engine_unreachable(self, address: str, after_ms: float) -> None:
         """A connection there has not come up for long: what answers there next may have started anew."""
         for name in [name for name, engine in self.engines.items() if engine.address == address]:
-            self.tell(HealthCheckEnded(name, Status.CONNECT_FAILED, after_ms))
+            self.dispatch(HealthCheckEnded(name, Status.CONNECT_FAILED, after_ms))
 
-    def set_aside(self, name: str, cordoned: bool) -> None:
+    def set_cordoned(self, name: str, cordoned: bool) -> None:
         """Send an engine nothing new, or again; what runs there goes on, and its word is heeded as before."""
         (self.cordoned.add if cordoned else self.cordoned.discard)(name)
         if (engine := self.engines.get(name)) is not None:
             engine.cordoned = cordoned
-            self.tell(EngineListChanged(ListUpdateKind.DELTA, (engine.notified_entry,)))
+            self.dispatch(EngineListChanged(ListUpdateKind.DELTA, (engine.notified_entry,)))
 
-    def limit(self, class_index: int, threads: int | None) -> None:
+    def set_concurrency_limit(self, class_index: int, threads: int | None) -> None:
         """Bound the threads that a class may have out; None lifts the bound."""
-        self.tell(ConcurrencyLimitSet(class_index, threads))
+        self.dispatch(ConcurrencyLimitSet(class_index, threads))
 
     async def _may_send(self, live: LiveRequest, engine: Engine, order: SendAttempt) -> bool:
         """Whether bytes may go out now; nothing runs between the look and them."""
-        await live.reply.caught_up()
+        await live.reply.drain_input()
         if (denial := self._denial(live, engine, order)) is not None:
             self._held(live, order, denial)
             return False
-        live.guard.begin(self.deadlines.clock())
+        live.send_guard.begin(self.deadlines.clock())
         return True
 
     def _denial(self, live: LiveRequest, engine: Engine, order: SendAttempt) -> Denial | None:
         """Return why an attempt must not begin now; None where it may."""
-        if live.over:
+        if live.finished:
             return Denial.REQUEST_OVER
         if not engine.ready or self.engines.get(engine.entry.engine) is not engine:
             return Denial.ENGINE_CLOSED
         now = self.deadlines.clock()
-        return Denial.WINDOW_OVER if now > order.begin_by else live.guard.denial(now)
+        return Denial.WINDOW_OVER if now > order.begin_by else live.send_guard.denial(now)
 
     def _retire(self, engine: Engine) -> None:
         """No POST meant for this process may reach another that took its address."""
@@ -425,37 +439,37 @@
         for transport in self.transports.values():
             transport.forget(engine)
 
-    def refuse(self, live: LiveRequest, later_ms: float, reason: str) -> None:
+    def reject(self, live: LiveRequest, later_ms: float, reason: str) -> None:
         """Give the final answer that a retry is harmless, and count why."""
-        self.refusals[live.query.class_name, reason] += not live.over
+        self.rejections[live.query.class_name, reason] += not live.finished
         log.debug(
             "request.refused",
-            txn=live.query.txn,
+            txn=live.query.transaction_id,
             class_name=live.query.class_name,
             why=reason,
-            attempts=live.attempts,
+            attempts=live.attempt_count,
         )
-        self.answer(live, "refused", partial(live.reply.refused, later_ms))
+        self.answer(live, "refused", partial(live.reply.rejected, later_ms))
 
     def answer(self, live: LiveRequest, how: str, answer: Callable[[], None]) -> None:
         """Give the one final answer, at once; a second one is never given."""
-        if live.over:
+        if live.finished:
             return
         self.counters.add(f"answered.{how}.{live.query.class_name}")
         answer()
-        live.over = True
-        live.ordered.set()
+        live.finished = True
+        live.wakeup.set()
 
     def _set_priority(self, request: int, priority: int) -> None:
         if (live := self.live.get(request)) is None or live.priority == priority:
             return
         live.priority = priority
-        if not live.lowered:
+        if not live.deprioritized:
             self._pass_on(live, priority)
 
-    def lower(self, live: LiveRequest, lowered: bool) -> None:
+    def set_deprioritized(self, live: LiveRequest, lowered: bool) -> None:
         """Lower what runs, or give it its own priority again; it is never stopped."""
-        live.lowered = lowered
+        live.deprioritized = lowered
         self._pass_on(live, 0 if lowered else live.priority)
         self.counters.add("priority.lowered" if lowered else "priority.raised")
 
--- a/fordstair/core/extensions.py
+++ b/fordstair/core/extensions.py
@@ -13,33 +13,33 @@
     async def wait(self, live: LiveRequest) -> None:
         """Wait until the module has been told of the request, or it is over."""
 
-    def forget(self, live: LiveRequest) -> bool:
+    def remove(self, live: LiveRequest) -> bool:
         """Take a request out; whether it waited here."""
 
     def withdraw(self, live: LiveRequest) -> bool:
         """The program ends: whether the request was waiting here, and is answered."""
 
-    def ended(self, live: LiveRequest) -> None:
+    def request_finished(self, live: LiveRequest) -> None:
         """A request is over: what it held is settled."""
 
-    def outlook(self, team: int) -> tuple[int, float]:
+    def expected_wait(self, team: int) -> tuple[int, float]:
         """Return how many requests of a team wait, and how long a new one would."""
 
 
 class AttemptWatch(Protocol):
     """Watches attempts for what none of them shows alone."""
 
-    def listed(self) -> None:
+    def engines_updated(self) -> None:
         """The list of engines has changed."""
 
-    def sent(self, request: int) -> None:
+    def attempt_sent(self, request: int) -> None:
         """An attempt goes out."""
 
-    def heard(self, request: int, engine: str) -> None:
+    def engine_responded(self, request: int, engine: str) -> None:
         """An engine has said something, whatever it was."""
 
-    def missed(self, engine: str) -> None:
+    def connect_failed(self, engine: str) -> None:
         """A connect to an engine never came up."""
 
-    def ended(self, request: int) -> None:
+    def attempt_ended(self, request: int) -> None:
         """An attempt is over."""
--- a/fordstair/core/live_request.py
+++ b/fordstair/core/live_request.py
@@ -19,34 +19,34 @@
     id: int
     query: Query
     reply: Reply
-    taken_ms: float
+    received_ms: float
     deadline_ms: float
-    guard: SendGuard
+    send_guard: SendGuard
     priority: int = 1
-    lowered: bool = False  # runs beyond its team's budget while others wait
-    attempts: int = 0
-    held_ms: float = 0.0  # thread-milliseconds at engines so far
+    deprioritized: bool = False  # runs beyond its team's budget while others wait
+    attempt_count: int = 0
+    used_thread_ms: float = 0.0  # thread-milliseconds at engines so far
     engine: str = ""
-    over: bool = False  # its final answer is given, or nobody waits for one
-    order: SendAttempt | None = None
-    ordered: trio.Event = field(default_factory=trio.Event)
+    finished: bool = False  # its final answer is given, or nobody waits for one
+    pending_send: SendAttempt | None = None
+    wakeup: trio.Event = field(default_factory=trio.Event)
     call: Call | None = None
-    scope: trio.CancelScope | None = None  # of the attempt that is out
+    attempt_scope: trio.CancelScope | None = None  # of the attempt that is out
 
-    async def next_order(self) -> SendAttempt | None:
+    async def next_send(self) -> SendAttempt | None:
         """Wait for the module's next send; None once the request is over."""
-        while self.order is None and not self.over:
-            self.ordered = trio.Event()
-            await self.ordered.wait()
-        order, self.order = self.order, None
-        return order
+        while self.pending_send is None and not self.finished:
+            self.wakeup = trio.Event()
+            await self.wakeup.wait()
+        send, self.pending_send = self.pending_send, None
+        return send
 
-    def end(self) -> None:
+    def abandon(self) -> None:
         """Nothing more is owed to the client; what is out is given up."""
-        self.over = True
-        self.ordered.set()
-        if self.scope is not None:
-            self.scope.cancel()
+        self.finished = True
+        self.wakeup.set()
+        if self.attempt_scope is not None:
+            self.attempt_scope.cancel()
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
 
     status: Status = Status.CANCELLED
     pages: list[bytes] = field(default_factory=list)
-    report: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
     may_still_run: bool = False  # it may begin or run yet
-    late: bool = False  # its connection may come up yet
-    why: str = ""
+    may_connect_late: bool = False  # its connection may come up yet
+    reason: str = ""
--- a/fordstair/core/ports.py
+++ b/fordstair/core/ports.py
@@ -15,16 +15,16 @@
 class Query:
     """One request of a client, in no wire's form."""
 
-    txn: str
+    transaction_id: str
     class_name: str  # the class, by name
     class_index: int
-    tenant: int
-    limit_ms: float  # how long the client waits, from its send
+    tenant_index: int
+    timeout_ms: float  # how long the client waits, from its send
     statement: bytes
-    group: float = 0.0
+    table_group: float = 0.0
     cost_ms: float = 0.0
     memory_mb: float = 0.0
-    waited_ms: float = 0.0  # of its limit, before it was read here
+    read_delay_ms: float = 0.0  # of its limit, before it was read here
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
     entry: EngineEntry
     address: str  # host:port
     protocol: str = "rest"
-    started: UnixMs | None = None  # its process, as discovery tells it; None: long past
+    started_at: UnixMs | None = None  # its process, as discovery tells it; None: long past
     cordoned: bool = False  # an operator has set it aside
     zone_ejected: bool = False  # its hall is out of reach
 
@@ -54,13 +54,13 @@
 class Reply(Protocol):
     """The way back to a client: takes the one final answer of its request, at once, and raises nothing."""
 
-    async def caught_up(self) -> None:
+    async def drain_input(self) -> None:
         """Wait until what the client has said by now is read: that it goes, perhaps."""
 
     def served(self, pages: Sequence[bytes]) -> None:
         """All rows, in order, as text with tabs and line feeds."""
 
-    def refused(self, later_ms: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         """A retry is harmless, best after that long."""
 
     def failed(self, reason: str) -> None:
@@ -74,32 +74,32 @@
     running: bool
     rows: bytes = b""
     note: tuple[NoteKind, float] | None = None
-    report: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
-class AttemptFailed(Exception):
+class AttemptFailedError(Exception):
     """An attempt has ended without its result; the status says what that proves."""
 
     def __init__(
         self,
         status: Status,
-        why: str,
-        report: tuple[float, ...] = (),
+        reason: str,
+        load_report: tuple[float, ...] = (),
         *,
-        reached: bool = True,
-        late: bool = False,
+        reachable: bool = True,
+        may_connect_late: bool = False,
     ) -> None:
-        super().__init__(why)
-        self.status, self.report = status, report
-        self.reached = reached  # whether anything there has answered at all
-        self.late = late  # its connection may come up yet
+        super().__init__(reason)
+        self.status, self.load_report = status, load_report
+        self.reachable = reachable  # whether anything there has answered at all
+        self.may_connect_late = may_connect_late  # its connection may come up yet
 
 
 class Call(Protocol):
     """One attempt at one engine, in the transport's own protocol."""
 
     async def start(self) -> QueryProgress:
-        """Send the query; raise AttemptFailed when it ends badly."""
+        """Send the query; raise AttemptFailedError when it ends badly."""
 
     async def poll(self) -> QueryProgress:
         """Ask how it stands, again and again without a long gap."""
@@ -129,7 +129,7 @@
     query: Query
     engine: Engine
     priority: int
-    limit_ms: float
+    timeout_ms: float
     may_send: Callable[[], Awaitable[bool]] = _always  # asked right before bytes go out
 
 
--- a/fordstair/core/zone_watch.py
+++ b/fordstair/core/zone_watch.py
@@ -26,7 +26,7 @@
         self._starts: dict[str, float] = {}  # of the engines' processes, as last listed
         self._looking = False
 
-    def listed(self) -> None:
+    def engines_updated(self) -> None:
         """The list of engines has changed."""
         engines = self.coordinator.engines
         starts = {name: engine.entry.started_ms for name, engine in engines.items()}
@@ -39,26 +39,26 @@
         for name, engine in engines.items():
             engine.zone_ejected = self.zones.avoids(name)
 
-    def sent(self, request: int) -> None:
+    def attempt_sent(self, request: int) -> None:
         """An attempt goes out."""
         self._heard[request] = self._now()
         if not self._looking:
             self._looking = True
             self._look_later()
 
-    def heard(self, request: int, engine: str) -> None:
+    def engine_responded(self, request: int, engine: str) -> None:
         """An engine has said something, whatever it was."""
         if request in self._heard:
             self._heard[request] = self._now()
         if self.zones.heard(self._now(), engine):
             self._changed()
 
-    def missed(self, engine: str) -> None:
+    def connect_failed(self, engine: str) -> None:
         """A connect to an engine never came up."""
         if self.zones.missed(self._now(), engine):
             self._changed()
 
-    def ended(self, request: int) -> None:
+    def attempt_ended(self, request: int) -> None:
         """An attempt is over."""
         self._heard.pop(request, None)
 
@@ -67,7 +67,7 @@
         for request, heard_ms in list(self._heard.items()):
             live = self.coordinator.live.get(request)
             if live is not None and now - heard_ms >= SILENCE_MS:
-                self.missed(live.engine)
+                self.connect_failed(live.engine)
         if self.zones.tried_again(now):
             self._changed()
         self._looking = bool(self._heard) or any(zone.avoided_until for zone in self.zones.zones.values())
@@ -93,7 +93,7 @@
             )
             self.coordinator.counters.add("halls.avoided" if avoided else "halls.tried")
         if turned:
-            self.coordinator.tell(
+            self.coordinator.dispatch(
                 EngineListChanged(ListUpdateKind.DELTA, tuple(engine.notified_entry for engine in turned))
             )
 
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -21,7 +21,7 @@
 from fordstair.budgets.whole import Plan
 from fordstair.core.admission_queue import AdmissionQueue
 from fordstair.core.coordinator import Coordinator
-from fordstair.core.ports import AttemptFailed, AttemptRequest, Engine, Query, QueryProgress
+from fordstair.core.ports import AttemptFailedError, AttemptRequest, Engine, Query, QueryProgress
 from fordstair.core.zone_watch import ZoneWatch
 from fordstair.decisions.engine_list import EngineEntry, ListUpdateKind
 from fordstair.decisions.events import NoteKind, Status
@@ -82,9 +82,9 @@
                 await self._woken.wait()
 
     def begin(self, run: Run, work_ms: float, priority: int) -> None:
-        """Start a query; raise AttemptFailed where there is no room."""
+        """Start a query; raise AttemptFailedError where there is no room."""
         if len(self.runs) >= self.sessions:
-            raise AttemptFailed(Status.FULL, "no room")
+            raise AttemptFailedError(Status.FULL, "no room")
         self._advance(now_ms())
         if run.is_load:
             self.loads[run.txn] += 1
@@ -144,17 +144,17 @@
     async def start(self) -> QueryProgress:
         """Send the query."""
         if self.server is None:
-            raise AttemptFailed(Status.CONNECT_FAILED, "refused")
+            raise AttemptFailedError(Status.CONNECT_FAILED, "refused")
         if self.server.silent:
             await trio.sleep(CONNECT_MS / 1e3)
-            raise AttemptFailed(Status.CONNECT_FAILED, "nothing came up", reached=False)
+            raise AttemptFailedError(Status.CONNECT_FAILED, "nothing came up", reachable=False)
         await self._way()
         if not await self.attempt_request.may_send():
-            raise AttemptFailed(Status.MOOT, "the engine takes nothing new")
+            raise AttemptFailedError(Status.MOOT, "the engine takes nothing new")
         query = self.attempt_request.query
         spec = self.desk.settings.classes[query.class_index]
-        run = Run(query.txn, query.tenant, spec.threads, now_ms(), spec.is_load)
-        self.server.begin(run, self.desk.work_ms[query.txn], self.attempt_request.priority)
+        run = Run(query.transaction_id, query.tenant_index, spec.threads, now_ms(), spec.is_load)
+        self.server.begin(run, self.desk.work_ms[query.transaction_id], self.attempt_request.priority)
         self.ran = run
         return await self.poll()
 
@@ -174,7 +174,7 @@
         if run.over.is_set():
             if run.served:
                 return QueryProgress(False, b"1\n", None, report)
-            raise AttemptFailed(Status.ERROR, "given up", report)
+            raise AttemptFailedError(Status.ERROR, "given up", report)
         note = None
         if now_ms() - run.noted_ms >= NOTE_MS and (job := server.machine.jobs.get(run.txn)) is not None:
             run.noted_ms = now_ms()
@@ -212,7 +212,7 @@
     def __init__(self, record: Record, sent_ms: float) -> None:
         self.record, self.sent_ms = record, sent_ms
 
-    async def caught_up(self) -> None:
+    async def drain_input(self) -> None:
         """It says nothing."""
         await trio.lowlevel.checkpoint()
 
@@ -220,9 +220,9 @@
         """Served."""
         self._answered("served", "")
 
-    def refused(self, later_ms: float) -> None:
-        """Refused; ``later_ms`` is when to come again."""
-        self._answered("refused", f"later {later_ms:.0f}")
+    def rejected(self, retry_after_ms: float) -> None:
+        """Refused; ``retry_after_ms`` is when to come again."""
+        self._answered("refused", f"later {retry_after_ms:.0f}")
 
     def failed(self, reason: str) -> None:
         """Failed."""
@@ -309,7 +309,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.deadlines.run)
             await nursery.start(self.coordinator.run)
-            self.coordinator.members(
+            self.coordinator.update_engines(
                 ListUpdateKind.FULL,
                 [Engine(server.entry, name) for name, server in self.site.servers.items()],
             )
@@ -319,7 +319,7 @@
         """Let a client send its request now."""
         txn = f"{self.name}-{len(self.work_ms)}"
         self.work_ms[txn] = arrival.work_ms
-        live = self.coordinator.take(
+        live = self.coordinator.submit(
             Query(
                 txn,
                 arrival.class_name,
@@ -396,7 +396,7 @@
         for desk in self.desks:
 
             def tell(desk: Desk = desk) -> None:
-                desk.coordinator.members(kind, [Engine(entry, entry.engine) for entry in told])
+                desk.coordinator.update_engines(kind, [Engine(entry, entry.engine) for entry in told])
 
             desk.deadlines.add(now_ms() + desk.random.uniform(*late_ms), tell)
 
--- a/fordstair/net/clients/odata_front.py
+++ b/fordstair/net/clients/odata_front.py
@@ -63,7 +63,7 @@
     later_ms: float | None = None
     reason: str = ""
 
-    async def caught_up(self) -> None:
+    async def drain_input(self) -> None:
         """Its session reads all the while."""
         await trio.lowlevel.checkpoint()
 
@@ -72,9 +72,9 @@
         self.pages = pages
         self.done.set()
 
-    def refused(self, later_ms: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         """A retry is harmless."""
-        self.later_ms = later_ms
+        self.later_ms = retry_after_ms
         self.done.set()
 
     def failed(self, reason: str) -> None:
@@ -260,7 +260,7 @@
             if not data:
                 self.gone = True
                 if self.live is not None:
-                    self.coordinator.leave(self.live)
+                    self.coordinator.client_disconnected(self.live)
                     self.reply.done.set()
                 return
             if len(self.http.trailing_data[0]) + len(data) > LARGEST_BODY:
@@ -413,7 +413,7 @@
         limit_ms = min(spec.client_timeout_ms, float(wait[1]) * 1000.0) if wait else spec.client_timeout_ms
         limit_ms = max(0.0, min(limit_ms, self.until_ms - coordinator.deadlines.clock()))
         self.reply = reply = Reply()
-        self.live = live = coordinator.take(
+        self.live = live = coordinator.submit(
             Query(
                 secrets.token_hex(8),
                 class_name,
@@ -430,7 +430,7 @@
         try:
             await reply.done.wait()
         finally:
-            coordinator.leave(live)  # no harm where it is over
+            coordinator.client_disconnected(live)  # no harm where it is over
             self.live = None
         if reply.pages is not None:
             return reply.pages
--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -45,17 +45,17 @@
     def __init__(self, client: RpcClient, number: int) -> None:
         self.client, self.number = client, number
 
-    async def caught_up(self) -> None:
+    async def drain_input(self) -> None:
         """Wait until what the client has written by now is read."""
-        await self.client.caught_up()
+        await self.client.drain_input()
 
     def served(self, pages: Sequence[bytes]) -> None:
         """Answer with all rows."""
         self.client.final(self.number, None, [b"".join(pages), {}])
 
-    def refused(self, later_ms: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         """Answer that a retry is harmless, and when to make it."""
-        fields = {"later": str(math.ceil(later_ms))} if later_ms > 0.0 else {}
+        fields = {"later": str(math.ceil(retry_after_ms))} if retry_after_ms > 0.0 else {}
         self.client.final(self.number, ["Overloaded", fields], None)
 
     def failed(self, reason: str) -> None:
@@ -146,7 +146,7 @@
         self.closing = True
         self._stir.set()
 
-    async def caught_up(self) -> None:
+    async def drain_input(self) -> None:
         """Wait until all that has come by now is read: behind other messages it may say that its client goes.
 
         A client that is not read from, since it does not read itself, has nothing begun for it either.
@@ -297,7 +297,7 @@
     def _leave(self) -> None:
         """Give up all that is open: its client has gone, or can no longer be understood."""
         for live in list(self.open.values()):
-            self.coordinator.leave(live)
+            self.coordinator.client_disconnected(live)
         self.open.clear()
 
     def _refuse_rest(self, view: memoryview, why: str) -> None:
@@ -333,7 +333,7 @@
                 self._invalid(number, "not a request")
             case [2, memoryview() as method, [int(number)]] if method == b"cancelRequest":
                 if (live := self.open.pop(number, None)) is not None:
-                    self.coordinator.leave(live)
+                    self.coordinator.client_disconnected(live)
             case [2, memoryview(), _]:
                 pass  # a notification that is not known here asks for nothing
             case _:
@@ -352,7 +352,7 @@
         except BadRequest as error:
             return self._invalid(number, str(error))
         self.asked, self._faults, self.since_ms = True, 0, self.deadlines.clock()
-        self.open[number] = self.coordinator.take(query, RpcReply(self, number))
+        self.open[number] = self.coordinator.submit(query, RpcReply(self, number))
 
     def _invalid(self, number: int, why: str) -> None:
         self.coordinator.counters.add("client.invalid")
--- a/fordstair/net/clients/rpc_query.py
+++ b/fordstair/net/clients/rpc_query.py
@@ -31,10 +31,10 @@
     txn = _text(fields, b"txn")
     if not _TXN.fullmatch(txn):
         raise BadRequest("txn must be 16 hex digits")
-    if coordinator.knows(txn):  # an engine could not tell the two queries apart
+    if coordinator.is_in_progress(txn):  # an engine could not tell the two queries apart
         raise BadRequest("a request with this txn is open")
     team = _text(fields, b"team") if coordinator.tenants else ""  # of a site without teams it says nothing
-    if (tenant := coordinator.tenant_of(team)) is None:
+    if (tenant := coordinator.tenant_index(team)) is None:
         raise BadRequest(f"unknown team {team[:40]!r}")
     statement = bytes(body)  # the copy outlives the read buffer
     return Query(
--- a/fordstair/net/command_channel.py
+++ b/fordstair/net/command_channel.py
@@ -57,7 +57,7 @@
             raise FrameError(f"unknown state {state}")
         entry = EngineEntry(f"s-{name:08x}", _STATES[state], zone, cell, kind, weight=weight / 1000)
         address = f"{host[0]}.{host[1]}.{host[2]}.{host[3]}:{port}"
-        engines.append(Engine(entry, address, started=_started(started)))
+        engines.append(Engine(entry, address, started_at=_started(started)))
     return engines
 
 
--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -295,11 +295,11 @@
     def _carry_out(self, change: Change) -> None:
         match change:
             case SetAside(engine):
-                self.coordinator.set_aside(engine, True)
+                self.coordinator.set_cordoned(engine, True)
             case BringBack(engine):
-                self.coordinator.set_aside(engine, False)
+                self.coordinator.set_cordoned(engine, False)
             case Limit(class_name, threads):
-                self.coordinator.limit(self.coordinator.classes[class_name], threads)
+                self.coordinator.set_concurrency_limit(self.coordinator.classes[class_name], threads)
             case Drain():
                 self.drain()
 
@@ -310,7 +310,7 @@
             frozenset(name for name, engine in coordinator.engines.items() if engine.ready),
             frozenset(coordinator.engines),
             {spec.name: spec.threads for spec in coordinator.settings.classes},
-            coordinator.open,
+            coordinator.open_count,
             coordinator.draining,
         )
 
--- a/fordstair/net/engines/call.py
+++ b/fordstair/net/engines/call.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from fordstair.core.ports import AttemptFailed, AttemptRequest, Engine, QueryProgress
+from fordstair.core.ports import AttemptFailedError, AttemptRequest, Engine, QueryProgress
 from fordstair.decisions.events import Status
 from fordstair.net.engines.http_client import Answer, Broken, Connection
 from fordstair.net.engines.pool import ConnectFailed, Pool, PooledConnection
@@ -83,12 +83,12 @@
     async def start(self) -> QueryProgress:
         """POST the query; what is no answer, once it went whole, is followed by asking, never by a POST."""
         attempt_request = self.attempt_request
-        until_ms = self.deadlines.clock() + attempt_request.limit_ms
+        until_ms = self.deadlines.clock() + attempt_request.timeout_ms
         try:
             connection = await self.pool.acquire(self.address)
         except ConnectFailed as error:
             failed = self.end(Status.CONNECT_FAILED, str(error))
-            failed.reached, failed.late = error.refused, error.late
+            failed.reachable, failed.may_connect_late = error.refused, error.late
             raise failed from error
         why = "silence"
         try:
@@ -115,7 +115,7 @@
         if not self.posted_ms:  # it never came whole, so nothing is out; for a load that is no proof yet
             raise self.end(Status.RESET, f"the engine does not read: {why}")
         if not self.path:
-            raise AttemptFailed(Status.RESET, f"the engine did not say where to ask: {why}")
+            raise AttemptFailedError(Status.RESET, f"the engine did not say where to ask: {why}")
         # The query may run. Another attempt now would be a second one beside it, and its end, which the
         # engine tells again under its id, would be lost.
         self.pool.counters.add("engine.asked_anew")
@@ -131,7 +131,7 @@
         await self.deadlines.sleep(OVERTAKE_MS)
         try:
             return await self.ask(self.news_path, self.read)
-        except AttemptFailed as failure:
+        except AttemptFailedError as failure:
             if self.heard or failure.status is not Status.ERROR:
                 raise
         self.ended = False
@@ -218,7 +218,7 @@
                 breaks += 1
                 self.pool.counters.add("engine.broken_answers")
                 if breaks >= BREAKS_MOST:
-                    raise AttemptFailed(Status.RESET, str(error)) from error
+                    raise AttemptFailedError(Status.RESET, str(error)) from error
             finally:
                 if connection is not None and connection is not self.unread:
                     self.pool.release(connection)
@@ -250,12 +250,12 @@
             connection.spoilt = True
             raise
 
-    def end(self, status: Status, why: str, report: tuple[float, ...] = ()) -> AttemptFailed:
+    def end(self, status: Status, why: str, report: tuple[float, ...] = ()) -> AttemptFailedError:
         """Note that nothing runs any more; return the error to raise."""
         self.ended = True
-        return AttemptFailed(status, why, report)
+        return AttemptFailedError(status, why, report)
 
-    def end_unserved(self, answer: Answer, report: tuple[float, ...] = ()) -> AttemptFailed:
+    def end_unserved(self, answer: Answer, report: tuple[float, ...] = ()) -> AttemptFailedError:
         """Return the error for a status that brings no result; only X-Unrun proves that nothing ran."""
         status = Status.ERROR
         if answer.text(b"x-unrun") == "1":
--- a/fordstair/net/engines/odata.py
+++ b/fordstair/net/engines/odata.py
@@ -45,7 +45,7 @@
         """Id, class and statement go out as they came, as the action's parameters."""
         query = self.attempt_request.query
         parameters = {
-            "Txn": query.txn,
+            "Txn": query.transaction_id,
             "Lane": query.class_name,
             "LimitMs": limit_ms,
             "Urgency": self.attempt_request.priority,
@@ -82,7 +82,7 @@
                 raise self.end(Status.ERROR, "202 without a status monitor")
             wait = answer.text(b"retry-after")
             self.pause_ms = min(PAUSE_MOST_MS, float(wait) * 1000.0) if wait.isdecimal() else PAUSE_MS
-            return QueryProgress(True, report=report)
+            return QueryProgress(True, load_report=report)
         result = answer.text(b"asyncresult", "200")  # the monitor itself answers 200 for any end
         if answer.status != 200 or result != "200":
             if result.isdecimal() and answer.status == 200:
@@ -90,7 +90,7 @@
             raise self.end_unserved(answer, report)
         rows = self._rows(answer)
         self.ended = True
-        return QueryProgress(False, rows, report=report)
+        return QueryProgress(False, rows, load_report=report)
 
     def _rows(self, answer: Answer) -> bytes:
         """Return a page as text; what is no page, or cannot stand in rows of text, raises Broken."""
--- a/fordstair/net/engines/rest.py
+++ b/fordstair/net/engines/rest.py
@@ -58,7 +58,7 @@
     @property
     def path(self) -> str:
         """The query's own resource; page 0 of it is its news."""
-        return f"/o/{self.attempt_request.query.txn}"
+        return f"/o/{self.attempt_request.query.transaction_id}"
 
     @property
     def news_path(self) -> str:
@@ -71,7 +71,7 @@
         return (
             "/o",
             [
-                ("X-Txn", query.txn),
+                ("X-Txn", query.transaction_id),
                 ("X-Lane", query.class_name),
                 ("X-Limit-Ms", str(limit_ms)),
                 ("X-Urgency", str(self.attempt_request.priority)),
@@ -104,7 +104,7 @@
         report = parse_report(answer.text(b"x-gauges"), self.fields)
         if answer.status == 202:
             return QueryProgress(
-                True, note=parse_note(answer.text(b"x-how"), answer.text(b"x-val")), report=report
+                True, note=parse_note(answer.text(b"x-how"), answer.text(b"x-val")), load_report=report
             )
         if answer.status != 200:
             raise self.end_unserved(answer, report)
@@ -112,4 +112,4 @@
         if not pages.isdecimal() or not 1 <= int(pages) <= PAGES_MOST:
             raise Broken(f"{pages[:20]!r} pages")
         self.ended, self.pages = True, int(pages)
-        return QueryProgress(False, rows, report=report)
+        return QueryProgress(False, rows, load_report=report)
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -89,7 +89,7 @@
         self.coordinator = Coordinator(
             config.settings, config.seed, transports, self.deadlines, self.counters
         )
-        self.pool.unreached = self.coordinator.unreached
+        self.pool.unreached = self.coordinator.engine_unreachable
         if config.budgets is not None:
             from fordstair.core.admission_queue import AdmissionQueue
             from fordstair.scheduling.scheduler import Scheduler
@@ -186,13 +186,13 @@
         """Pass the register's news on, with the protocols that the operator has set."""
         for engine in engines:
             name = engine.entry.engine
-            started_ms = self.start_times.moment(name, engine.started, announced=announced)
+            started_ms = self.start_times.moment(name, engine.started_at, announced=announced)
             engine.entry = replace(engine.entry, started_ms=started_ms)
             if engine.entry.state is EngineState.GONE:
                 self.start_times.forget(name)
             if self.operator is not None:
                 engine.protocol = self.operator.engines.get(engine.entry.engine, engine.protocol)
-        self.coordinator.members(kind, engines)
+        self.coordinator.update_engines(kind, engines)
         self.listed.set()
 
     async def keep_engines(self, ledger: Service) -> None:
@@ -399,9 +399,9 @@
             await deadlines.sleep(1.0)
         for scope in accepting:
             scope.cancel()
-        while deadlines.clock() < kill_ms - ANSWER_MS and coordinator.open:
+        while deadlines.clock() < kill_ms - ANSWER_MS and coordinator.open_count:
             await deadlines.sleep(20.0)
-        coordinator.close()
+        coordinator.withdraw_all()
         self.rpc.close()
         while deadlines.clock() < kill_ms - ANSWER_MS + FLUSH_MS and (
             self.rpc.clients or coordinator.live or (self.odata is not None and not self.odata.idle)
--- a/fordstair/replication/engines.py
+++ b/fordstair/replication/engines.py
@@ -163,7 +163,7 @@
             each.entry.zone,
             each.entry.cell,
             each.entry.kind,
-            each.started.value if each.started is not None else 0.0,
+            each.started_at.value if each.started_at is not None else 0.0,
             each.entry.weight,
         )
         for each in engines
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -70,7 +70,7 @@
 
     def look(self, now: float) -> Picture:
         """Make the picture of this moment of the monotonic clock, numbered after the one before."""
-        live = [each for each in self.coordinator.live.values() if not each.over]
+        live = [each for each in self.coordinator.live.values() if not each.finished]
         rows: dict[str, dict[str, Any]] = {
             "engines": self._engines(now),
             "classes": self._classes(live),
@@ -162,7 +162,7 @@
     def _teams(self, live: list[LiveRequest]) -> dict[str, TeamView]:
         by_team: dict[int, list[LiveRequest]] = {t: [] for t in range(len(self.coordinator.settings.tenants))}
         for each in live if by_team else ():
-            by_team[each.query.tenant].append(each)
+            by_team[each.query.tenant_index].append(each)
         classes = self.coordinator.settings.classes
         return {
             tenant.name: TeamView(
@@ -178,12 +178,12 @@
         }
 
     def _oldest(self, live: list[LiveRequest]) -> float:
-        return round(self._unix(live[0].taken_ms), 1) if live else 0.0
+        return round(self._unix(live[0].received_ms), 1) if live else 0.0
 
     def _outlook(self, team: int) -> tuple[int, float | None]:
         if (queue := self.coordinator.admission_queue) is None:
             return 0, None
-        queued, wait_ms = queue.outlook(team)
+        queued, wait_ms = queue.expected_wait(team)
         return queued, round(wait_ms)
 
     def _requests(self, live: list[LiveRequest]) -> dict[str, RequestView]:
@@ -191,12 +191,12 @@
         return {
             str(each.id): RequestView(  # taken in order: the first are the oldest
                 each.id,
-                each.query.txn,
+                each.query.transaction_id,
                 each.query.class_name,
-                teams[each.query.tenant],
-                round(self._unix(each.taken_ms), 1),
+                teams[each.query.tenant_index],
+                round(self._unix(each.received_ms), 1),
                 round(self._unix(each.deadline_ms), 1),
-                each.attempts,
+                each.attempt_count,
                 each.engine if each.call is not None else "",
             )
             for each in islice(live, REQUESTS_MOST)
@@ -205,7 +205,7 @@
     def _refusals(self) -> dict[str, RefusalView]:
         return {
             f"{class_name}|{reason}": RefusalView(class_name, reason, count)
-            for (class_name, reason), count in self.coordinator.refusals.items()
+            for (class_name, reason), count in self.coordinator.rejections.items()
         }
 
     def _members(self) -> dict[str, MemberView]:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -231,7 +231,7 @@
                 await client.ask("nonsense")
                 await until(lambda: gate.held)
                 number = await client.ask()
-            node.coordinator.close()
+            node.coordinator.withdraw_all()
             node.rpc.close()
             await wait_all_tasks_blocked(0.05)
             gate.open.set()
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -139,7 +139,7 @@
     observer = Observer("x", watched, Ledger(), WallClock())
     named = set()
     for one in (plain, watched):
-        one.members(ListUpdateKind.FULL, [Engine(entry(n), f"127.0.0.1:{n}") for n in range(1, 4)])
+        one.update_engines(ListUpdateKind.FULL, [Engine(entry(n), f"127.0.0.1:{n}") for n in range(1, 4)])
     sent: dict[int, list[str]] = {0: [], 1: []}
     for turn in range(400):
         now = 1_000.0 + turn * 37.0
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -517,11 +517,11 @@
 def test_engines_from_the_set_count_as_cold_where_nobody_heard_the_register_lately() -> None:
     known, restored = EngineSet("a"), Restored(slow_start_ms=5_000.0)
     known.follow(1_000, 1_000, [listed("x", 500.0)])
-    assert [each.started for each in restored.engines(2_000.0, known)] == [UnixMs(500.0)]
+    assert [each.started_at for each in restored.engines(2_000.0, known)] == [UnixMs(500.0)]
     known.follow(1_000, 1_000, [listed("x", 500.0), listed("y", 500.0)])
-    later = {each.entry.engine: each.started for each in restored.engines(9_000.0, known)}
+    later = {each.entry.engine: each.started_at for each in restored.engines(9_000.0, known)}
     assert later == {"x": UnixMs(500.0), "y": UnixMs(9_000.0)}
-    again = {each.entry.engine: each.started for each in restored.engines(9_500.0, known)}
+    again = {each.entry.engine: each.started_at for each in restored.engines(9_500.0, known)}
     assert again == later  # what was said once stays
     assert restored.engines(1_000.0 + OLDEST_MS, known) == []
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -105,7 +105,7 @@
                     EngineState.DRAINING,
                     "10.1.0.9:6565",
                 )
-                assert (entry.zone, entry.cell, entry.weight, engine.started) == (2, 3, 4.0, UnixMs(77.0))
+                assert (entry.zone, entry.cell, entry.weight, engine.started_at) == (2, 3, 4.0, UnixMs(77.0))
             buffer = buffer[length:]
     assert seen == events
     assert not buffer
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -458,12 +458,12 @@
         coordinator = Coordinator(settings, 1, {}, deadlines, counters)
         async with trio.open_nursery() as nursery:
             await nursery.start(coordinator.run)
-            coordinator.members(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "127.0.0.1:1")])
+            coordinator.update_engines(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "127.0.0.1:1")])
             query = Query("0" * 16, "lookup", 0, 0, 3000.0, b"")
             for _ in range(50):  # before the task has begun
-                coordinator.leave(coordinator.take(query, Reply()))
+                coordinator.client_disconnected(coordinator.submit(query, Reply()))
             for _ in range(5):  # a fault in the transport, here that there is none, ends the attempt as well
-                coordinator.take(query, Reply())
+                coordinator.submit(query, Reply())
             for _ in range(5):
                 await trio.lowlevel.checkpoint()
             gateway = coordinator.gateway
@@ -480,9 +480,11 @@
     async def scene() -> None:
         coordinator = Coordinator(parse(config()).settings, 1, {"rest": Nowhere()}, Deadlines(), Counters())
         for number in range(20):
-            coordinator.members(ListUpdateKind.DELTA, [Engine(EngineEntry(f"s-{number}"), "127.0.0.1:1")])
+            coordinator.update_engines(
+                ListUpdateKind.DELTA, [Engine(EngineEntry(f"s-{number}"), "127.0.0.1:1")]
+            )
             gone = EngineEntry(f"s-{number - 1}", EngineState.GONE)
-            coordinator.members(ListUpdateKind.DELTA, [Engine(gone, "127.0.0.1:1")])
+            coordinator.update_engines(ListUpdateKind.DELTA, [Engine(gone, "127.0.0.1:1")])
         assert list(coordinator.engines) == list(coordinator.gateway.engines) == ["s-19"]
 
     play(scene)
@@ -503,9 +505,9 @@
             nursery.start_soon(one.deadlines.run)
             await nursery.start(one.coordinator.run)
             reply = Reply()
-            one.coordinator.members(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
+            one.coordinator.update_engines(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
             one.coordinator.transports = {"rest": Endless()}
-            one.coordinator.take(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
+            one.coordinator.submit(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
             start = clock()
             await one.drain([])
             assert least_s < clock() - start < most_s
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -373,7 +373,7 @@
             number, query, reply, 1e6, 1e6 + 6_000.0, SendGuard(Idempotency.IDEMPOTENT, 0.0)
         )
         assert queue.scheduler.arrive(Told(number, 0, 0, 1, 10.0, math.inf), 1e6).refused is None
-        assert live.order is None
+        assert live.pending_send is None
     assert queue.withdraw(one.live[0])
     assert not queue.withdraw(one.live[0])
     queue.release()
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -129,7 +129,7 @@
     watch = coordinator.zone_watch = ZoneWatch(coordinator)
 
     def listed(**starts: float) -> None:
-        coordinator.members(
+        coordinator.update_engines(
             ListUpdateKind.FULL,
             [
                 Engine(EngineEntry(name, zone=zone, started_ms=starts.get(name, 0.0)), name)
@@ -142,23 +142,23 @@
 
     listed()
     clock[0] += 1_000.0
-    watch.heard(1, "b0")
+    watch.engine_responded(1, "b0")
     for engine in ("a0", "a1", "a2"):
-        watch.missed(engine)
+        watch.connect_failed(engine)
     assert states() == {EngineState.DRAINING}
     assert not coordinator.engines["a3"].ready
     listed()
     assert states() == {EngineState.DRAINING}
     assert not coordinator.engines["a3"].ready
     assert engine_state(coordinator.engines["a3"], 1.0, 1.0, 0.0, 0.0) == "avoided"
-    watch.heard(1, "a3")
+    watch.engine_responded(1, "a3")
     assert states() == {EngineState.READY}
     assert coordinator.engines["a0"].ready
     assert coordinator.counters["halls.avoided"] == coordinator.counters["halls.tried"] == 1
     clock[0] += 1_000.0
-    watch.heard(1, "b0")
+    watch.engine_responded(1, "b0")
     for engine in ("a0", "a1", "a2"):
-        watch.missed(engine)
+        watch.connect_failed(engine)
     assert states() == {EngineState.DRAINING}
     listed(a2=clock[0])  # a new process: its hall is there
     assert states() == {EngineState.READY}
