--- a/fordstair/net/clients/listener.py
+++ b/fordstair/net/clients/listener.py
@@ -7,7 +7,7 @@
 import trio
 
 from fordstair.net.clients.poll_watch import PollWatch
-from fordstair.net.system_errors import Backoff, Scope, scope_of
+from fordstair.net.system_errors import Backoff, ErrorScope, error_scope
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.runtime.event_log import EventLog
@@ -26,10 +26,10 @@
         try:
             return await trio.open_tcp_listeners(port, host=host)
         except OSError as error:
-            if scope_of(error, binding=True) is not Scope.TRANSIENT or deadlines.clock() > until_ms:
+            if error_scope(error, binding=True) is not ErrorScope.TRANSIENT or deadlines.clock() > until_ms:
                 raise
             log.warning("listen.fails", host=host, port=port, why=error)
-            await deadlines.sleep(backoff.pause_ms())
+            await deadlines.sleep(backoff.next_ms())
 
 
 class ClientListener:
@@ -55,10 +55,10 @@
                 try:
                     sock, _ = await self._sock.accept()
                 except OSError as error:
-                    if scope_of(error) is Scope.PROGRAM:
+                    if error_scope(error) is ErrorScope.PROGRAM:
                         raise
                     self._note_failure(error)
-                    await self._deadlines.sleep(backoff.pause_ms())
+                    await self._deadlines.sleep(backoff.next_ms())
                     continue
                 backoff = Backoff()
                 clients.start_soon(self._handle, trio.SocketStream(sock), self._waited_ms())
--- /dev/null
+++ b/fordstair/net/engines/connector.py
@@ -0,0 +1,90 @@
+"""Opens connections to engines: TCP, and TLS where the address calls for it."""
+
+from __future__ import annotations
+
+import socket
+import ssl
+from collections.abc import Callable
+
+import trio
+
+from fordstair.net.engines.connection_policies import ConnectRetryPolicy
+from fordstair.net.engines.endpoint import Endpoint
+from fordstair.net.engines.error_mapping import connect_error
+from fordstair.net.engines.errors import ConnectTimeoutError
+from fordstair.net.engines.pooled_connection import PooledConnection
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+
+TlsContextOf = Callable[[str], ssl.SSLContext | None]
+CheckPeer = Callable[[str, trio.SSLStream[trio.SocketStream]], None]
+
+
+class Connector:
+    """Connects to endpoints.
+
+    ``tls_context_of`` returns the context for an address, None for plain TCP; ``check_peer`` raises
+    ssl.SSLError where the other end of a finished handshake is not an engine.
+    """
+
+    def __init__(
+        self,
+        deadlines: Deadlines,
+        counters: Counters,
+        tls_context_of: TlsContextOf,
+        check_peer: CheckPeer,
+    ) -> None:
+        self._deadlines = deadlines
+        self._counters = counters
+        self._tls_context_of = tls_context_of
+        self._check_peer = check_peer
+
+    async def connect(self, endpoint: Endpoint, timeout_ms: float) -> PooledConnection:
+        """Return a connection, retrying what may pass in a moment; raise ConnectError."""
+        until_ms = self._deadlines.clock() + timeout_ms
+        retries = ConnectRetryPolicy(until_ms)
+        while True:
+            try:
+                return await self._connect_once(endpoint, until_ms, timeout_ms)
+            except (trio.BrokenResourceError, ssl.SSLError) as error:
+                raise connect_error(endpoint.address, error) from error
+            except OSError as error:
+                pause_ms = retries.retry_after_ms(error, self._deadlines.clock())
+                if pause_ms is None:
+                    raise connect_error(endpoint.address, error) from error
+                self._counters.add("engine.connect_retries")
+                await self._deadlines.sleep(pause_ms)
+
+    async def _connect_once(self, endpoint: Endpoint, until_ms: float, timeout_ms: float) -> PooledConnection:
+        host, _, port = endpoint.address.rpartition(":")
+        family = socket.AF_INET6 if ":" in host else socket.AF_INET
+        sock = trio.socket.socket(family, socket.SOCK_STREAM)
+        try:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            stream = await self._open(sock, (host.strip("[]"), int(port)), endpoint.address, until_ms)
+        except BaseException:
+            sock.close()
+            raise
+        if stream is None:
+            sock.close()
+            raise ConnectTimeoutError(f"{endpoint.address}: no connection within {timeout_ms:.0f} ms")
+        return PooledConnection(sock, stream, endpoint)
+
+    async def _open(
+        self, sock: trio.socket.SocketType, peer: tuple[str, int], address: str, until_ms: float
+    ) -> trio.abc.Stream | None:
+        """Connect and secure a socket; None where that takes too long: a vanished machine never answers."""
+        with self._deadlines.limit(until_ms):
+            await sock.connect(peer)
+            return await self._secure(address, trio.SocketStream(sock))
+        return None
+
+    async def _secure(self, address: str, plain: trio.SocketStream) -> trio.abc.Stream:
+        """Do the TLS handshake where the address calls for one."""
+        context = self._tls_context_of(address)
+        if context is None:
+            return plain
+        secured = trio.SSLStream(plain, context, https_compatible=True)
+        await secured.do_handshake()
+        self._check_peer(address, secured)
+        return secured
--- /dev/null
+++ b/fordstair/net/engines/http11_connection.py
@@ -0,0 +1,132 @@
+"""An HTTP/1.1 connection to an engine: one exchange at a time."""
+
+from __future__ import annotations
+
+import contextlib
+import select
+import socket
+import struct
+from collections.abc import Mapping
+
+import h11
+import trio
+
+from fordstair.net.engines.error_mapping import EXCHANGE_ERRORS, exchange_error
+from fordstair.net.engines.errors import ConnectionLostError, ProtocolError
+from fordstair.net.engines.http_messages import HttpRequest, HttpResponse
+
+READ_BYTES = 16_384
+MAX_RESPONSE_BYTES = 1024 * 1024
+_NO_CONTENT = 204
+_LINGER_ZERO = struct.pack("ii", 1, 0)  # close(2) drops unsent bytes and resets the connection
+
+
+class HTTP11Connection:
+    """One connection to an engine."""
+
+    def __init__(self, sock: trio.socket.SocketType, stream: trio.abc.Stream, host: str) -> None:
+        self.sock = sock
+        self.stream = stream
+        self.host = host
+        self.idle_since_ms = 0.0
+        self.request_sent = False  # whether all bytes of the current request are out
+        self.desynchronized = False  # something came that answers no request: no further one may go out
+        self._h11 = h11.Connection(h11.CLIENT)
+
+    async def exchange(self, request: HttpRequest) -> HttpResponse:
+        """Send a request and receive its response; the caller bounds the time. Raise ExchangeError."""
+        self.request_sent = False
+        if self._h11.our_state is h11.DONE:
+            self._h11.start_next_cycle()
+        try:
+            await self.stream.send_all(self._encode(request))
+            self.request_sent = True
+            return await self._receive()
+        except EXCHANGE_ERRORS as error:
+            raise exchange_error(error) from error
+
+    async def receive_response(self) -> HttpResponse:
+        """Receive the response to an exchange that was cancelled while ``awaiting_response``."""
+        try:
+            return await self._receive()
+        except EXCHANGE_ERRORS as error:
+            raise exchange_error(error) from error
+
+    @property
+    def awaiting_response(self) -> bool:
+        """Whether a request has gone out whole and nothing of its response has been read."""
+        sent = self.request_sent and self._h11.our_state is h11.DONE
+        return sent and self._h11.their_state is h11.SEND_RESPONSE
+
+    @property
+    def reusable(self) -> bool:
+        """Whether a further request may go out; bytes or an end that came unasked say no.
+
+        What h11 holds after a response, a second copy say, would be read as the response to the next request.
+        """
+        states = (self._h11.our_state, self._h11.their_state)
+        between_requests = states in ((h11.IDLE, h11.IDLE), (h11.DONE, h11.DONE))
+        unasked = self.desynchronized or self._h11.trailing_data[0] or self.sock.is_readable()
+        return between_requests and not unasked
+
+    @property
+    def has_unread_bytes(self) -> bool:
+        """Whether bytes have come that are not read yet; an end or a reset, though readable too, says no."""
+        poll = select.poll()
+        poll.register(self.sock, select.POLLIN | select.POLLRDHUP)
+        ended = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
+        events = [event for _, event in poll.poll(0)]
+        return any(event & select.POLLIN and not event & ended for event in events)
+
+    def abort(self) -> None:
+        """Close at once and drop unsent bytes: they must not reach whoever comes back at the address."""
+        with contextlib.suppress(OSError):
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
+        self.sock.close()
+
+    def close(self) -> None:
+        """Close an idle connection in the ordinary way."""
+        self.sock.close()
+
+    def _encode(self, request: HttpRequest) -> bytes:
+        headers = [("Host", self.host), *request.headers]
+        if request.has_content_length:
+            headers.append(("Content-Length", str(len(request.body))))
+        head = h11.Request(method=request.method, target=request.path, headers=headers)
+        encoded = self._h11.send(head) or b""
+        if request.body:
+            encoded += self._h11.send(h11.Data(data=request.body)) or b""
+        return encoded + (self._h11.send(h11.EndOfMessage()) or b"")
+
+    async def _receive(self) -> HttpResponse:
+        response = HttpResponse(0, {}, b"")
+        parts = list[bytes]()
+        size = 0
+        while True:
+            event = self._h11.next_event()
+            if event is h11.NEED_DATA:
+                self._h11.receive_data(await self.stream.receive_some(READ_BYTES))
+            elif isinstance(event, h11.Response):
+                response.status = event.status_code
+                response.headers = dict(event.headers)
+                if response.status != _NO_CONTENT:
+                    _check_length(response.headers)
+            elif isinstance(event, h11.Data):
+                parts.append(bytes(event.data))
+                size += len(event.data)
+                if size > MAX_RESPONSE_BYTES:  # a faulty engine must not use up the memory here
+                    raise ProtocolError("the response is too large")
+            elif isinstance(event, h11.EndOfMessage):
+                response.body = b"".join(parts)
+                return response
+            elif isinstance(event, h11.ConnectionClosed):
+                raise ConnectionLostError("closed before a response")
+
+
+def _check_length(headers: Mapping[bytes, bytes]) -> None:
+    """Guard against a response that claims gigabytes, and one whose truncation could not be detected."""
+    length = headers.get(b"content-length")
+    if length is not None and int(length) > MAX_RESPONSE_BYTES:
+        raise ProtocolError(f"the response claims {int(length)} bytes")
+    if length is None and b"transfer-encoding" not in headers:
+        raise ProtocolError("the response does not say where it ends")
--- /dev/null
+++ b/fordstair/net/engines/http_messages.py
@@ -0,0 +1,38 @@
+"""An HTTP request to an engine, and its response."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+Headers = Sequence[tuple[str, str]]
+
+_METHODS_WITH_BODY = frozenset({"POST", "PUT", "PATCH"})
+
+
+@dataclass(slots=True, frozen=True)
+class HttpRequest:
+    """One request, without the headers that belong to the connection."""
+
+    method: str
+    path: str
+    headers: Headers = ()
+    body: bytes = b""
+
+    @property
+    def has_content_length(self) -> bool:
+        """Whether a length is sent, be it 0."""
+        return bool(self.body) or self.method in _METHODS_WITH_BODY
+
+
+@dataclass(slots=True)
+class HttpResponse:
+    """One response; header names are in lower case."""
+
+    status: int
+    headers: dict[bytes, bytes]
+    body: bytes
+
+    def header(self, name: bytes, default: str = "") -> str:
+        """Return one header as text."""
+        return self.headers.get(name, default.encode()).decode("latin-1")
--- /dev/null
+++ b/fordstair/net/engines/rest_wire.py
@@ -0,0 +1,112 @@
+"""The platform's REST form: its paths and headers, mapped to the terms of the code here alone."""
+
+from __future__ import annotations
+
+import math
+
+from fordstair.core.ports import Query
+from fordstair.decisions.events import NoteKind, Status
+from fordstair.net.engines.errors import ProtocolError
+from fordstair.net.engines.http_messages import HttpRequest, HttpResponse
+
+QUERIES_PATH = "/o"
+STATUS_OK = 200
+STATUS_RUNNING = 202
+MAX_PAGES = 1_000
+_COLUMN_SEPARATORS = 2  # in a row of three columns
+
+_REQUEST_ID = "X-Txn"
+_REQUEST_CLASS = "X-Lane"
+_TIME_LIMIT_MS = "X-Limit-Ms"
+_PRIORITY = "X-Urgency"
+_LOAD_REPORT = b"x-gauges"
+_NOT_RUN = b"x-unrun"
+_PAGE_COUNT = b"x-sheets"
+_PAGE_NUMBER = b"x-sheet"
+_NOTE_KIND = b"x-how"
+_NOTE_VALUE = b"x-val"
+
+_NOTE_KINDS = {"p": NoteKind.PROGRESS, "s": NoteKind.SPILL, "w": NoteKind.WAIT}
+_NOT_RUN_STATUSES = {503: Status.FULL, 504: Status.MOOT}
+
+
+def query_path(request_id: str) -> str:
+    """Return the path of a query: DELETE cancels it, PUT sets its priority."""
+    return f"{QUERIES_PATH}/{request_id}"
+
+
+def page_path(request_id: str, page: int) -> str:
+    """Return the path of a page of its result, from 0; page 0 also tells its progress."""
+    return f"{QUERIES_PATH}/{request_id}/{page}"
+
+
+def start_request(query: Query, limit_ms: int, priority: int) -> HttpRequest:
+    """Return the POST that starts a query; id, class and statement go out as they came."""
+    headers = [
+        (_REQUEST_ID, query.txn),
+        (_REQUEST_CLASS, query.class_name),
+        (_TIME_LIMIT_MS, str(limit_ms)),
+        (_PRIORITY, str(priority)),
+    ]
+    return HttpRequest("POST", QUERIES_PATH, headers, query.statement)
+
+
+def load_report(response: HttpResponse, fields: tuple[str, ...]) -> tuple[float, ...]:
+    """Return the engine's load report, in the order of the fields; empty where there is none."""
+    return parse_report(response.header(_LOAD_REPORT), fields)
+
+
+def note(response: HttpResponse) -> tuple[NoteKind, float] | None:
+    """Return the engine's note on a running query."""
+    return parse_note(response.header(_NOTE_KIND), response.header(_NOTE_VALUE))
+
+
+def page_count(response: HttpResponse) -> int:
+    """Return of how many pages the result consists; raise ProtocolError."""
+    pages = response.header(_PAGE_COUNT)
+    if not pages.isdecimal() or not 1 <= int(pages) <= MAX_PAGES:
+        raise ProtocolError(f"{pages[:20]!r} pages")
+    return int(pages)
+
+
+def page_rows(response: HttpResponse, page: int) -> bytes:
+    """Return the rows of a later page; raise ProtocolError where it is another one, a stray copy say."""
+    if response.header(_PAGE_NUMBER) != str(page):
+        raise ProtocolError(f"not page {page}")
+    return complete_rows(response.body)
+
+
+def failure_status(response: HttpResponse, http_status: int) -> Status:
+    """Return what a response without a result proves: X-Unrun alone proves that nothing ran."""
+    if response.header(_NOT_RUN) != "1":
+        return Status.ERROR
+    return _NOT_RUN_STATUSES.get(http_status, Status.ERROR)
+
+
+def parse_report(text: str, fields: tuple[str, ...]) -> tuple[float, ...]:
+    """Read ``inflight:7;util:0.61`` in the order of the fields; empty where one is missing or malformed."""
+    values_by_name = dict(part.split(":", 1) for part in text.split(";") if ":" in part)
+    try:
+        values = tuple(float(values_by_name[name]) for name in fields)
+    except (KeyError, ValueError):
+        return ()
+    return values if all(math.isfinite(value) for value in values) else ()
+
+
+def parse_note(kind: str, value: str) -> tuple[NoteKind, float] | None:
+    """Read a note; an unknown or malformed one counts as none."""
+    try:
+        number = float(value)
+    except ValueError:
+        return None
+    return (_NOTE_KINDS[kind], number) if kind in _NOTE_KINDS and math.isfinite(number) else None
+
+
+def complete_rows(body: bytes) -> bytes:
+    """Return a page of complete rows; raise ProtocolError for one that a wrong length has cut."""
+    ends_whole = not body or body.endswith(b"\n")
+    if not ends_whole or (
+        body and any(row.count(b"\t") != _COLUMN_SEPARATORS for row in body[:-1].split(b"\n"))
+    ):
+        raise ProtocolError("not whole rows")
+    return body
--- a/fordstair/net/system_errors.py
+++ b/fordstair/net/system_errors.py
@@ -1,4 +1,4 @@
-"""What an error of a system call means: the one place that decides it."""
+"""What an error of a system call means, and the pauses between retries of one."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from enum import Enum
 
 
-class Scope(Enum):
-    """What an error tells of."""
+class ErrorScope(Enum):
+    """What an error concerns."""
 
-    TRANSIENT = "transient"  # of a moment: the same call may succeed soon
-    CONNECTION = "connection"  # of one connection, or of the way to one peer
-    PROGRAM = "program"  # of this program: calling again is no use
+    TRANSIENT = "transient"  # a moment: the same call may succeed soon
+    CONNECTION = "connection"  # one connection, or the route to one peer
+    PROGRAM = "program"  # this program: a retry is of no use
 
 
-# accept(2), socket(2) and connect(2): no descriptor, no memory, no local port, no network just now, or a peer
+# accept(2), socket(2) and connect(2): no descriptor, memory, local port or network at this moment, or a peer
 # that left before it was accepted.
 _TRANSIENT = frozenset(
     {
@@ -35,30 +35,36 @@
 )
 _PROGRAM = frozenset({errno.EBADF, errno.EINVAL, errno.ENOTSOCK, errno.EFAULT, errno.EOPNOTSUPP})
 
-FIRST_PAUSE_MS, LONGEST_PAUSE_MS = 2.0, 25.0
+INITIAL_BACKOFF_MS = 2.0
+MAX_BACKOFF_MS = 25.0
+BACKOFF_FACTOR = 2.0
 
 
-def scope_of(error: OSError, *, binding: bool = False) -> Scope:
-    """Return what an error tells of; an unknown one is of its connection."""
-    if binding and error.errno == errno.EADDRNOTAVAIL:  # the address is none of this machine's
-        return Scope.PROGRAM
+def error_scope(error: OSError, *, binding: bool = False) -> ErrorScope:
+    """Return what an error concerns; an unknown one concerns its connection.
+
+    ``binding``: it came from bind(2), where an address that is not available is not this machine's.
+    """
+    if binding and error.errno == errno.EADDRNOTAVAIL:
+        return ErrorScope.PROGRAM
     if error.errno in _TRANSIENT:
-        return Scope.TRANSIENT
-    return Scope.PROGRAM if error.errno in _PROGRAM else Scope.CONNECTION
+        return ErrorScope.TRANSIENT
+    return ErrorScope.PROGRAM if error.errno in _PROGRAM else ErrorScope.CONNECTION
 
 
-def refused(error: OSError) -> bool:
+def is_connection_refused(error: OSError) -> bool:
     """Whether the error proves that nobody listens there; no other error proves anything."""
     return error.errno == errno.ECONNREFUSED
 
 
 class Backoff:
-    """The pauses between calls that fail for a moment: soon at first, and never a spin."""
+    """Exponential pauses between retries of a system call: short at first, and never a spin."""
 
     def __init__(self) -> None:
-        self._next_ms = FIRST_PAUSE_MS
+        self._next_ms = INITIAL_BACKOFF_MS
 
-    def pause_ms(self) -> float:
-        """Return how long to wait before the next call."""
-        pause_ms, self._next_ms = self._next_ms, min(LONGEST_PAUSE_MS, 2.0 * self._next_ms)
+    def next_ms(self) -> float:
+        """Return how long to wait before the next retry."""
+        pause_ms = self._next_ms
+        self._next_ms = min(MAX_BACKOFF_MS, BACKOFF_FACTOR * pause_ms)
         return pause_ms
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -20,7 +20,7 @@
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.net.clients.rpc_front import LARGEST_STATEMENT, RpcFront
 from fordstair.net.command_channel import CommandChannel
-from fordstair.net.engines.pool import Pool
+from fordstair.net.engines.pool import ConnectionPool
 from fordstair.net.engines.rest import RestTransport
 from fordstair.runtime.clock import AnchoredClock, WallClock
 from fordstair.runtime.counters import Counters
@@ -74,7 +74,7 @@
             from fordstair.net.identity import Identity, read_files
 
             self.identity = Identity(read_files(operator.identity), self.deadlines, self.counters)
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             self.deadlines,
             self.counters,
             tls=self.tls,
@@ -359,7 +359,8 @@
         """Share the limits on sockets and memory out, and set the times for connections."""
         clients_most = int(CLIENTS_PART * self.config.sockets)
         self.pool.resize(self.config.sockets - clients_most - SPARE_SOCKETS)
-        self.pool.connect_ms, self.pool.idle_ms = self.config.connect_timeout_ms, self.config.idle_ms
+        self.pool.connect_timeout_ms = self.config.connect_timeout_ms
+        self.pool.idle_timeout_ms = self.config.idle_ms
         self.rpc.clients_most = clients_most if self.odata is None else clients_most // 2
         if self.odata is not None:
             self.odata.clients_most = clients_most - self.rpc.clients_most
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,7 +15,9 @@
 import trio
 from trio.testing import wait_all_tasks_blocked
 
-from fordstair.net.engines.pool import ConnectFailed, Pool, PooledConnection
+from fordstair.net.engines.errors import ConnectTimeoutError
+from fordstair.net.engines.pool import ConnectionPool
+from fordstair.net.engines.pooled_connection import PooledConnection
 from fordstair.program import Program as Coordination
 from fordstair.runtime.clock import monotonic_now
 from tests.standins import (
@@ -75,13 +77,13 @@
 
 def hold_connects(one: Coordination) -> Gate:
     """Connections to engines come up once the gate is opened."""
-    gate, connects = Gate(), one.pool._connect
+    gate, connects = Gate(), one.pool.connector.connect
 
-    async def late(endpoint: Any) -> PooledConnection:
+    async def late(endpoint: Any, timeout_ms: float) -> PooledConnection:
         await gate()
-        return await connects(endpoint)
+        return await connects(endpoint, timeout_ms)
 
-    one.pool._connect = late  # type: ignore[method-assign]
+    one.pool.connector.connect = late  # type: ignore[method-assign]
     return gate
 
 
@@ -116,7 +118,7 @@
     async def scene() -> None:
         async with engine() as one, inside(config(one.address)) as node:
             gate = hold_connects(node)
-            node.pool.connect_ms = 20_000.0
+            node.pool.connect_timeout_ms = 20_000.0
             client = await connect(node)
             number = await client.ask(limit="20000")
             await until(lambda: gate.held)
@@ -422,7 +424,7 @@
                 nursery.start_soon(wait, trio.CancelScope())
                 await until(lambda: len(pool._waiting) == 2)
                 scope.cancel()
-                held.spoilt = True
+                held.desynchronized = True
                 pool.release(held)  # before the cancelled one has run
                 with trio.fail_after(5.0):
                     await until(lambda: len(got) == 1)
@@ -479,11 +481,11 @@
 def test_an_engine_to_which_no_connection_comes_up_for_seconds_counts_as_cold_after_that(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("fordstair.net.engines.pool.LATE_MS", 100.0)
+    monkeypatch.setattr("fordstair.net.engines.connection_policies.LATE_CONNECT_TIMEOUT_MS", 100.0)
 
     async def scene() -> None:
         async with engine() as one, inside(config(one.address)) as node:
-            node.pool.connect_ms = 20.0
+            node.pool.connect_timeout_ms = 20.0
             never_up = trio.Event()
 
             async def nothing(*_: object) -> None:
@@ -502,18 +504,16 @@
     play(scene)
 
 
-async def failing(pool: Pool, address: str) -> None:
-    with pytest.raises(ConnectFailed) as failed:
+async def failing(pool: ConnectionPool, address: str) -> None:
+    with pytest.raises(ConnectTimeoutError):  # in particular no ConnectRefusedError
         await pool.acquire(address)
-    assert failed.value.late
-    assert not failed.value.refused
 
 
 def test_few_connections_are_left_coming_up_to_a_machine_that_never_answers() -> None:
     async def scene() -> None:
         async with engine() as one, inside(config(one.address)) as node:
             hold_connects(node)
-            node.pool.connect_ms = 20.0
+            node.pool.connect_timeout_ms = 20.0
             client = await connect(node)
             for _ in range(12):
                 error, _ = await client.answer(await client.ask())
@@ -539,7 +539,7 @@
         async with engine(breaks) as one, inside(config(one.address, settings=keyed(5_000.0))) as node:
             ahead = [0.0]
             node.deadlines.clock = lambda: monotonic_now() + ahead[0]
-            node.pool.connect_ms = 20_000.0
+            node.pool.connect_timeout_ms = 20_000.0
             client, gate = await connect(node), list[Gate]()
 
             async def breaks_once(
--- a/tests/test_failings.py
+++ b/tests/test_failings.py
@@ -17,8 +17,8 @@
 
 from fordstair.core.ports import AttemptRequest, Engine, Query
 from fordstair.decisions.engine_list import EngineEntry
-from fordstair.net.engines.http_client import Connection
-from fordstair.net.engines.pool import ConnectFailed
+from fordstair.net.engines.errors import ConnectError
+from fordstair.net.engines.pooled_connection import PooledConnection
 from fordstair.net.engines.rest import RestTransport
 from fordstair.runtime.deadlines import Deadlines
 from tests.standins import ROOT, Answered, RestEngine, at_once, config, engine, never, program
@@ -211,9 +211,9 @@
     class Unreachable:
         tries = 0
 
-        async def acquire(self, address: str, *, fresh: bool = False) -> Connection:
+        async def acquire(self, address: str, *, fresh: bool = False) -> PooledConnection:
             self.tries += 1
-            raise ConnectFailed("no route")
+            raise ConnectError("no route")
 
     async def scene() -> None:
         pool, deadlines = Unreachable(), Deadlines()
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -16,7 +16,7 @@
 from fordstair.net.clients.messagepack import Incomplete, Malformed, read
 from fordstair.net.clients.odata_model import EntitySet, ODataError, understand
 from fordstair.net.command_channel import FrameError, read_frame, read_records
-from fordstair.net.engines.rest import parse_note, parse_report
+from fordstair.net.engines.rest_wire import parse_note, parse_report
 from fordstair.runtime.clock import UnixMs
 from tests.standins import SETTINGS, config
 
