--- a/fordstair/net/clients/listener.py
+++ b/fordstair/net/clients/listener.py
@@ -14,26 +14,29 @@
 
 log = EventLog(__name__)
 
-OPEN_MOST_MS = 10_000.0  # for a listening socket to be had at the start
+OPEN_TIMEOUT_MS = 10_000.0  # for a listening socket to be had at the start
 
+# Serves one client; the second argument is how long at most, in ms, it was connected before it was accepted.
 Serve = Callable[[trio.SocketStream, float], Awaitable[None]]
 
 
 async def open_listeners(host: str, port: int, deadlines: Deadlines) -> list[trio.SocketListener]:
-    """Open the listening sockets of an address; raise OSError where that is no trouble of a moment."""
-    until_ms, backoff = deadlines.clock() + OPEN_MOST_MS, Backoff()
+    """Open the listening sockets of an address; raise OSError where that does not pass in a moment."""
+    until_ms = deadlines.clock() + OPEN_TIMEOUT_MS
+    backoff = Backoff()
     while True:
         try:
             return await trio.open_tcp_listeners(port, host=host)
         except OSError as error:
-            if error_scope(error, binding=True) is not ErrorScope.TRANSIENT or deadlines.clock() > until_ms:
+            transient = error_scope(error, binding=True) is ErrorScope.TRANSIENT
+            if not transient or deadlines.clock() > until_ms:
                 raise
-            log.warning("listen.fails", host=host, port=port, why=error)
+            log.warning("listen.failed", host=host, port=port, why=error)
             await deadlines.sleep(backoff.next_ms())
 
 
 class ClientListener:
-    """One listening socket. Each client is handed on with how long at most it waited for that."""
+    """One listening socket; each client is passed on with how long at most it waited for that."""
 
     def __init__(
         self,
@@ -43,8 +46,11 @@
         deadlines: Deadlines,
         counters: Counters,
     ) -> None:
-        self._sock, self._serve = sock, serve
-        self._poll_watch, self._deadlines, self._counters = poll_watch, deadlines, counters
+        self._sock = sock
+        self._serve = serve
+        self._poll_watch = poll_watch
+        self._deadlines = deadlines
+        self._counters = counters
         self._failing_since_ms: float | None = None  # accept has failed, and some may wait since then
 
     async def run(self, clients: trio.Nursery) -> None:
@@ -61,26 +67,26 @@
                     await self._deadlines.sleep(backoff.next_ms())
                     continue
                 backoff = Backoff()
-                clients.start_soon(self._handle, trio.SocketStream(sock), self._waited_ms())
+                clients.start_soon(self._handle, trio.SocketStream(sock), self._accept_delay_ms())
 
     def _note_failure(self, error: OSError) -> None:
         self._counters.add("accept.failures")
         if self._failing_since_ms is None:
             self._failing_since_ms = self._deadlines.clock()
-            log.warning("accept.fails", why=error)
+            log.warning("accept.failed", why=error)
 
-    def _waited_ms(self) -> float:
-        """Return for how long the client just accepted may have been connected."""
-        waited_ms = self._poll_watch.waited_ms()
+    def _accept_delay_ms(self) -> float:
+        """Return for how long at most the client just accepted was connected before."""
+        delay_ms = self._poll_watch.max_delay_ms()
         if self._failing_since_ms is None:
-            return waited_ms
-        waited_ms = max(waited_ms, self._deadlines.clock() - self._failing_since_ms)
+            return delay_ms
+        delay_ms = max(delay_ms, self._deadlines.clock() - self._failing_since_ms)
         if not self._sock.is_readable():  # the last of those that came meanwhile
             self._failing_since_ms = None
-        return waited_ms
+        return delay_ms
 
-    async def _handle(self, stream: trio.SocketStream, waited_ms: float) -> None:
+    async def _handle(self, stream: trio.SocketStream, accept_delay_ms: float) -> None:
         try:
-            await self._serve(stream, waited_ms)
+            await self._serve(stream, accept_delay_ms)
         finally:
             await trio.aclose_forcefully(stream)
--- a/fordstair/net/clients/odata_front.py
+++ b/fordstair/net/clients/odata_front.py
@@ -133,7 +133,7 @@
 class ODataFront:
     """Serves HTTP connections."""
 
-    clients_most = 64  # until the configuration has been applied
+    max_clients = 64  # until the configuration has been applied
 
     def __init__(
         self,
@@ -154,7 +154,7 @@
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Serve one connection; a fault in it ends no other."""
-        if self.connections >= self.clients_most:
+        if self.connections >= self.max_clients:
             self.coordinator.counters.add("odata.turned_away")
             return await trio.aclose_forcefully(stream)
         self.connections += 1
--- a/fordstair/net/clients/poll_watch.py
+++ b/fordstair/net/clients/poll_watch.py
@@ -1,4 +1,4 @@
-"""For how long bytes may have waited here before they were read: the program may be paused, or busy."""
+"""How long bytes may have waited here before they were read: the program may have been paused, or busy."""
 
 from __future__ import annotations
 
@@ -11,48 +11,43 @@
 # While it waits for bytes the program wakes up so often. A wait that took clearly longer was not one for
 # bytes alone: the program did not run, and whatever has come may have come at its beginning.
 TICK_S = 0.06
-STALLED_MS = 80.0
+STALLED_POLL_MS = 80.0
 
 
 class PollWatch(trio.abc.Instrument):
-    """Notes when the event loop last looked for bytes."""
+    """Notes when the event loop last polled for bytes."""
 
     def __init__(self) -> None:
         self._running = False
-        self._reset()
-
-    def _reset(self) -> None:
-        now_ms = monotonic_now()
-        self._began_ms = self._ended_ms = now_ms  # the latest wait for bytes
-        # The latest look that surely saw all there was, and the one before the latest wait. A wait that was
-        # interrupted by a pause of the process may end without a look.
-        self._looked_ms = self._looked_before_ms = now_ms
+        # The latest wait for bytes:
+        self._wait_began_ms = monotonic_now()
+        self._wait_ended_ms = self._wait_began_ms
+        # The latest poll that surely saw all there was, and the one before the latest wait. A wait that was
+        # interrupted by a pause of the process may end without a poll.
+        self._complete_poll_ms = self._wait_began_ms
+        self._previous_poll_ms = self._wait_began_ms
 
     def before_io_wait(self, timeout: float) -> None:
         """The loop begins to wait for bytes."""
-        self._began_ms = monotonic_now()
+        self._wait_began_ms = monotonic_now()
 
     def after_io_wait(self, timeout: float) -> None:
         """It has found some, or something else is due."""
-        self._ended_ms = monotonic_now()
-        self._looked_before_ms = self._looked_ms
+        self._wait_ended_ms = monotonic_now()
+        self._previous_poll_ms = self._complete_poll_ms
         if not self._stalled:
-            self._looked_ms = self._ended_ms
-
-    @property
-    def _stalled(self) -> bool:
-        return self._ended_ms - self._began_ms > STALLED_MS
+            self._complete_poll_ms = self._wait_ended_ms
 
-    def waited_ms(self, empty_ms: float = -math.inf) -> float:
+    def max_delay_ms(self, drained_ms: float = -math.inf) -> float:
         """Return for how long at most what is readable now has been so.
 
-        ``empty_ms`` is when all that had come was read. An ordinary wait for bytes does not count.
+        ``drained_ms`` is when all that had come was read. An ordinary wait for bytes does not count.
         """
         if not self._running:
             return 0.0
-        since_ms = max(empty_ms, self._looked_before_ms)
-        ordinary_ms = 0.0 if self._stalled else self._ended_ms - self._began_ms
-        return max(0.0, monotonic_now() - since_ms - ordinary_ms)
+        since_ms = max(drained_ms, self._previous_poll_ms)
+        ordinary_wait_ms = 0.0 if self._stalled else self._wait_ended_ms - self._wait_began_ms
+        return max(0.0, monotonic_now() - since_ms - ordinary_wait_ms)
 
     async def run(self) -> None:
         """Watch the loop, and keep it ticking, until cancelled."""
@@ -60,8 +55,19 @@
         self._running = True
         trio.lowlevel.add_instrument(self)
         try:
-            while True:
+            while True:  # noqa: ASYNC110 - bounds the loop's waits; there is no event
                 await trio.sleep(TICK_S)
         finally:
             self._running = False
             trio.lowlevel.remove_instrument(self)
+
+    def _reset(self) -> None:
+        now_ms = monotonic_now()
+        self._wait_began_ms = now_ms
+        self._wait_ended_ms = now_ms
+        self._complete_poll_ms = now_ms
+        self._previous_poll_ms = now_ms
+
+    @property
+    def _stalled(self) -> bool:
+        return self._wait_ended_ms - self._wait_began_ms > STALLED_POLL_MS
--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -2,363 +2,326 @@
 
 from __future__ import annotations
 
-import math
-from collections.abc import Sequence
-from typing import Any
-
-import msgpack
 import trio
 
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.invariants import Invariant
 from fordstair.core.live_request import LiveRequest
-from fordstair.net.clients.closing import linger, shut
-from fordstair.net.clients.messagepack import Incomplete, Malformed, read
+from fordstair.net.clients import client_limits, rpc_wire
+from fordstair.net.clients.closing import half_close, linger
+from fordstair.net.clients.message_buffer import MessageBuffer
+from fordstair.net.clients.messagepack import MalformedMessageError
 from fordstair.net.clients.poll_watch import PollWatch
-from fordstair.net.clients.rpc_query import BadRequest, read_query
+from fordstair.net.clients.read_delay import ReadDelay
+from fordstair.net.clients.response_writer import ResponseWriter
+from fordstair.net.clients.rpc_query import InvalidRequestError, read_query
+from fordstair.net.clients.rpc_reply import RpcReply
 from fordstair.runtime.deadlines import Ticket
 from fordstair.runtime.event_log import EventLog
 
 log = EventLog(__name__)
 
 READ_BYTES = 65_536
-OPEN_MOST = 32
-HEAD_BYTES = 4_096  # what a message holds beside its statement
-# A client that does not read its answers is not read from either, so that its answers cannot pile up.
-UNSENT_MOST = 256 * 1024
-TURN_MESSAGES = 32  # handled before others get their turn
-# A first message must come whole within that time, and of a later one that has begun something must come:
-# silent connections and endless messages would fill the room for clients. One that has asked may stay silent
-# for good, and whose requests are open may write as slowly as it likes.
-WHOLE_MS, UNREAD_MS = 2_000.0, 250.0
-CATCH_UP_MS = 1.0  # between two looks whether what a client has written is read
-ACCEPT_USUAL_MS = 20.0  # a connection that is accepted as soon has not brought a message that is late
-WRITE_MS = 5_000.0  # for an answer to leave: a client that reads nothing is not kept for ever
-# Who asks for what cannot be used, again and again, is read from more slowly; its answers are not delayed.
-PAUSE_MS, PAUSE_MOST_MS = 5.0, 100.0
-REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
-
-
-class RpcReply:
-    """Answers one message."""
-
-    def __init__(self, client: RpcClient, number: int) -> None:
-        self.client, self.number = client, number
-
-    async def caught_up(self) -> None:
-        """Wait until what the client has written by now is read."""
-        await self.client.caught_up()
+CATCH_UP_CHECK_MS = 1.0  # between two checks whether what a client has written is read
 
-    def served(self, pages: Sequence[bytes]) -> None:
-        """Answer with all rows."""
-        self.client.final(self.number, None, [b"".join(pages), {}])
 
-    def refused(self, later_ms: float) -> None:
-        """Answer that a retry is harmless, and when to make it."""
-        fields = {"later": str(math.ceil(later_ms))} if later_ms > 0.0 else {}
-        self.client.final(self.number, ["Overloaded", fields], None)
+class RpcConnection:
+    """One client's connection.
 
-    def failed(self, reason: str) -> None:
-        """Answer with an error that promises nothing."""
-        self.client.final(self.number, ["Internal", {"reason": reason}], None)
-
-
-class RpcClient:
-    """One client's connection."""
+    ``accept_delay_ms`` says how long at most the connection was there before it was accepted.
+    """
 
     def __init__(
         self,
         stream: trio.SocketStream,
         coordinator: Coordinator,
-        largest_statement: int,
+        max_statement_bytes: int,
         poll_watch: PollWatch | None = None,
-        waited_ms: float = 0.0,
+        accept_delay_ms: float = 0.0,
     ) -> None:
-        self._poll_watch = poll_watch or PollWatch()
-        self._connected_ms = coordinator.deadlines.clock() - waited_ms  # at the earliest
-        self._empty_ms = coordinator.deadlines.clock()  # when all that had come was read
-        self._waited_ms = 0.0  # for which what was read last may have waited for that
-        # Whether its first message was there as it was accepted; asked only where that was late.
-        self._came_along = waited_ms > ACCEPT_USUAL_MS and stream.socket.is_readable()
-        self.stream, self.coordinator, self.deadlines = stream, coordinator, coordinator.deadlines
-        self.largest_statement = largest_statement
-        self.open: dict[int, LiveRequest] = {}
-        self.closing = False  # it ends once all that has come is answered, and every answer has left
-        self.lingering = False  # this side is shut: what still comes is read and dropped
-        self.asked = False  # it has sent a message that could be used
-        self.since_ms = self.deadlines.clock()  # of its last message or answer
-        self.heard_ms = self.since_ms  # when bytes last came
-        self.began_ms = 0.0  # when the message that is half-sent began; 0: none is
-        self._faults = 0  # messages in a row that could not be used
-        self._last = -1  # the id that came last
-        self._unsent, self._sending = bytearray(), False
-        self._read_up = 0  # how often all that had come was read and taken
-        self._stir, self._flushed = trio.Event(), trio.Event()
+        self.stream = stream
+        self.coordinator = coordinator
+        self.deadlines = coordinator.deadlines
+        self.max_statement_bytes = max_statement_bytes
+        self.open_requests: dict[int, LiveRequest] = {}
+        self.closing = False  # it ends once all that has come is answered, and every response has left
+        self.half_closed = False  # this side is shut: what still comes is read and dropped
+        self.has_requested = False  # it has sent a message that could be used
+        self.last_activity_ms = self.deadlines.clock()  # of its last message or response
+        self._received_ms = self.last_activity_ms  # when bytes last came
+        self._message_began_ms = 0.0  # when the message that is half-sent began; 0: none is
+        self._invalid_in_a_row = 0  # messages that could not be used
+        self._last_number = -1  # the id that came last
+        self._writer = ResponseWriter(stream, self.deadlines, client_limits.RPC_WRITE_TIMEOUT_MS)
+        self._read_delay = ReadDelay(stream, poll_watch or PollWatch(), self.deadlines, accept_delay_ms)
+        self._times_drained = 0  # how often all that had come was read and handled
+        self._drained = False  # the last read left nothing behind
+        self._handling = False  # something may have been read that is not handled
+        self._waits_for_bytes: trio.CancelScope | None = None
+        self._timed_out = False
+        self._write_stalled = False
+        self._message_timeout: Ticket | None = None
         self._scope = trio.CancelScope()
-        self._waits: trio.CancelScope | None = None  # while it waits for bytes
-        self._ended = self._short = self._reads = False
-        self._stuck = False  # its client has read no answer for long
-        self._due: Ticket | None = None
 
     @property
     def settled(self) -> bool:
-        """Whether no request is open, and every answer has left."""
-        return not (self.open or self._unsent or self._sending)
+        """Whether no request is open, and every response has left."""
+        return not self.open_requests and self._writer.flushed
 
     @property
     def idle(self) -> bool:
-        """Whether it is settled, and not in a message; one without an end keeps no room for ever."""
-        half_sent = self.asked and self.began_ms > self.deadlines.clock() - WHOLE_MS
-        return self.settled and not half_sent
+        """Whether it is settled, and not in a message; one without an end keeps no capacity for ever."""
+        earliest_ms = self.deadlines.clock() - client_limits.RPC_MESSAGE_TIMEOUT_MS
+        in_message = self.has_requested and self._message_began_ms > earliest_ms
+        return self.settled and not in_message
 
     @property
-    def unread(self) -> bool:
+    def unread_bytes(self) -> bool:
         """Whether something has come that this program was too busy to read."""
         sock = self.stream.socket
         return sock.fileno() >= 0 and sock.is_readable()  # one that has just been closed is still listed
 
     async def run(self) -> None:
         """Serve the connection to its end; requests still open then have lost their client."""
-        self._expect(WHOLE_MS)
+        self._start_message_timeout(client_limits.RPC_MESSAGE_TIMEOUT_MS)
         try:
             with self._scope:
-                async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._write)
-                    await self._read()
-                    while not self.settled:
-                        self._flushed = trio.Event()
-                        await self._flushed.wait()
-                    nursery.cancel_scope.cancel()
-                self.lingering = True
-                if self.open:  # it was read to its end, and all that was open answered or given up
-                    self.coordinator.invariants.violated(Invariant.NO_OPEN_CLOSED, open=len(self.open))
-                await linger(self.stream, self.deadlines)
+                await self._serve()
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
-            self._whole()
-            self._leave()
+            self._stop_message_timeout()
+            self._abandon_requests()
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(self.stream)
 
     def close(self) -> None:
         """End the connection once it is settled, and nothing has come that is not read."""
         self.closing = True
-        self._stir.set()
+        self._writer.wake()
 
     async def caught_up(self) -> None:
-        """Wait until all that has come by now is read: behind other messages it may say that its client goes.
+        """Wait until all that has come by now is read: behind other messages may be a cancel, or the end.
 
         A client that is not read from, since it does not read itself, has nothing begun for it either.
         """
-        # What is being taken now may have been read before the rest came: a second time it is all there.
-        read_up = self._read_up + 2
-        while (self._reads or self.unread) and self._read_up < read_up:
-            await self.deadlines.sleep(CATCH_UP_MS)
+        # What is being handled now may have been read before the rest came: a second time it is all there.
+        enough = self._times_drained + 2
+        while (self._handling or self.unread_bytes) and self._times_drained < enough:
+            await self.deadlines.sleep(CATCH_UP_CHECK_MS)
 
     def shed(self) -> None:
         """End the connection at once: what comes from now on must not be read and dropped."""
-        if self.open and not self._stuck:
-            self.coordinator.invariants.violated(Invariant.NO_OPEN_CLOSED, open=len(self.open))
+        if self.open_requests and not self._write_stalled:
+            self._report_open_requests()
         self.stream.socket.close()
         self._scope.cancel()
 
-    def final(self, number: int, error: object, result: object) -> None:
-        """Queue the one final answer of a request that is open here."""
-        if self.open.pop(number, None) is None:
-            return self.coordinator.invariants.violated(Invariant.ONE_ANSWER, number=number)
-        self.answer(number, error, result)
-
-    def answer(self, number: int, error: object, result: object) -> None:
-        """Queue an answer; the writer sends it at once."""
-        self.since_ms = self.deadlines.clock()
-        self._unsent += msgpack.packb([RESPONSE, number, error, result], use_bin_type=True)
-        self._stir.set()
+    def finish(self, number: int, response: bytes) -> None:
+        """Queue the one final response of a request that is open here."""
+        if self.open_requests.pop(number, None) is None:
+            self.coordinator.invariants.violated(Invariant.ONE_ANSWER, number=number)
+        else:
+            self._respond(response)
+
+    async def _serve(self) -> None:
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(self._write)
+            await self._read()
+            while not self.settled:
+                await self._writer.wait_for_flush()
+            nursery.cancel_scope.cancel()
+        self.half_closed = True
+        if self.open_requests:  # it was read to its end, and all that was open answered or abandoned
+            self._report_open_requests()
+        await linger(self.stream, self.deadlines)
+
+    def _report_open_requests(self) -> None:
+        self.coordinator.invariants.violated(Invariant.NO_OPEN_CLOSED, open=len(self.open_requests))
+
+    def _respond(self, response: bytes) -> None:
+        self.last_activity_ms = self.deadlines.clock()
+        self._writer.queue(response)
 
     async def _write(self) -> None:
+        """Send responses; a client that does not read them is disconnected."""
         while True:
-            while self._unsent:
-                out, self._unsent, self._sending = self._unsent, bytearray(), True
-                with self.deadlines.limit_for(WRITE_MS) as limit:
-                    await self.stream.send_all(out)
-                if limit.cancelled_caught:
-                    self.coordinator.counters.add("client.stuck")
-                    log.info("client.stuck", open=len(self.open), unsent=len(out))
-                    self._stuck = True
-                    return self.shed()
-            self._sending = False
-            self._flushed.set()
-            if self.closing and self._waits is not None:
-                self._waits.cancel()
-            self._stir = trio.Event()
-            await self._stir.wait()
+            stalled_bytes = await self._writer.flush()
+            if stalled_bytes:
+                self.coordinator.counters.add("client.write_stalled")
+                log.info("client.write_stalled", open=len(self.open_requests), unsent_bytes=stalled_bytes)
+                self._write_stalled = True
+                self.shed()
+                return
+            if self.closing and self._waits_for_bytes is not None:
+                self._waits_for_bytes.cancel()
+            await self._writer.wait_for_change()
 
     async def _receive(self) -> bytes:
         """Return what comes next; nothing once nothing more is to be read, or this side is shut.
 
-        What has come before the shutdown is read, taken and answered: dropped, its client would wait in vain.
-        Between the look for it and the shutdown nothing else may run, and nothing read may be on its way to
-        being taken; so the task that reads does both. What comes later crosses the shutdown, and its client
-        sends it again.
+        What has come before the shutdown is read, handled and answered: dropped, its client would wait in
+        vain. Between the check for it and the shutdown nothing else may run, and nothing read may be on its
+        way to being handled; so the task that reads does both. What comes later crosses the shutdown, and its
+        client sends it again.
         """
-        self._read_up += self._short
-        self._short = False
-        while not self._ended:
-            while len(self._unsent) > UNSENT_MOST:
-                await self.deadlines.sleep(10.0)
-            if self.closing and self.settled and not self.unread:
-                shut(self.stream)
+        self._times_drained += self._drained
+        self._drained = False
+        while not self._timed_out:
+            while self._writer.unsent_bytes > client_limits.RPC_MAX_UNSENT_BYTES:
+                await self.deadlines.sleep(client_limits.RPC_UNSENT_CHECK_MS)
+            if self.closing and self.settled and not self.unread_bytes:
+                half_close(self.stream)
                 break
             with trio.CancelScope() as scope:
-                self._waits, self._reads = scope, False
-                try:
-                    if isinstance(self.stream, trio.SocketStream):
-                        await trio.lowlevel.wait_readable(self.stream.socket)
-                    self._note_wait()
-                    self._reads = True  # from here to the next wait there may be something that is not taken
-                    chunk = bytes(await self.stream.receive_some(READ_BYTES))
-                finally:
-                    self._waits, self._reads = None, True
-                self.heard_ms, self._short = self.deadlines.clock(), len(chunk) < READ_BYTES
-                if self._short:
-                    self._empty_ms = self.heard_ms
-                return chunk
+                return await self._receive_chunk(scope)
         return b""
 
-    def _note_wait(self) -> None:
-        """Reckon for how long at most what is to be read now has been here."""
-        if self._came_along:
-            self._waited_ms, self._came_along = self.deadlines.clock() - self._connected_ms, False
-        else:
-            self._waited_ms = self._poll_watch.waited_ms(self._empty_ms)
+    async def _receive_chunk(self, scope: trio.CancelScope) -> bytes:
+        """Wait for bytes and read them; the scope is cancelled where the wait should end without any."""
+        self._waits_for_bytes = scope
+        self._handling = False
+        try:
+            if isinstance(self.stream, trio.SocketStream):
+                await trio.lowlevel.wait_readable(self.stream.socket)
+            self._read_delay.note_readable()
+            self._handling = True  # from here to the next wait
+            chunk = bytes(await self.stream.receive_some(READ_BYTES))
+        finally:
+            self._waits_for_bytes = None
+            self._handling = True
+        self._received_ms = self.deadlines.clock()
+        self._drained = len(chunk) < READ_BYTES
+        if self._drained:
+            self._read_delay.note_drained(self._received_ms)
+        return chunk
 
     async def _read(self) -> None:
-        """Take what comes, until the client has gone or can no longer be understood."""
-        chunks, size, needed = list[bytes](), 0, 1
+        """Handle what comes, until the client has gone or can no longer be understood."""
+        buffer = MessageBuffer(self.max_statement_bytes + client_limits.RPC_MESSAGE_OVERHEAD_BYTES)
         while chunk := await self._receive():
-            chunks.append(chunk)
-            size += len(chunk)
-            if size < needed:  # what is still incomplete is not read anew with every piece
+            if not buffer.append(chunk):
                 continue
-            buffer = b"".join(chunks)
-            view, at, needed, turn = memoryview(buffer), 0, 1, 0
             try:
-                while at < len(view):
-                    message, end = read(view, at)
-                    self._take(message)
-                    at, turn = end, turn + 1
-                    if turn % TURN_MESSAGES == 0:
-                        await self._yield()
-            except Incomplete as rest:
-                needed = rest.needed - at
-                if needed > self.largest_statement + HEAD_BYTES:  # refused before it is buffered
-                    return self._refuse_rest(view[at:], "the message is too large")
-            except Malformed as error:
-                return self._refuse_rest(view[at:], str(error))
-            if turn and self.asked:  # the time runs for each message anew
-                self._whole()
-            if at < len(view) and (turn or not self.began_ms):
-                self.began_ms = self.heard_ms
-                if self._due is None:
-                    self._expect(WHOLE_MS)
-            chunks, size = ([buffer[at:]], len(buffer) - at) if at < len(buffer) else ([], 0)
-            if self._faults:
-                await self._yield()
+                handled = await self._handle_messages(buffer)
+            except MalformedMessageError as error:
+                self._reject_rest(buffer.unhandled, str(error))
+                return
+            self._note_message_progress(handled=handled > 0, in_message=len(buffer.unhandled) > 0)
+            buffer.discard_handled()
+            if self._invalid_in_a_row:
+                await self._give_turn()
         # Whoever has shut its side has gone: nothing is begun for it any more, and nothing gone on with.
-        self._leave()
-
-    async def _yield(self) -> None:
-        """Let others have their turn; a client that sends what cannot be used waits longer for its next."""
-        await self.deadlines.sleep(min(PAUSE_MOST_MS, PAUSE_MS * self._faults))
-
-    def _expect(self, ms: float) -> None:
-        self._due = self.deadlines.after(ms, self._overdue)
-
-    def _whole(self) -> None:
-        self.began_ms = 0.0
-        if self._due is not None:
-            self.deadlines.drop(self._due)
-            self._due = None
-
-    def _overdue(self) -> None:
-        """No message has come whole in time: the client is silent, or its message has no end.
+        self._abandon_requests()
+
+    async def _handle_messages(self, buffer: MessageBuffer) -> int:
+        """Handle the whole messages at hand; return how many there were. Raise MalformedMessageError."""
+        handled = 0
+        for value in buffer.values():
+            self._handle(rpc_wire.read_message(value))
+            handled += 1
+            if handled % client_limits.RPC_MESSAGES_PER_TURN == 0:
+                await self._give_turn()
+        return handled
+
+    async def _give_turn(self) -> None:
+        """Let other connections have their turn; after invalid messages wait longer for the next."""
+        pause_ms = client_limits.RPC_INVALID_MESSAGE_PAUSE_MS * self._invalid_in_a_row
+        await self.deadlines.sleep(min(client_limits.RPC_MAX_INVALID_MESSAGE_PAUSE_MS, pause_ms))
+
+    def _note_message_progress(self, *, handled: bool, in_message: bool) -> None:
+        """Time each message by itself."""
+        if handled and self.has_requested:
+            self._stop_message_timeout()
+        if in_message and (handled or not self._message_began_ms):
+            self._message_began_ms = self._received_ms
+            if self._message_timeout is None:
+                self._start_message_timeout(client_limits.RPC_MESSAGE_TIMEOUT_MS)
+
+    def _start_message_timeout(self, ms: float) -> None:
+        self._message_timeout = self.deadlines.after(ms, self._check_message_timeout)
+
+    def _stop_message_timeout(self) -> None:
+        self._message_began_ms = 0.0
+        if self._message_timeout is not None:
+            self.deadlines.drop(self._message_timeout)
+            self._message_timeout = None
+
+    def _check_message_timeout(self) -> None:
+        self._message_timeout = None
+        earliest_ms = self.deadlines.clock() - client_limits.RPC_MESSAGE_TIMEOUT_MS
+        wait_scope = self._waits_for_bytes
+        if wait_scope is None or not client_limits.message_timed_out(
+            unread_bytes=self.unread_bytes,
+            open_requests=len(self.open_requests),
+            writing=self.has_requested and self._received_ms > earliest_ms,
+        ):
+            self._start_message_timeout(client_limits.RPC_MESSAGE_TIMEOUT_RETRY_MS)
+            return
+        self.coordinator.counters.add("client.idle_timeout")
+        log.debug("client.idle_timeout", has_requested=self.has_requested)
+        self._timed_out = True
+        wait_scope.cancel()
 
-        What is open is owed its answer all the same, and may be cancelled: it is read from until then.
-        """
-        self._due = None
-        writes = self.asked and self.heard_ms > self.deadlines.clock() - WHOLE_MS
-        if self._waits is None or self.unread or self.open or writes:  # or it is this program that is late
-            return self._expect(UNREAD_MS)
-        self.coordinator.counters.add("client.overdue")
-        log.debug("client.overdue", asked=self.asked)
-        self._ended = True
-        self._waits.cancel()
-
-    def _leave(self) -> None:
+    def _abandon_requests(self) -> None:
         """Give up all that is open: its client has gone, or can no longer be understood."""
-        for live in list(self.open.values()):
+        for live in list(self.open_requests.values()):
             self.coordinator.leave(live)
-        self.open.clear()
+        self.open_requests.clear()
 
-    def _refuse_rest(self, view: memoryview, why: str) -> None:
-        """Answer a message that cannot be read, if its id can; the bytes after it have lost their frame.
+    def _reject_rest(self, view: memoryview, why: str) -> None:
+        """Answer a malformed message, if its id can be read; the bytes after it have lost their frame.
 
         What else is open is given up: the connection closes without waiting for it.
         """
         self.coordinator.counters.add("client.malformed")
-        kind, number = None, -1
-        try:
-            kind, at = read(view, 1)
-            number, _ = read(view, at)
-        except (Incomplete, Malformed):
-            pass
-        log.info("client.malformed", why=why, open=len(self.open))
-        unanswered = _is_id(number) and (number > self._last or number in self.open)
-        self._leave()
-        if unanswered and view[0] == 0x94 and kind == REQUEST:
-            self.answer(number, ["Invalid", {"reason": why}], None)
-
-    def _take(self, message: Any) -> None:
-        number: int
-        method: memoryview
+        log.info("client.malformed", why=why, open=len(self.open_requests))
+        number = rpc_wire.request_number(view)
+        unanswered = number is not None and (number > self._last_number or number in self.open_requests)
+        self._abandon_requests()
+        if number is not None and unanswered:
+            self._respond(rpc_wire.invalid_response(number, why))
+
+    def _handle(self, message: rpc_wire.Message) -> None:
         match message:
-            case [0, int(number), *_] if _is_id(number) and number <= self._last:
-                # two answers under one id could not be told apart
-                raise Malformed("an id that does not count up")
-            case [0, int(number), memoryview() as method, params] if _is_id(number):
-                self._last = number
-                self._request(number, str(method, "utf-8", "replace"), params)
-            case [0, int(number), *_] if _is_id(number):
-                self._last = number
-                self._invalid(number, "not a request")
-            case [2, memoryview() as method, [int(number)]] if method == b"cancelRequest":
-                if (live := self.open.pop(number, None)) is not None:
+            case rpc_wire.RequestMessage(number, method, params):
+                self._note_number(number)
+                self._handle_request(number, method, params)
+            case rpc_wire.InvalidMessage(number):
+                self._note_number(number)
+                self._reject(number, "not a request")
+            case rpc_wire.CancelMessage(number):
+                if (live := self.open_requests.pop(number, None)) is not None:
                     self.coordinator.leave(live)
-            case [2, memoryview(), _]:
-                pass  # a notification that is not known here asks for nothing
-            case _:
-                raise Malformed("neither a request nor a notification")
-
-    def _request(self, number: int, method: str, params: Any) -> None:
-        if method == "alive":
-            self.asked = True
-            self.answer(number, None, [not self.coordinator.draining, {}])
+            case rpc_wire.UnknownNotification():
+                pass
+
+    def _note_number(self, number: int) -> None:
+        """Take the id of a request; two responses under one id could not be told apart."""
+        if number <= self._last_number:
+            raise MalformedMessageError("an id that does not count up")
+        self._last_number = number
+
+    def _handle_request(self, number: int, method: str, params: object) -> None:
+        if method == rpc_wire.HEALTH_CHECK_METHOD:
+            self.has_requested = True
+            self._respond(rpc_wire.health_response(number, accepting=not self.coordinator.draining))
             return
+        if len(self.open_requests) >= client_limits.RPC_MAX_OPEN_REQUESTS:
+            self._reject(number, f"over {client_limits.RPC_MAX_OPEN_REQUESTS} requests are open")
+            return
+        read_delay_ms = self._read_delay.last_ms + self.deadlines.clock() - self._received_ms
         try:
-            if len(self.open) >= OPEN_MOST:
-                raise BadRequest(f"over {OPEN_MOST} requests are open")
-            waited_ms = self._waited_ms + self.deadlines.clock() - self.heard_ms
-            query = read_query(method, params, self.coordinator, self.largest_statement, waited_ms)
-        except BadRequest as error:
-            return self._invalid(number, str(error))
-        self.asked, self._faults, self.since_ms = True, 0, self.deadlines.clock()
-        self.open[number] = self.coordinator.take(query, RpcReply(self, number))
-
-    def _invalid(self, number: int, why: str) -> None:
-        self.coordinator.counters.add("client.invalid")
-        self._faults += 1
-        self.answer(number, ["Invalid", {"reason": why}], None)
-
+            query = read_query(method, params, self.coordinator, self.max_statement_bytes, read_delay_ms)
+        except InvalidRequestError as error:
+            self._reject(number, str(error))
+            return
+        self.has_requested = True
+        self._invalid_in_a_row = 0
+        self.last_activity_ms = self.deadlines.clock()
+        self.open_requests[number] = self.coordinator.take(query, RpcReply(self, number))
 
-def _is_id(number: object) -> bool:
-    return isinstance(number, int) and not isinstance(number, bool) and 0 <= number < 2**32
+    def _reject(self, number: int, why: str) -> None:
+        self.coordinator.counters.add("client.invalid")
+        self._invalid_in_a_row += 1
+        self._respond(rpc_wire.invalid_response(number, why))
--- a/fordstair/net/clients/rpc_front.py
+++ b/fordstair/net/clients/rpc_front.py
@@ -1,57 +1,74 @@
-"""The platform's front: its clients' connections, and which of them goes where there is no room."""
+"""The platform's front: its clients' connections, and which of them is shed where there is no capacity."""
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
 
 import trio
 
 from fordstair.core.coordinator import Coordinator
+from fordstair.net.clients.client_limits import (
+    RPC_MAX_STATEMENT_BYTES,
+    SHED_ORDER_VALID_MS,
+    ShedRank,
+    shed_rank,
+)
 from fordstair.net.clients.poll_watch import PollWatch
-from fordstair.net.clients.rpc_connection import RpcClient
+from fordstair.net.clients.rpc_connection import RpcConnection
 from fordstair.runtime.event_log import EventLog
 
 log = EventLog(__name__)
 
-LARGEST_STATEMENT = 256 * 1024
-GREET_MS = 300.0  # for a new connection, while there are others to shed
-SORT_MS = 50.0  # an order of whom to shed holds for so long: a flood of connections must not cost a sort each
+
+@dataclass(slots=True)
+class ShedCandidate:
+    """A connection that was idle as the order of shedding was made."""
+
+    connection: RpcConnection
+    rank: ShedRank
+    last_activity_ms: float
 
 
 class RpcFront:
     """Accepts clients, at most as many as the limit on sockets leaves them."""
 
-    clients_most, largest_statement = 64, LARGEST_STATEMENT  # until the configuration has been applied
+    # Until the configuration has been applied:
+    max_clients = 64
+    max_statement_bytes = RPC_MAX_STATEMENT_BYTES
 
     def __init__(self, coordinator: Coordinator, poll_watch: PollWatch | None = None) -> None:
-        self.coordinator, self.poll_watch = coordinator, poll_watch or PollWatch()
-        self.clients: set[RpcClient] = set()
+        self.coordinator = coordinator
+        self.poll_watch = poll_watch or PollWatch()
+        self.clients: set[RpcConnection] = set()
         self.closing = False
-        self._next_to_go: deque[tuple[int, float, RpcClient]] = deque()  # the first to be shed first
-        self._sorted_ms = 0.0
+        self._shed_order: deque[ShedCandidate] = deque()  # the first to be shed first
+        self._shed_order_made_ms = 0.0
 
     def close(self) -> None:
-        """End every connection as ``RpcClient.close`` says, also one that is accepted and not served yet."""
+        """End every connection as ``RpcConnection.close`` says, also one accepted and not served yet."""
         self.closing = True
         for client in self.clients:
             client.close()
 
-    async def serve(self, stream: trio.SocketStream, waited_ms: float = 0.0) -> None:
-        """Serve one connection; a fault in it, or in making room for it, ends no other.
+    async def serve(self, stream: trio.SocketStream, accept_delay_ms: float = 0.0) -> None:
+        """Serve one connection; a fault in it, or in shedding another for it, ends no other.
 
-        ``waited_ms`` says how long at most it was there before it was accepted.
+        ``accept_delay_ms`` says how long at most it was there before it was accepted.
         """
         try:
-            if len(self.clients) >= self.clients_most and not self._make_room():
-                self.coordinator.counters.add("client.turned_away")
-                return await trio.aclose_forcefully(stream)
-            await self._serve(
-                RpcClient(stream, self.coordinator, self.largest_statement, self.poll_watch, waited_ms)
+            if len(self.clients) >= self.max_clients and not self._shed_one():
+                self.coordinator.counters.add("client.rejected")
+                await trio.aclose_forcefully(stream)
+                return
+            connection = RpcConnection(
+                stream, self.coordinator, self.max_statement_bytes, self.poll_watch, accept_delay_ms
             )
+            await self._serve(connection)
         except Exception:
-            log.exception("client.broke")
+            log.exception("client.internal_error")
 
-    async def _serve(self, client: RpcClient) -> None:
+    async def _serve(self, client: RpcConnection) -> None:
         self.clients.add(client)
         client.closing = self.closing
         self.coordinator.counters.add("client.connections")
@@ -60,31 +77,42 @@
         finally:
             self.clients.discard(client)
 
-    def _make_room(self) -> bool:
-        """Shed one connection with nothing open on it.
-
-        Who connects and says nothing goes first, then who has been silent longest since asking: clients that
-        ask once and hold their connection must not keep others out. A new connection has some time to ask.
-        """
-        now = self.coordinator.deadlines.clock()
-        if not self._next_to_go or now > self._sorted_ms + SORT_MS:
-            young_ms = now - GREET_MS
-            idle = [
-                (1 if client.asked else 2 if client.since_ms > young_ms else 0, client.since_ms, client)
-                for client in self.clients
-                if client.idle
-            ]
-            self._next_to_go, self._sorted_ms = deque(sorted(idle, key=lambda each: each[:2])), now
-        while self._next_to_go:
-            _, since_ms, client = self._next_to_go.popleft()
-            if (
-                client in self.clients
-                and client.idle
-                and client.since_ms == since_ms
-                and (client.lingering or not client.unread)
-            ):
+    def _shed_one(self) -> bool:
+        """Shed one connection with nothing open on it, if there is one."""
+        now_ms = self.coordinator.deadlines.clock()
+        if not self._shed_order or now_ms > self._shed_order_made_ms + SHED_ORDER_VALID_MS:
+            self._make_shed_order(now_ms)
+        while self._shed_order:
+            candidate = self._shed_order.popleft()
+            if self._may_shed(candidate):
                 self.coordinator.counters.add("client.shed")
-                self.clients.discard(client)
-                client.shed()
+                self.clients.discard(candidate.connection)
+                candidate.connection.shed()
                 return True
         return False
+
+    def _make_shed_order(self, now_ms: float) -> None:
+        candidates = [
+            ShedCandidate(client, self._rank(client, now_ms), client.last_activity_ms)
+            for client in self.clients
+            if client.idle
+        ]
+        candidates.sort(key=lambda each: (each.rank, each.last_activity_ms))
+        self._shed_order = deque(candidates)
+        self._shed_order_made_ms = now_ms
+
+    @staticmethod
+    def _rank(client: RpcConnection, now_ms: float) -> ShedRank:
+        return shed_rank(
+            has_requested=client.has_requested, last_activity_ms=client.last_activity_ms, now_ms=now_ms
+        )
+
+    def _may_shed(self, candidate: ShedCandidate) -> bool:
+        """Whether it is still idle, and nothing has come on it that is not read."""
+        client = candidate.connection
+        return (
+            client in self.clients
+            and client.idle
+            and client.last_activity_ms == candidate.last_activity_ms
+            and (client.half_closed or not client.unread_bytes)
+        )
--- a/fordstair/net/clients/rpc_query.py
+++ b/fordstair/net/clients/rpc_query.py
@@ -9,62 +9,82 @@
 from fordstair.core.ports import Query
 from fordstair.core.statements import table_group
 
+_TRANSACTION_ID = b"txn"
+_TEAM = b"team"
+_TIME_LIMIT_MS = b"limit"
+_COST_MS = b"cpu"
+_MEMORY_MB = b"need_mb"
+_PARAMETERS = 2  # a map of fields, and the statement
+
+# float() takes more than engines do: signs, exponents, nan, underscores.
 _NUMBER = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?", re.ASCII)
-_TXN = re.compile(r"[0-9a-fA-F]{16}", re.ASCII)
+_TRANSACTION_ID_FORM = re.compile(r"[0-9a-fA-F]{16}", re.ASCII)
 
 
-class BadRequest(Exception):
-    """A request that cannot be used; the text says why."""
+class InvalidRequestError(Exception):
+    """A request that cannot be used; the text, which its client gets, says why."""
 
 
 def read_query(
-    method: str, params: Any, coordinator: Coordinator, largest: int, waited_ms: float = 0.0
+    method: str, params: Any, coordinator: Coordinator, max_statement_bytes: int, read_delay_ms: float = 0.0
 ) -> Query:
-    """Read a request's fields and statement; raise BadRequest, naming what cannot be used."""
+    """Read a request's fields and statement; raise InvalidRequestError, naming what cannot be used."""
     if method not in coordinator.classes:
-        raise BadRequest(f"unknown class {method[:40]!r}")
-    if not isinstance(params, list) or len(params) != 2 or not isinstance(params[0], dict):
-        raise BadRequest("params must be a map and a body")
+        raise InvalidRequestError(f"unknown class {method[:40]!r}")
+    if not isinstance(params, list) or len(params) != _PARAMETERS or not isinstance(params[0], dict):
+        raise InvalidRequestError("params must be a map and a body")
     fields, body = params
-    if not isinstance(body, memoryview) or len(body) > largest:
-        raise BadRequest(f"the body must be at most {largest} bytes")
-    txn = _text(fields, b"txn")
-    if not _TXN.fullmatch(txn):
-        raise BadRequest("txn must be 16 hex digits")
-    if coordinator.knows(txn):  # an engine could not tell the two queries apart
-        raise BadRequest("a request with this txn is open")
-    team = _text(fields, b"team") if coordinator.tenants else ""  # of a site without teams it says nothing
-    if (tenant := coordinator.tenant_of(team)) is None:
-        raise BadRequest(f"unknown team {team[:40]!r}")
+    if not isinstance(body, memoryview) or len(body) > max_statement_bytes:
+        raise InvalidRequestError(f"the body must be at most {max_statement_bytes} bytes")
+    transaction_id = _read_transaction_id(fields, coordinator)
+    tenant = _read_tenant(fields, coordinator)
     statement = bytes(body)  # the copy outlives the read buffer
     return Query(
-        txn,
+        transaction_id,
         method,
         coordinator.classes[method],
         tenant,
-        _number(fields, b"limit"),
+        _number(fields, _TIME_LIMIT_MS),
         statement,
         table_group(statement.decode("utf-8", "replace")),
-        _number(fields, b"cpu", 0.0),
-        _number(fields, b"need_mb", 0.0),
-        waited_ms,
+        _number(fields, _COST_MS, 0.0),
+        _number(fields, _MEMORY_MB, 0.0),
+        read_delay_ms,
     )
 
 
+def _read_transaction_id(fields: dict[Any, Any], coordinator: Coordinator) -> str:
+    transaction_id = _text(fields, _TRANSACTION_ID)
+    if not _TRANSACTION_ID_FORM.fullmatch(transaction_id):
+        raise InvalidRequestError("txn must be 16 hex digits")
+    if coordinator.knows(transaction_id):  # an engine could not tell the two queries apart
+        raise InvalidRequestError("a request with this txn is open")
+    return transaction_id
+
+
+def _read_tenant(fields: dict[Any, Any], coordinator: Coordinator) -> int:
+    """Return the tenant's index; at a site without teams the field says nothing."""
+    team = _text(fields, _TEAM) if coordinator.tenants else ""
+    tenant = coordinator.tenant_of(team)
+    if tenant is None:
+        raise InvalidRequestError(f"unknown team {team[:40]!r}")
+    return tenant
+
+
 def _text(fields: dict[Any, Any], name: bytes) -> str:
     value = fields.get(name)
     if not isinstance(value, memoryview):
-        raise BadRequest(f"{name.decode()} is missing")
+        raise InvalidRequestError(f"{name.decode()} is missing")
     try:
         return str(value, "utf-8")
     except UnicodeDecodeError:
-        raise BadRequest(f"{name.decode()} is not UTF-8") from None
+        raise InvalidRequestError(f"{name.decode()} is not UTF-8") from None
 
 
 def _number(fields: dict[Any, Any], name: bytes, default: float | None = None) -> float:
     if default is not None and name not in fields:
         return default
     text = _text(fields, name)
-    if not _NUMBER.fullmatch(text):  # float() takes more than engines do: signs, exponents, nan, underscores
-        raise BadRequest(f"{name.decode()} is no number in range")
+    if not _NUMBER.fullmatch(text):
+        raise InvalidRequestError(f"{name.decode()} is no number in range")
     return float(text)
--- /dev/null
+++ b/fordstair/net/clients/rpc_reply.py
@@ -0,0 +1,35 @@
+"""The way back to a client of the platform's front."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+from fordstair.net.clients import rpc_wire
+
+if TYPE_CHECKING:
+    from fordstair.net.clients.rpc_connection import RpcConnection
+
+
+class RpcReply:
+    """Answers one request."""
+
+    def __init__(self, connection: RpcConnection, number: int) -> None:
+        self._connection = connection
+        self._number = number
+
+    async def caught_up(self) -> None:
+        """Wait until what the client has written by now is read."""
+        await self._connection.caught_up()
+
+    def served(self, pages: Sequence[bytes]) -> None:
+        """Answer with all rows."""
+        self._connection.finish(self._number, rpc_wire.result_response(self._number, pages))
+
+    def refused(self, later_ms: float) -> None:
+        """Answer that a retry is harmless, and when to make it."""
+        self._connection.finish(self._number, rpc_wire.overloaded_response(self._number, later_ms))
+
+    def failed(self, reason: str) -> None:
+        """Answer with an error that promises nothing."""
+        self._connection.finish(self._number, rpc_wire.internal_error_response(self._number, reason))
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -16,9 +16,10 @@
 from fordstair.core.start_times import StartTimes
 from fordstair.decisions.engine_list import EngineState, ListUpdateKind
 from fordstair.held_signals import deliver
+from fordstair.net.clients.client_limits import RPC_MAX_STATEMENT_BYTES
 from fordstair.net.clients.listener import ClientListener, Serve, open_listeners
 from fordstair.net.clients.poll_watch import PollWatch
-from fordstair.net.clients.rpc_front import LARGEST_STATEMENT, RpcFront
+from fordstair.net.clients.rpc_front import RpcFront
 from fordstair.net.command_channel import CommandChannel
 from fordstair.net.engines.pool import ConnectionPool
 from fordstair.net.engines.rest import RestTransport
@@ -318,7 +319,7 @@
             if secured is not None:
                 await self.odata.serve(secured)
         except Exception:  # one client's handshake must not end the others' connections
-            log.exception("odata.broke")
+            log.exception("odata.internal_error")
 
     async def signals(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """SIGHUP reads the configuration anew, SIGUSR1 prints the counters, SIGTERM and SIGINT end it."""
@@ -361,12 +362,12 @@
         self.pool.resize(self.config.sockets - clients_most - SPARE_SOCKETS)
         self.pool.connect_timeout_ms = self.config.connect_timeout_ms
         self.pool.idle_timeout_ms = self.config.idle_ms
-        self.rpc.clients_most = clients_most if self.odata is None else clients_most // 2
+        self.rpc.max_clients = clients_most if self.odata is None else clients_most // 2
         if self.odata is not None:
-            self.odata.clients_most = clients_most - self.rpc.clients_most
+            self.odata.max_clients = clients_most - self.rpc.max_clients
         # all clients' half-sent statements together must not fill the memory
-        held = STATEMENTS_PART * self.config.memory_mb * 2**20 / self.rpc.clients_most
-        self.rpc.largest_statement = max(SMALLEST_BOUND, min(LARGEST_STATEMENT, int(held)))
+        held = STATEMENTS_PART * self.config.memory_mb * 2**20 / self.rpc.max_clients
+        self.rpc.max_statement_bytes = max(SMALLEST_BOUND, min(RPC_MAX_STATEMENT_BYTES, int(held)))
 
     async def accept(self, name: str, listen: tuple[str, int], serve: Serve, scope: trio.CancelScope) -> None:
         """Accept clients until the scope is cancelled; their connections outlive it."""
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -13,7 +13,7 @@
 from fordstair.configuration.platform import ConfigError, flatten, parse
 from fordstair.core.statements import table_group
 from fordstair.decisions.engine_list import EngineState
-from fordstair.net.clients.messagepack import Incomplete, Malformed, read
+from fordstair.net.clients.messagepack import IncompleteMessageError, MalformedMessageError, read
 from fordstair.net.clients.odata_model import EntitySet, ODataError, understand
 from fordstair.net.command_channel import FrameError, read_frame, read_records
 from fordstair.net.engines.rest_wire import parse_note, parse_report
@@ -51,9 +51,9 @@
     packed = msgpack.packb(value)
     assert whole(read(memoryview(packed))[0]) == msgpack.unpackb(packed, strict_map_key=False)
     cut = data.draw(st.integers(0, len(packed) - 1))
-    with pytest.raises(Incomplete) as short:
+    with pytest.raises(IncompleteMessageError) as short:
         read(memoryview(packed[:cut]))
-    assert cut < short.value.needed <= len(packed)
+    assert cut < short.value.needed_bytes <= len(packed)
 
 
 @many
@@ -62,7 +62,7 @@
     try:
         _, end = read(memoryview(garbage))
         assert 0 < end <= len(garbage)
-    except (Incomplete, Malformed):
+    except (IncompleteMessageError, MalformedMessageError):
         pass
     try:
         if (frame := read_frame(memoryview(garbage))) is not None:
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("data", [b"\x91" * 20 + b"\xc0", b"\xdd\xff\xff\xff\xff", b"\x81\x90\xc0", b"\xc1"])
 def test_bounds_of_messagepack(data: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         read(memoryview(data))
 
 
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -19,7 +19,7 @@
 from fordstair.core.ports import AttemptRequest, Call, Engine, Query, QueryProgress
 from fordstair.decisions.engine_list import EngineEntry, EngineState, ListUpdateKind
 from fordstair.net.clients.odata_front import Reply
-from fordstair.net.clients.rpc_connection import RpcClient
+from fordstair.net.clients.rpc_connection import RpcConnection
 from fordstair.net.clients.rpc_front import RpcFront
 from fordstair.program import Program as Coordination
 from fordstair.runtime.counters import Counters
@@ -318,10 +318,10 @@
     class Fresh:
         socket = SimpleNamespace(fileno=lambda: -1, close=lambda: None)
 
-    def client(front: RpcFront, age_ms: float, asked: bool) -> RpcClient:
-        one = RpcClient(Fresh(), front.coordinator, 1_000)  # type: ignore[arg-type]
-        one.since_ms -= age_ms
-        one.asked = asked
+    def client(front: RpcFront, age_ms: float, asked: bool) -> RpcConnection:
+        one = RpcConnection(Fresh(), front.coordinator, 1_000)  # type: ignore[arg-type]
+        one.last_activity_ms -= age_ms
+        one.has_requested = asked
         front.clients.add(one)
         return one
 
@@ -330,9 +330,9 @@
         client(front, *each) for each in ((5.0, False), (900.0, True), (100.0, True), (700.0, False))
     )
     for goes in (silent, held, used, new):
-        assert front._make_room()
+        assert front._shed_one()
         assert goes not in front.clients
-    assert not front._make_room()
+    assert not front._shed_one()
 
 
 def test_a_connection_that_has_just_closed_is_no_trouble_to_those_that_need_room() -> None:
@@ -340,8 +340,8 @@
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         ours = await trio.open_tcp_stream(*listeners[0].socket.getsockname())
         front = RpcFront(Coordinator(parse(config()).settings, 1, {}, Deadlines(), Counters()))
-        front.clients_most = 1
-        closed = RpcClient(ours, front.coordinator, 1_000)
+        front.max_clients = 1
+        closed = RpcConnection(ours, front.coordinator, 1_000)
         front.clients.add(closed)
         ours.socket.close()  # its task has not come to its end yet
         theirs = await listeners[0].accept()
@@ -349,7 +349,7 @@
         await theirs.aclose()
         with trio.move_on_after(1.0):
             await front.serve(await trio.open_tcp_stream(*listeners[0].socket.getsockname()))
-        assert not front.coordinator.counters["client.turned_away"]
+        assert not front.coordinator.counters["client.rejected"]
         assert front.coordinator.counters["client.connections"] == 1
 
     play(scene)
@@ -392,7 +392,7 @@
             await nursery.start(coordinator.run)
             nursery.start_soon(front.serve, Pieces())  # type: ignore[arg-type]
             await trio.sleep(4.0)  # twice the time for one message
-            assert coordinator.counters["client.overdue"] == 0
+            assert coordinator.counters["client.idle_timeout"] == 0
             assert coordinator.counters["taken.lookup"] > 15
             assert [client.idle for client in front.clients] == [False]
             nursery.cancel_scope.cancel()
@@ -420,7 +420,7 @@
             self.closed += 1
 
     async def scene() -> None:
-        monkeypatch.setattr("fordstair.net.clients.rpc_connection.WRITE_MS", 50.0)
+        monkeypatch.setattr("fordstair.net.clients.client_limits.RPC_WRITE_TIMEOUT_MS", 50.0)
         coordinator = Coordinator(parse(config()).settings, 1, {}, Deadlines(), Counters())
         stream, front = Full(), RpcFront(coordinator)
         async with trio.open_nursery() as nursery:
@@ -429,7 +429,7 @@
             nursery.cancel_scope.cancel()
         assert stream.closed
         assert not front.clients
-        assert coordinator.counters["client.stuck"] == 1
+        assert coordinator.counters["client.write_stalled"] == 1
 
     play(scene)
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -53,7 +53,7 @@
             await shim.apply()
             client = await node.client()
             assert await client.answer(await client.ask()) == (None, ROWS)
-            assert any("listen.fails" in line for line in node.log)
+            assert any("listen.failed" in line for line in node.log)
 
     trio.run(scene)
 
