--- /dev/null
+++ b/fordstair/net/clients/odata_connection.py
@@ -0,0 +1,156 @@
+"""One HTTP/1.1 connection to the OData front."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import h11
+import trio
+
+from fordstair.net.clients.client_limits import (
+    ODATA_IDLE_TIMEOUT_MS,
+    ODATA_MAX_BODY_BYTES,
+    ODATA_REQUEST_TIMEOUT_MS,
+    ODATA_WRITE_TIMEOUT_MS,
+)
+from fordstair.net.clients.odata_errors import ODataError
+from fordstair.net.clients.odata_messages import ODataRequest, Response, error_response
+from fordstair.net.clients.odata_router import ODataRouter
+from fordstair.net.clients.odata_statements import StatementRunner
+
+if TYPE_CHECKING:
+    from fordstair.net.clients.odata_front import ODataFront
+
+READ_BYTES = 65_536
+_NO_CONTENT = 204
+
+
+class ODataConnection:
+    """Answers one request after the other."""
+
+    def __init__(self, front: ODataFront, stream: trio.abc.Stream) -> None:
+        self._front = front
+        self._stream = stream
+        self._coordinator = front.coordinator
+        self._deadlines = front.coordinator.deadlines
+        self._http = h11.Connection(h11.SERVER)
+        self._has_requested = False  # it has sent a whole request
+        self._statements = StatementRunner(front.coordinator)
+        self._router = ODataRouter(front, stream, self._statements)
+
+    async def run(self) -> None:
+        """Answer requests until the connection ends."""
+        while (request := await self._next_request()) is not None:
+            self._front.open_requests += 1
+            try:
+                await self._answer(request)
+            finally:
+                self._front.open_requests -= 1
+            if self._statements.disconnected or not self._may_reuse:
+                return
+            self._http.start_next_cycle()
+
+    @property
+    def _may_reuse(self) -> bool:
+        return self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
+
+    async def _next_request(self) -> ODataRequest | None:
+        """Return the next request; None where the connection ends, or its client is too slow."""
+        try:
+            if not self._http.trailing_data[0] and not await self._wait_for_request():
+                return None
+            with self._deadlines.limit_for(ODATA_REQUEST_TIMEOUT_MS):
+                return await self._read_request()
+            self._coordinator.counters.add("odata.idle_timeout")
+        except h11.RemoteProtocolError as error:
+            if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+                malformed = ODataError(error.error_status_hint, "BadRequest", str(error))
+                await self._send(error_response(malformed), close=True)
+        return None
+
+    async def _wait_for_request(self) -> bool:
+        """Wait for a request to begin; return whether one has, or the connection has ended, in time."""
+        timeout_ms = ODATA_IDLE_TIMEOUT_MS if self._has_requested else ODATA_REQUEST_TIMEOUT_MS
+        with self._deadlines.limit_for(timeout_ms) as limit:
+            self._http.receive_data(await self._stream.receive_some(READ_BYTES))
+        if limit.cancelled_caught:
+            self._coordinator.counters.add("odata.idle_timeout")
+        return not limit.cancelled_caught
+
+    async def _read_request(self) -> ODataRequest | None:
+        """Read a request to its end; None where the connection ends first, or the body is too large."""
+        head: h11.Request | None = None
+        body = bytearray()
+        while True:
+            event = self._http.next_event()
+            if event is h11.NEED_DATA:
+                await self._receive()
+            elif isinstance(event, h11.Request):
+                head = event
+            elif isinstance(event, h11.Data):
+                body += event.data
+                if len(body) > ODATA_MAX_BODY_BYTES:
+                    too_large = ODataError(413, "TooLarge", "the body is too large")
+                    await self._send(error_response(too_large), close=True)
+                    return None
+            elif isinstance(event, h11.EndOfMessage) and head is not None:
+                self._has_requested = True
+                return _to_request(head, bytes(body))
+            else:
+                return None
+
+    async def _receive(self) -> None:
+        if self._http.they_are_waiting_for_100_continue:
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            await self._stream.send_all(self._http.send(interim) or b"")
+        self._http.receive_data(await self._stream.receive_some(READ_BYTES))
+
+    async def _answer(self, request: ODataRequest) -> None:
+        """Answer one request, while watching for its client to leave."""
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(self._watch_for_end)
+            response = await self._router.respond(request)
+            nursery.cancel_scope.cancel()
+        if not self._statements.disconnected:
+            await self._send(response)
+
+    async def _watch_for_end(self) -> None:
+        """Note when the client closes; what it sends early waits in h11 for its turn."""
+        while True:
+            try:
+                data = await self._stream.receive_some(READ_BYTES)
+            except (trio.BrokenResourceError, trio.ClosedResourceError):
+                data = b""
+            if not data:
+                self._statements.disconnect()
+                return
+            if len(self._http.trailing_data[0]) + len(data) > ODATA_MAX_BODY_BYTES:
+                await trio.sleep_forever()  # it may go on once it has read its answer
+            self._http.receive_data(data)
+
+    async def _send(self, response: Response, *, close: bool = False) -> None:
+        """Send a response; raise trio.BrokenResourceError where the client does not read it in time."""
+        encoded = self._encode(response, close=close or self._coordinator.draining)
+        with self._deadlines.limit_for(ODATA_WRITE_TIMEOUT_MS) as limit:
+            await self._stream.send_all(encoded)
+        if limit.cancelled_caught:
+            self._coordinator.counters.add("odata.write_stalled")
+            raise trio.BrokenResourceError("the client does not read")
+
+    def _encode(self, response: Response, *, close: bool) -> bytes:
+        headers = [("OData-Version", "4.01"), *response.headers.items()]
+        if response.status != _NO_CONTENT:
+            headers.append(("Content-Length", str(len(response.body))))
+        if response.body and "Content-Type" not in response.headers:
+            headers.append(("Content-Type", "application/json"))
+        if close:
+            headers.append(("Connection", "close"))
+        encoded = self._http.send(h11.Response(status_code=response.status, headers=headers)) or b""
+        if response.body:
+            encoded += self._http.send(h11.Data(data=response.body)) or b""
+        return encoded + (self._http.send(h11.EndOfMessage()) or b"")
+
+
+def _to_request(head: h11.Request, body: bytes) -> ODataRequest:
+    headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in head.headers}
+    return ODataRequest(head.method.decode(), head.target.decode("latin-1"), headers, body)
--- /dev/null
+++ b/fordstair/net/clients/odata_filter.py
@@ -0,0 +1,54 @@
+"""Turns $filter into SQL."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from odata_query import ast
+from odata_query.exceptions import ODataException
+from odata_query.grammar import ODataLexer, ODataParser
+from odata_query.sql.base import AstToSqlVisitor
+
+from fordstair.net.clients.odata_errors import ODataError
+from fordstair.net.clients.odata_model import EntitySet
+
+
+def filter_to_sql(text: str, entity_set: EntitySet) -> str:
+    """Return the condition of a WHERE clause; raise ODataError."""
+    try:
+        return str(_FilterVisitor(entity_set).visit(ODataParser().parse(ODataLexer().tokenize(text))))
+    except ODataException as error:
+        raise ODataError(400, "BadFilter", f"the filter cannot be read: {error}") from None
+    except RecursionError:
+        raise ODataError(400, "BadFilter", "the filter is nested too deeply") from None
+
+
+def quote_text(text: str) -> str:
+    """Write a text as an SQL literal."""
+    return "'" + text.replace("'", "''") + "'"
+
+
+class _FilterVisitor(AstToSqlVisitor):
+    """Knows the set's own columns and nothing else; the library calls a method named after each node."""
+
+    def __init__(self, entity_set: EntitySet) -> None:
+        super().__init__()
+        self._columns = entity_set.columns
+
+    def visit_Identifier(self, node: ast.Identifier) -> str:  # noqa: N802 - the library's name
+        """A column, by its plain name."""
+        if node.name not in self._columns or node.namespace:
+            raise ODataError(400, "BadFilter", f"no property {node.name!r}")
+        return str(node.name)
+
+    def visit_String(self, node: ast.String) -> str:  # noqa: N802 - the library's name
+        """A text; a lone wildcard in it would change what LIKE finds."""
+        return quote_text(node.val)
+
+    def visit_Call(self, node: ast.Call) -> str:  # noqa: N802 - the library's name
+        """No functions: their wildcards and types differ from engine to engine."""
+        raise ODataError(501, "NotImplemented", f"the function {node.func.name} is not served")
+
+    def generic_visit(self, node: Any) -> Any:
+        """What has no SQL here is rejected instead of passed over."""
+        raise ODataError(501, "NotImplemented", f"{type(node).__name__} is not served in a filter")
--- a/fordstair/net/clients/repeatable_requests.py
+++ b/fordstair/net/clients/repeatable_requests.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from fordstair.core.coordinator import Coordinator
-from fordstair.net.clients.odata_model import ODataError, Response
+from fordstair.net.clients.odata_errors import ODataError
+from fordstair.net.clients.odata_messages import Response
 
 if TYPE_CHECKING:  # loaded only where the operator's file sets it up
     from fordstair.replication.service import Begun, Service
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -11,7 +11,6 @@
     "fordstair/decisions/gateway.py",
     "fordstair/lab/site.py",
     "fordstair/membership/swim.py",
-    "fordstair/net/clients/odata_front.py",
     "fordstair/net/console_server.py",
     "fordstair/program.py",
     "fordstair/replication/service.py",
--- a/tests/test_odata.py
+++ b/tests/test_odata.py
@@ -14,8 +14,9 @@
 import trio
 import ujson
 
-from fordstair.net.clients.odata_front import Result, Results
-from fordstair.net.clients.odata_model import EntitySet, ODataError
+from fordstair.net.clients.odata_errors import ODataError
+from fordstair.net.clients.odata_model import EntitySet
+from fordstair.net.clients.odata_results import Result, StoredResults
 from fordstair.runtime.deadlines import Deadlines
 from tests.standins import (
     SETTINGS,
@@ -197,20 +198,16 @@
 
 def test_kept_results_stay_within_their_number_and_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     """64 results of many short rows would have passed the limit on memory."""
-
-    class Host:
-        deadlines = Deadlines()
-
     one = EntitySet("S", "s.t", ("a",), "lookup", "lookup")
-    kept = Results(3, 1000.0, Host())  # type: ignore[arg-type]
-    names = [kept.keep(Result("t", [b"x"] * 10, one, ("a",), 2)) for _ in range(5)]
+    kept = StoredResults(3, 1000.0, Deadlines())
+    names = [kept.store(Result("t", [b"x"] * 10, one, ("a",), 2)) for _ in range(5)]
     assert len(kept) == 3
-    assert kept.page(names[-1] + "-2", "t")[1] == 2
+    assert kept.page(names[-1] + "-2", "t").start == 2
     for token, team in ((names[0] + "-2", "t"), (names[-1] + "-2", "other"), (names[-1] + "-10", "t")):
         with pytest.raises(ODataError):
             kept.page(token, team)
-    monkeypatch.setattr("fordstair.net.clients.odata_front.RESULTS_BYTES", 1000)
-    kept.keep(Result("t", [b"x"] * 10, one, ("a",), 2))
+    monkeypatch.setattr("fordstair.net.clients.odata_results.MAX_STORED_BYTES", 1000)
+    kept.store(Result("t", [b"x"] * 10, one, ("a",), 2))
     assert len(kept) == 1
 
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -14,7 +14,9 @@
 from fordstair.core.statements import table_group
 from fordstair.decisions.engine_list import EngineState
 from fordstair.net.clients.messagepack import IncompleteMessageError, MalformedMessageError, read
-from fordstair.net.clients.odata_model import EntitySet, ODataError, understand
+from fordstair.net.clients.odata_errors import ODataError
+from fordstair.net.clients.odata_model import EntitySet
+from fordstair.net.clients.odata_sql import parse_read
 from fordstair.net.command_channel import FrameError, read_frame, read_records
 from fordstair.net.engines.rest_wire import parse_note, parse_report
 from fordstair.runtime.clock import UnixMs
@@ -137,7 +139,7 @@
 @given(st.text(max_size=60), st.sampled_from(["$filter", "$orderby", "$top", "$skip", "$select", "$count"]))
 def test_options_are_understood_or_refused(text: str, option: str) -> None:
     try:
-        assert understand("S", {option: text}, SETS).statement.startswith("SELECT a, b FROM s_1.t")
+        assert parse_read("S", {option: text}, SETS).statement.startswith("SELECT a, b FROM s_1.t")
     except ODataError as error:
         assert error.status in (400, 501)
 
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -18,7 +18,7 @@
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import AttemptRequest, Call, Engine, Query, QueryProgress
 from fordstair.decisions.engine_list import EngineEntry, EngineState, ListUpdateKind
-from fordstair.net.clients.odata_front import Reply
+from fordstair.net.clients.odata_statements import PendingReply
 from fordstair.net.clients.rpc_connection import RpcConnection
 from fordstair.net.clients.rpc_front import RpcFront
 from fordstair.program import Program as Coordination
@@ -461,9 +461,9 @@
             coordinator.members(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "127.0.0.1:1")])
             query = Query("0" * 16, "lookup", 0, 0, 3000.0, b"")
             for _ in range(50):  # before the task has begun
-                coordinator.leave(coordinator.take(query, Reply()))
+                coordinator.leave(coordinator.take(query, PendingReply()))
             for _ in range(5):  # a fault in the transport, here that there is none, ends the attempt as well
-                coordinator.take(query, Reply())
+                coordinator.take(query, PendingReply())
             for _ in range(5):
                 await trio.lowlevel.checkpoint()
             gateway = coordinator.gateway
@@ -502,14 +502,14 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(one.deadlines.run)
             await nursery.start(one.coordinator.run)
-            reply = Reply()
+            reply = PendingReply()
             one.coordinator.members(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
             one.coordinator.transports = {"rest": Endless()}
             one.coordinator.take(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
             start = clock()
             await one.drain([])
             assert least_s < clock() - start < most_s
-            assert reply.later_ms is not None
+            assert reply.retry_after_ms is not None
             nursery.cancel_scope.cancel()
 
     trio.run(scene, clock=MockClock(autojump_threshold=0.0))
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -24,7 +24,7 @@
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
 from fordstair.lab.traffic import Kind, Traffic
-from fordstair.net.clients.odata_front import Reply
+from fordstair.net.clients.odata_statements import PendingReply
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.scheduling.budgets import Budgets
@@ -366,7 +366,7 @@
     """It stood there until its own task ran: a release by another request's end broke on it."""
     one = Coordinator(told(), 7, {}, Deadlines(lambda: 1e6), Counters())
     queue = AdmissionQueue(one, Scheduler(dict(enumerate(SHARES)), 8.0), 1.0)
-    replies = [Reply(), Reply()]
+    replies = [PendingReply(), PendingReply()]
     for number, reply in enumerate(replies):
         query = Query(f"{number:016x}", "lookup", 0, 0, 6_000.0, b"", cost_ms=10.0)
         live = one.live[number] = queue._lives[number] = LiveRequest(
@@ -377,6 +377,6 @@
     assert queue.withdraw(one.live[0])
     assert not queue.withdraw(one.live[0])
     queue.release()
-    assert replies[0].later_ms is not None
-    assert replies[1].later_ms is None
+    assert replies[0].retry_after_ms is not None
+    assert replies[1].retry_after_ms is None
     assert len(queue) == 1
--- a/tests/wires/test_store.py
+++ b/tests/wires/test_store.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from fordstair.net.clients.odata_model import Response
+from fordstair.net.clients.odata_messages import Response
 from fordstair.net.clients.repeatable_requests import SharedRepeats, read_response
 from fordstair.replication.clock import Stamp
 from fordstair.replication.costs import learned, restore
