--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -18,8 +18,8 @@
 from collections import Counter
 from typing import Any
 
-from fordstair.configuration.operator_file import settings as site_settings
-from fordstair.configuration.operator_validation import read
+from fordstair.configuration.operator_file import decision_settings
+from fordstair.configuration.operator_validation import validate_operator_file
 from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import TEAMS, Arrival, Shape, generate
 from fordstair.lab.machine import Machine
@@ -59,8 +59,10 @@
     ]
     engines = [{"id": f"e-{n}", "address": f"127.0.0.1:{7000 + n}", "cores": CORES} for n in range(ENGINES)]
     teams = [{"name": name, "share": share} for name, share in zip(TEAMS, SHARES, strict=True)]
-    return site_settings(
-        read({"site": {"name": "bench"}, "class": classes, "team": teams, "engine": engines}, whole=True)
+    return decision_settings(
+        validate_operator_file(
+            {"site": {"name": "bench"}, "class": classes, "team": teams, "engine": engines}, require_site=True
+        )
     )
 
 
--- a/fordstair/cli/app.py
+++ b/fordstair/cli/app.py
@@ -11,10 +11,10 @@
 
 import typer
 
-from fordstair.configuration.platform import ConfigError
+from fordstair.configuration.errors import ConfigError, ConfigurationProblem, InvalidOperatorFileError
 from fordstair.console.link import LinkError, ask
 
-DEFAULT_FILE = "deploy/appliance.toml"
+DEFAULT_FILE = Path("deploy/appliance.toml")
 
 
 class Exit(IntEnum):
@@ -27,6 +27,15 @@
     UNCONFIRMED = 4  # it disturbs service, and was not confirmed
 
 
+TABLES = {  # that a running program can be asked for; each is a command
+    "status": "Tell how the program does.",
+    "engines": "List the engines, as the decision module believes them to be.",
+    "requests": "List the oldest open requests.",
+    "members": "List the coordinators of the fleet, as this one believes them to be.",
+    "shares": "List this coordinator's shares of the fleet's budgets, and all members' where it grants them.",
+    "counters": "Print the program's counters.",
+}
+
 app = typer.Typer(
     name="fordstair",
     no_args_is_help=True,
@@ -69,19 +78,24 @@
     raise typer.Exit(code)
 
 
-def door(socket: str, file: Path) -> str:
-    """Return the console's socket: as told, else as the operator's file names it."""
+def fail_unusable(error: ConfigError) -> NoReturn:
+    """Print what cannot be used, one line a problem, and exit."""
+    end(Exit.UNUSABLE, *str(error).splitlines())
+
+
+def console_socket(socket: str, file: Path) -> str:
+    """Return the path of the console's socket: the one given, else the one that the operator's file names."""
     if socket:
         return socket
-    from fordstair.configuration.operator_file import load_checked
+    from fordstair.configuration.operator_file import load_operator_file
 
     try:
-        console = load_checked(str(file), whole=False).console
+        console = load_operator_file(str(file), require_site=False).console
     except ConfigError as error:
         end(Exit.UNUSABLE, *str(error).splitlines(), "name a socket by --socket, or a file by --file")
     if console is None:
         end(Exit.UNUSABLE, f"{file}: console: is missing, so that no console can reach the program")
-    return console.socket
+    return console.socket_path
 
 
 @app.command()
@@ -92,38 +106,42 @@
     try:
         run(str(file))
     except ConfigError as error:
-        end(Exit.UNUSABLE, *str(error).splitlines())
+        fail_unusable(error)
 
 
 @app.command()
 def check(file: File, as_json: Json = False) -> None:
     """Check an operator's file and list all its faults."""
-    from fordstair.configuration.operator_file import config, load_file, operator
-    from fordstair.configuration.operator_validation import Fault, Faulty
+    from fordstair.configuration.operator_file import (
+        coordinator_config,
+        operator_options,
+        read_operator_file,
+    )
 
-    faults: tuple[Fault, ...] = ()
+    problems: tuple[ConfigurationProblem, ...] = ()
     try:
-        told = load_file(str(file), whole=True)
-        config(told), operator(told)
-    except Faulty as faulty:
-        faults = faulty.faults
+        checked = read_operator_file(str(file), require_site=True)
+        coordinator_config(checked)
+        operator_options(checked)
+    except InvalidOperatorFileError as invalid:
+        problems = invalid.problems
     except (ConfigError, ValueError) as error:
-        faults = (Fault("", str(error)),)
+        problems = (ConfigurationProblem("", str(error)),)
     if as_json:
         typer.echo(
             json.dumps(
                 {
                     "file": str(file),
-                    "faults": [{"path": fault.path, "reason": fault.reason} for fault in faults],
+                    "faults": [{"path": each.path, "reason": each.reason} for each in problems],
                 }
             )
         )
-    if faults:
-        end(Exit.UNUSABLE, *(() if as_json else (fault.line(str(file)) for fault in faults)))
+    if problems:
+        end(Exit.UNUSABLE, *(() if as_json else (problem.line(str(file)) for problem in problems)))
     if not as_json:
         typer.echo(
-            f"{file}: no fault: {len(told.engines)} engines, {len(told.classes)} classes, "
-            f"{len(told.teams)} teams"
+            f"{file}: no fault: {len(checked.engines)} engines, {len(checked.classes)} classes, "
+            f"{len(checked.teams)} teams"
         )
 
 
@@ -150,16 +168,16 @@
     from fordstair.lab.appliance import NotStarted
 
     try:
-        one = Demo(engines, rate, seed, trouble)
-        told = one.headless(seconds, progress=not as_json) if headless else one.watched()
+        demo_run = Demo(engines, rate, seed, trouble)
+        figures = demo_run.headless(seconds, progress=not as_json) if headless else demo_run.watched()
     except NotStarted as error:
         end(Exit.FAILED, f"demo: {error}")
     if headless and as_json:
-        typer.echo(json.dumps(told))
+        typer.echo(json.dumps(figures))
     elif headless:
-        for name, value in told.items():
+        for name, value in figures.items():
             typer.echo(f"{name:16} {value}")
-    if told["lost"] or told["answered_twice"]:
+    if figures["lost"] or figures["answered_twice"]:
         raise typer.Exit(Exit.FAILED)
 
 
@@ -190,27 +208,27 @@
     as_json: Json = False,
 ) -> None:
     """Play traffic against a file's classes, teams and engines in virtual time, with budgets and without."""
-    from fordstair.configuration.operator_file import load_checked
+    from fordstair.configuration.operator_file import load_operator_file
     from fordstair.lab.replay import compare
 
     try:
-        told = compare(traffic, load_checked(str(against), whole=True), seed)
+        results = compare(traffic, load_operator_file(str(against), require_site=True), seed)
     except ConfigError as error:
-        end(Exit.UNUSABLE, *str(error).splitlines())
+        fail_unusable(error)
     except ValueError as error:
         end(Exit.UNUSABLE, str(error))
     except OSError as error:
         end(Exit.UNUSABLE, f"{traffic}: {error.strerror}")
     if as_json:
-        return typer.echo(json.dumps(told))
-    for name, figures in told.items():
+        return typer.echo(json.dumps(results))
+    for name, figures in results.items():
         typer.echo(f"{name}: " + "  ".join(f"{key} {value}" for key, value in figures.items()))
 
 
 @app.command()
 def console(
     socket: Socket = "",
-    file: FileOption = Path(DEFAULT_FILE),
+    file: FileOption = DEFAULT_FILE,
     once: Annotated[bool, typer.Option("--once", help="Print one look, and leave.")] = False,
     svg: Annotated[
         str,
@@ -223,7 +241,7 @@
     ] = "",
 ) -> None:
     """Watch and adjust a running program in the terminal."""
-    path = door(socket, file)
+    path = console_socket(socket, file)
     try:
         if once:
             from fordstair.console.once import show
@@ -241,47 +259,24 @@
         end(Exit.FAILED, f"fordstair: {error}")
 
 
-@app.command()
-def status(socket: Socket = "", file: FileOption = Path(DEFAULT_FILE), as_json: Json = False) -> None:
-    """Tell how the program does."""
-    look("status", socket, file, as_json)
-
-
-@app.command()
-def engines(socket: Socket = "", file: FileOption = Path(DEFAULT_FILE), as_json: Json = False) -> None:
-    """List the engines, as the decision module believes them to be."""
-    look("engines", socket, file, as_json)
+def _add_table_command(table: str, description: str) -> None:
+    """Add the command that prints one table of a running program."""
 
+    def command(socket: Socket = "", file: FileOption = DEFAULT_FILE, as_json: Json = False) -> None:
+        print_table(table, socket, file, as_json)
 
-@app.command()
-def requests(socket: Socket = "", file: FileOption = Path(DEFAULT_FILE), as_json: Json = False) -> None:
-    """List the oldest open requests."""
-    look("requests", socket, file, as_json)
+    app.command(table, help=description)(command)
 
 
-@app.command()
-def members(socket: Socket = "", file: FileOption = Path(DEFAULT_FILE), as_json: Json = False) -> None:
-    """List the coordinators of the fleet, as this one believes them to be."""
-    look("members", socket, file, as_json)
-
-
-@app.command()
-def shares(socket: Socket = "", file: FileOption = Path(DEFAULT_FILE), as_json: Json = False) -> None:
-    """List this coordinator's shares of the fleet's budgets, and all members' where it grants them."""
-    look("shares", socket, file, as_json)
-
-
-@app.command()
-def counters(socket: Socket = "", file: FileOption = Path(DEFAULT_FILE), as_json: Json = False) -> None:
-    """Print the program's counters."""
-    look("counters", socket, file, as_json)
+for _table, _description in TABLES.items():
+    _add_table_command(_table, _description)
 
 
 @app.command("set-aside")
 def set_aside(
     engine: Annotated[str, typer.Argument(metavar="ENGINE")],
     socket: Socket = "",
-    file: FileOption = Path(DEFAULT_FILE),
+    file: FileOption = DEFAULT_FILE,
     yes: Yes = False,
     as_json: Json = False,
 ) -> None:
@@ -293,7 +288,7 @@
 def bring_back(
     engine: Annotated[str, typer.Argument(metavar="ENGINE")],
     socket: Socket = "",
-    file: FileOption = Path(DEFAULT_FILE),
+    file: FileOption = DEFAULT_FILE,
     yes: Yes = False,
     as_json: Json = False,
 ) -> None:
@@ -306,45 +301,45 @@
     class_name: Annotated[str, typer.Argument(metavar="CLASS")],
     threads: Annotated[str, typer.Argument(metavar="THREADS", help="A number, or 'none'.")],
     socket: Socket = "",
-    file: FileOption = Path(DEFAULT_FILE),
+    file: FileOption = DEFAULT_FILE,
     yes: Yes = False,
     as_json: Json = False,
 ) -> None:
     """Bound the threads that a class may have out at engines. In force until restart."""
     if threads != "none" and not (threads.isascii() and threads.isdecimal() and len(threads) < 10):
         end(Exit.UNUSABLE, f"THREADS: {threads!r} is neither a number nor 'none'")
-    told = None if threads == "none" else int(threads)
-    adjust("limit", socket, file, yes, as_json, **{"class": class_name, "threads": told})
+    bound = None if threads == "none" else int(threads)
+    adjust("limit", socket, file, yes, as_json, **{"class": class_name, "threads": bound})
 
 
 @app.command()
 def drain(
-    socket: Socket = "", file: FileOption = Path(DEFAULT_FILE), yes: Yes = False, as_json: Json = False
+    socket: Socket = "", file: FileOption = DEFAULT_FILE, yes: Yes = False, as_json: Json = False
 ) -> None:
     """Let the program answer what is open, take nothing more, and end."""
     adjust("drain", socket, file, yes, as_json)
 
 
-def look(what: str, socket: str, file: Path, as_json: bool) -> None:
-    """Ask for a table, and print it."""
+def print_table(table: str, socket: str, file: Path, as_json: bool) -> None:
+    """Ask a running program for a table, and print it."""
     try:
-        answer = ask(door(socket, file), what)
+        answer = ask(console_socket(socket, file), table)
     except LinkError as error:
         end(Exit.FAILED, f"fordstair: {error}")
     if as_json:
         return typer.echo(json.dumps(answer))
-    from fordstair.cli.tables import pairs, rows
+    from fordstair.cli.tables import print_pairs, print_rows
 
-    told = answer[what]
-    if isinstance(told, dict):
-        pairs(told)
+    content = answer[table]
+    if isinstance(content, dict):
+        print_pairs(content)
     else:
-        rows(what, told, answer["at_ms"])
+        print_rows(table, content, answer["at_ms"])
 
 
 def adjust(command: str, socket: str, file: Path, yes: bool, as_json: bool, **fields: Any) -> None:
     """Ask for an adjustment; ask the operator where it disturbs service."""
-    path = door(socket, file)
+    path = console_socket(socket, file)
     try:
         answer = ask(path, command, confirmed=yes, **fields)
         if answer.get("verdict") == "confirm" and not as_json and sys.stdin.isatty():
--- a/fordstair/cli/serve.py
+++ b/fordstair/cli/serve.py
@@ -5,29 +5,34 @@
 import trio
 
 from fordstair.configuration import operator_file
-from fordstair.configuration.platform import Config, ConfigError
+from fordstair.configuration.errors import ConfigError
+from fordstair.configuration.platform import Config
 from fordstair.logs import setup
 from fordstair.program import Program
 
 
 def run(path: str) -> None:
     """Run until SIGTERM or drain; raise ConfigError where the file, or what it names, cannot be used."""
-    file = operator_file.load_checked(path, whole=True)
-    log = setup.start(file.log.form, file.log.level, file.log.repeat_seconds, file.log.lines_most)
+    file = operator_file.load_operator_file(path, require_site=True)
+    log = setup.start(file.log.format, file.log.level, file.log.repeat_window_s, file.log.max_waiting_lines)
     try:
-        program = Program(operator_file.config(file), operator_file.operator(file), lambda: _again(path))
+        program = Program(
+            operator_file.coordinator_config(file),
+            operator_file.operator_options(file),
+            lambda: _read_config(path),
+        )
         if program.console_server is not None:
             log.watchers.append(program.console_server.note)
         trio.run(program.run)
     except* ConfigError as group:
-        faults = [str(error) for error in _leaves(group)]
-        raise ConfigError("\n".join(f"{path}: {fault}" for fault in faults)) from None
+        problems = [str(error) for error in _leaves(group)]
+        raise ConfigError("\n".join(f"{path}: {problem}" for problem in problems)) from None
     finally:
         log.close()
 
 
-def _again(path: str) -> Config:
-    return operator_file.config(operator_file.load_checked(path, whole=True))
+def _read_config(path: str) -> Config:
+    return operator_file.coordinator_config(operator_file.load_operator_file(path, require_site=True))
 
 
 def _leaves(group: BaseExceptionGroup[ConfigError]) -> list[ConfigError]:
--- a/fordstair/cli/tables.py
+++ b/fordstair/cli/tables.py
@@ -25,16 +25,16 @@
     return table
 
 
-def rows(name: str, told: list[dict[str, Any]], at_ms: float) -> None:
+def print_rows(name: str, rows: list[dict[str, Any]], at_ms: float) -> None:
     """Print a table's rows, as the pane of that name shows them."""
     pane = next(each for each in PANES if each.name == name)
-    views = {str(number): msgspec.convert(row, TABLES[name]) for number, row in enumerate(told)}
+    views = {str(number): msgspec.convert(row, TABLES[name]) for number, row in enumerate(rows)}
     empty = Picture()
     picture = Picture(1, at_ms, empty.site, empty.tables.set(name, empty.table(name).update(views)))
     Console().print(shown(pane, pane.rows(picture, time.time() * 1000.0, False)))
 
 
-def pairs(values: dict[str, Any]) -> None:
+def print_pairs(values: dict[str, Any]) -> None:
     """Print names and values."""
     table = Table(box=None, pad_edge=False, show_header=False)
     for name, value in values.items():
--- /dev/null
+++ b/fordstair/configuration/operator_consistency.py
@@ -0,0 +1,257 @@
+"""What is wrong between fields of an operator's file that are each right by themselves; pure.
+
+Paths and reasons use the file's own names of tables and keys.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Hashable, Iterable, Iterator, Sequence
+
+from fordstair.configuration.errors import ConfigurationProblem
+from fordstair.configuration.operator_fleet_schema import (
+    FleetBudgetsTable,
+    FleetTable,
+    LedgerTable,
+    WholeTable,
+)
+from fordstair.configuration.operator_schema import File, member_of
+
+MAX_PORT = 65_535
+SHARE_ROUNDING = 1e-9  # by which the teams' shares may add up to more than 1
+MIN_RETENTION_CLAIMS = 10.0  # a load is remembered for at least this many claims
+
+
+def missing_for_a_site(file: File) -> Iterator[ConfigurationProblem]:
+    """Yield what a site without a platform needs and the file does not have."""
+    if file.site is None:
+        yield ConfigurationProblem("site", "is missing")
+    for name, items in (("class", file.classes), ("team", file.teams), ("engine", file.engines)):
+        if not items:
+            yield ConfigurationProblem(name, f"at least one [[{name}]] is needed")
+    for index, engine in enumerate(file.engines):
+        if engine.address is None:
+            yield ConfigurationProblem(f"engine.{index}.address", "is missing")
+
+
+def inconsistencies(file: File) -> Iterator[ConfigurationProblem]:
+    """Yield what contradicts another field of the file."""
+    yield from _duplicate_names(file)
+    yield from _ports(file)
+    yield from _shares(file)
+    yield from _zones(file)
+    yield from _classes(file)
+    yield from _entity_sets(file)
+    yield from _team_references(file)
+    if file.fleet is not None:
+        yield from _fleet(file, file.fleet)
+        if file.fleet.budgets is not None:
+            yield from _fleet_budgets(file, file.fleet.budgets)
+    if file.console is not None and not file.console.socket_path.startswith("/"):
+        yield ConfigurationProblem("console.socket", "a path from the root is wanted")
+
+
+def _duplicate_names(file: File) -> Iterator[ConfigurationProblem]:
+    yield from _duplicates_in_tables("class", "name", [each.name for each in file.classes])
+    yield from _duplicates_in_tables("team", "name", [each.name for each in file.teams])
+    yield from _duplicates_in_tables("engine", "id", [each.id for each in file.engines])
+    yield from _duplicates_in_tables("set", "name", [each.name for each in file.entity_sets])
+    yield from _duplicates_in_tables("engine", "address", [each.address for each in file.engines])
+
+
+def _shares(file: File) -> Iterator[ConfigurationProblem]:
+    total = sum(team.share for team in file.teams)
+    if total > 1.0 + SHARE_ROUNDING:
+        yield ConfigurationProblem("team", f"the shares add up to {total:.3g}, over 1")
+
+
+def _zones(file: File) -> Iterator[ConfigurationProblem]:
+    if file.site is None:
+        return
+    for index, engine in enumerate(file.engines):
+        if engine.zone is not None and engine.zone not in file.site.zones:
+            yield ConfigurationProblem(f"engine.{index}.hall", f"{engine.zone!r} is not in site.halls")
+
+
+def _classes(file: File) -> Iterator[ConfigurationProblem]:
+    for index, each in enumerate(file.classes):
+        if each.is_load and each.effect != "unsafe":
+            yield ConfigurationProblem(f"class.{index}.effect", "a load is unsafe: it must never run twice")
+        if each.client_timeout_ms < each.latency_objective_ms:
+            yield ConfigurationProblem(f"class.{index}.give_up_ms", "is shorter than promise_ms")
+
+
+def _entity_sets(file: File) -> Iterator[ConfigurationProblem]:
+    effects = {each.name: each.effect for each in file.classes}
+    for index, each in enumerate(file.entity_sets):
+        yield from _duplicates_in_list(f"set.{index}.columns", each.columns)
+        named = (("read", each.read_class), ("lookup", each.lookup_class), ("write", each.write_class))
+        for field, class_name in named:
+            if class_name is None or not effects:
+                continue
+            if class_name not in effects:
+                yield ConfigurationProblem(f"set.{index}.{field}", f"no class {class_name!r}")
+            elif (effects[class_name] == "unsafe") != (field == "write"):
+                needs = "an unsafe" if field == "write" else "a safe"
+                reason = f"{needs} class is wanted, and {class_name!r} is not"
+                yield ConfigurationProblem(f"set.{index}.{field}", reason)
+    if file.entity_sets and file.odata is None:
+        yield ConfigurationProblem("odata", "is missing, while there are entity sets")
+
+
+def _team_references(file: File) -> Iterator[ConfigurationProblem]:
+    teams = {team.name for team in file.teams}
+    if not teams:
+        return
+    if file.odata is not None and file.odata.team and file.odata.team not in teams:
+        yield ConfigurationProblem("odata.team", f"no team {file.odata.team!r}")
+    for identity, team in (file.identity.teams if file.identity is not None else {}).items():
+        if team not in teams:
+            yield ConfigurationProblem(f"identity.teams.{identity}", f"no team {team!r}")
+
+
+def _fleet(file: File, fleet: FleetTable) -> Iterator[ConfigurationProblem]:
+    if 2.0 * fleet.probe_timeout_ms > fleet.probe_interval_ms:
+        reason = "is over half of probe_ms: others could not answer within the period"
+        yield ConfigurationProblem("fleet.timeout_ms", reason)
+    if fleet.advertise is not None and _is_any_port(fleet.advertise):
+        yield ConfigurationProblem("fleet.advertise", "port 0 cannot be reached")
+    if fleet.advertise is None and fleet.listen.rpartition(":")[0] in ("0.0.0.0", "[::]"):
+        reason = "is missing: the others cannot reach the address in fleet.listen"
+        yield ConfigurationProblem("fleet.advertise", reason)
+    for index, seed in enumerate(fleet.seeds):
+        if _is_any_port(seed):
+            yield ConfigurationProblem(f"fleet.seeds.{index}", "port 0 cannot be reached")
+    yield from _duplicates_in_list("fleet.seeds", fleet.seeds)
+    if fleet.ledger is not None:
+        yield from _ledger(file, fleet.ledger)
+
+
+def _ledger(file: File, ledger: LedgerTable) -> Iterator[ConfigurationProblem]:
+    own = member_of(file)
+    if own and own not in ledger.replica_addresses:
+        yield ConfigurationProblem("fleet.ledger.holders", f"does not name this member, {own!r}")
+    yield from _member_addresses("fleet.ledger.holders", ledger.replica_addresses)
+    if not ledger.store_path.startswith("/"):
+        yield ConfigurationProblem("fleet.ledger.store", "a path from the root is wanted")
+    if ledger.retention_s * 1000.0 < MIN_RETENTION_CLAIMS * ledger.claim_timeout_ms:
+        yield ConfigurationProblem("fleet.ledger.repeat_seconds", "is under ten times claim_ms")
+    if file.odata is None:
+        yield ConfigurationProblem("fleet.ledger", "serves OData alone, which is not set up")
+
+
+def _fleet_budgets(file: File, table: FleetBudgetsTable) -> Iterator[ConfigurationProblem]:
+    if file.budgets is None:
+        yield ConfigurationProblem("fleet.budgets", "needs [budgets]: requests wait there for their turn")
+    yield from _member_addresses("fleet.budgets.members", table.members)
+    if table.audit_path and not table.audit_path.startswith("/"):
+        yield ConfigurationProblem("fleet.budgets.audit", "a path from the root is wanted")
+    seen = dict[tuple[bool, str | None, str | None], int]()
+    for index, budget in enumerate(table.budgets):
+        path = f"fleet.budgets.whole.{index}"
+        yield from _budget_references(file, budget, path)
+        key = (budget.threads is None, budget.team, budget.class_name)
+        if key in seen:
+            yield ConfigurationProblem(path, f"is of the same as fleet.budgets.whole.{seen[key]}")
+        seen.setdefault(key, index)
+        needs = [each.threads for each in file.classes if budget.class_name in (None, each.name)]
+        if budget.threads is not None and needs and budget.threads < max(needs):
+            yield ConfigurationProblem(f"{path}.threads", f"a request takes {max(needs)}")
+
+
+def _budget_references(file: File, budget: WholeTable, path: str) -> Iterator[ConfigurationProblem]:
+    teams = {each.name for each in file.teams}
+    classes = {each.name for each in file.classes}
+    if (budget.threads is None) == (budget.requests_per_s is None):
+        yield ConfigurationProblem(path, "wants either threads or requests_per_s")
+    if budget.team is not None and teams and budget.team not in teams:
+        yield ConfigurationProblem(f"{path}.team", f"no team {budget.team!r}")
+    if budget.class_name is not None and classes and budget.class_name not in classes:
+        yield ConfigurationProblem(f"{path}.class", f"no class {budget.class_name!r}")
+
+
+def _member_addresses(path: str, addresses: dict[str, str]) -> Iterator[ConfigurationProblem]:
+    for name, address in addresses.items():
+        if _port(address) > MAX_PORT or _is_any_port(address):
+            yield ConfigurationProblem(f"{path}.{name}", "has a port that cannot be reached")
+    if len(set(addresses.values())) < len(addresses):
+        yield ConfigurationProblem(path, "names one address twice")
+
+
+def _ports(file: File) -> Iterator[ConfigurationProblem]:
+    listening = list(_listen_addresses(file))
+    engines = [
+        (f"engine.{index}.address", engine.address)
+        for index, engine in enumerate(file.engines)
+        if engine.address is not None
+    ]
+    for path, address in (*listening, *engines, *_fleet_addresses(file)):
+        if _port(address) > MAX_PORT:
+            yield ConfigurationProblem(path, f"port {address.rpartition(':')[2]} is over {MAX_PORT}")
+    for path, address in engines:
+        if _is_any_port(address):
+            yield ConfigurationProblem(path, "port 0 is no engine's")
+    yield from _address_collisions(listening, engines)
+
+
+def _listen_addresses(file: File) -> Iterator[tuple[str, str]]:
+    if file.site is not None:
+        yield "site.listen", file.site.listen
+    if file.odata is not None:
+        yield "odata.listen", file.odata.listen
+
+
+def _fleet_addresses(file: File) -> Iterator[tuple[str, str]]:
+    if file.fleet is None:
+        return
+    yield "fleet.listen", file.fleet.listen
+    for index, seed in enumerate(file.fleet.seeds):
+        yield f"fleet.seeds.{index}", seed
+    if file.fleet.advertise is not None:
+        yield "fleet.advertise", file.fleet.advertise
+
+
+def _address_collisions(
+    listening: Iterable[tuple[str, str]], engines: Iterable[tuple[str, str]]
+) -> Iterator[ConfigurationProblem]:
+    """Yield addresses that the program would share; two engines of one address are found by their tables."""
+    taken = dict[str, str]()
+    for path, address in listening:
+        if not _is_any_port(address) and address in taken:
+            yield ConfigurationProblem(path, f"is the same as {taken[address]}")
+        taken.setdefault(address, path)
+    for path, address in engines:
+        if not _is_any_port(address) and address in taken:
+            yield ConfigurationProblem(path, f"is the same as {taken[address]}")
+
+
+def _duplicates_in_tables(
+    table: str, field: str, values: Sequence[Hashable]
+) -> Iterator[ConfigurationProblem]:
+    for index, value, first in _duplicates(values):
+        reason = f"{value!r} stands at {table}.{first} already"
+        yield ConfigurationProblem(f"{table}.{index}.{field}", reason)
+
+
+def _duplicates_in_list(path: str, values: Sequence[Hashable]) -> Iterator[ConfigurationProblem]:
+    for index, value, _ in _duplicates(values):
+        yield ConfigurationProblem(f"{path}.{index}", f"{value!r} stands twice")
+
+
+def _duplicates(values: Sequence[Hashable]) -> Iterator[tuple[int, Hashable, int]]:
+    """Yield the index of each value that stands before it as well, the value, and where it stands first."""
+    first_index = dict[Hashable, int]()
+    for index, value in enumerate(values):
+        if value is None:
+            continue
+        if value in first_index:
+            yield index, value, first_index[value]
+        else:
+            first_index[value] = index
+
+
+def _port(address: str) -> int:
+    return int(address.rpartition(":")[2])
+
+
+def _is_any_port(address: str) -> bool:
+    return address.endswith(":0")
--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -1,79 +1,94 @@
-"""From an operator's file to what the program runs on: the same Config and Settings as the platform's."""
+"""Reads an operator's file into what the program runs on: the same Config and Settings as the platform's."""
 
 from __future__ import annotations
 
 import secrets
 import tomllib
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
+from fordstair.configuration.errors import ConfigError, ConfigurationProblem, InvalidOperatorFileError
+from fordstair.configuration.operator_fleet_schema import WholeTable
 from fordstair.configuration.operator_schema import ClassTable, EngineTable, File, SetTable, member_of
-from fordstair.configuration.operator_validation import Fault, Faulty, read
-from fordstair.configuration.platform import Budgets, Config, ConfigError, address
+from fordstair.configuration.operator_validation import validate_operator_file
+from fordstair.configuration.platform import AdmissionQueueSettings, Config, address
 from fordstair.core.ports import Engine
 from fordstair.decisions.engine_list import EngineEntry, ListUpdateKind
 from fordstair.decisions.settings import Idempotency, RequestClass, Settings, Tenant
 from fordstair.net.clients.odata_model import EntitySet, Operator
 
 if TYPE_CHECKING:
-    from fordstair.budgets.whole import Part
+    from fordstair.budgets.whole import Part, Whole
     from fordstair.membership.swim import Fleet
     from fordstair.replication.service import Ledger
 
-LARGEST_FILE = 1024 * 1024
-OPERATOR_LISTEN = "127.0.0.1:0"
+MAX_FILE_BYTES = 1024 * 1024
+DEFAULT_ODATA_ROOT = "/odata"
+DEFAULT_PAGE_ROWS = 200
+DEFAULT_RESULT_LIFETIME_S = 60
 
 
-def load_file(path: str, *, whole: bool) -> File:
-    """Read and check a file; raise Faulty, which holds all faults."""
+def read_operator_file(path: str, *, require_site: bool) -> File:
+    """Read and check a file; raise InvalidOperatorFileError, which holds all problems.
+
+    ``require_site`` asks for what a site without a platform needs.
+    """
     try:
-        with Path(path).open("rb") as opened:
-            text = opened.read(LARGEST_FILE + 1)
-        if len(text) > LARGEST_FILE:
-            raise Faulty([Fault("", f"is over {LARGEST_FILE} bytes")])
-        told = tomllib.loads(text.decode())
+        document = tomllib.loads(_text_of(path))
     except OSError as error:
-        raise Faulty([Fault("", error.strerror or str(error))]) from None
+        raise _invalid(error.strerror or str(error)) from None
     except UnicodeDecodeError as error:
-        raise Faulty([Fault("", f"is not UTF-8: byte {error.start}")]) from None
+        raise _invalid(f"is not UTF-8: byte {error.start}") from None
     except (tomllib.TOMLDecodeError, RecursionError, ValueError) as error:
-        raise Faulty([Fault("", f"is not TOML: {error}")]) from None
-    return read(told, whole=whole)
+        raise _invalid(f"is not TOML: {error}") from None
+    return validate_operator_file(document, require_site=require_site)
 
 
-def load_checked(path: str, *, whole: bool) -> File:
-    """Read a file as ``load_file`` does, but raise ConfigError with one line a fault."""
+def load_operator_file(path: str, *, require_site: bool) -> File:
+    """Read a file as ``read_operator_file`` does, but raise a plain ConfigError with one line a problem."""
     try:
-        return load_file(path, whole=whole)
-    except Faulty as faulty:
-        raise ConfigError("\n".join(fault.line(path) for fault in faulty.faults)) from None
+        return read_operator_file(path, require_site=require_site)
+    except InvalidOperatorFileError as invalid:
+        raise ConfigError("\n".join(problem.line(path) for problem in invalid.problems)) from None
+
+
+def _text_of(path: str) -> str:
+    with Path(path).open("rb") as opened:
+        data = opened.read(MAX_FILE_BYTES + 1)
+    if len(data) > MAX_FILE_BYTES:
+        raise _invalid(f"is over {MAX_FILE_BYTES} bytes")
+    return data.decode()
+
 
+def _invalid(reason: str) -> InvalidOperatorFileError:
+    return InvalidOperatorFileError([ConfigurationProblem("", reason)])
 
-def settings(file: File) -> Settings:
-    """Return what the decision module is told of a site: one instance, its classes, teams and machines."""
+
+def decision_settings(file: File) -> Settings:
+    """Return the decision module's settings for a site: one instance, its classes, teams and machines."""
     assert file.site is not None
     kinds = machine_kinds(file.engines)
     return Settings(
-        classes=tuple(map(_class, file.classes)),
+        classes=tuple(map(_request_class, file.classes)),
         tenants=tuple(Tenant(team.name, team.share * file.site.requests_per_s) for team in file.teams),
         cores_by_kind=tuple(cores for cores, _ in kinds),
         memory_mb_by_kind=tuple(mb for _, mb in kinds),
-        priorities=file.reports.priorities,
-        progress_interval_ms=file.reports.notes_ms,
-        load_report_fields=tuple(file.reports.fields),
+        priorities=file.load_reports.priorities,
+        progress_interval_ms=file.load_reports.progress_interval_ms,
+        load_report_fields=tuple(file.load_reports.fields),
         may_cancel=file.limits.may_cancel,
-        sends_retry_after=file.limits.retry_advice,
-        max_retry_after_ms=file.limits.retry_most_ms,
-        max_attempts=file.limits.attempts,
-        over_quota_weight=file.site.over_share_worth,
-        slow_start_initial_capacity=file.cold.start_part,
-        slow_start_ms=file.cold.warm_ms,
-        slow_start_overload_factor=file.cold.fall_multiple,
-        slow_start_window_ms=file.cold.fall_ms,
+        sends_retry_after=file.limits.sends_retry_after,
+        max_retry_after_ms=file.limits.max_retry_after_ms,
+        max_attempts=file.limits.max_attempts,
+        over_quota_weight=file.site.over_quota_weight,
+        slow_start_initial_capacity=file.slow_start.initial_capacity,
+        slow_start_ms=file.slow_start.duration_ms,
+        slow_start_overload_factor=file.slow_start.overload_factor,
+        slow_start_window_ms=file.slow_start.window_ms,
     )
 
 
-def config(file: File) -> Config:
+def coordinator_config(file: File) -> Config:
     """Return the configuration of a site that no platform tells of; its engines are the file's."""
     assert file.site is not None
     engines = engine_list(file)
@@ -81,27 +96,28 @@
         name=file.site.name,
         listen=address(file.site.listen, "site.listen"),
         seed=file.site.seed or secrets.randbits(63),
-        sockets=file.limits.sockets,
+        sockets=file.limits.max_sockets,
         memory_mb=file.limits.memory_mb,
         channel="",
         cursor=1,
         known=((1, ListUpdateKind.FULL, engines),),
-        settings=settings(file),
+        settings=decision_settings(file),
         connect_timeout_ms=file.limits.connect_timeout_ms,
-        idle_ms=file.limits.idle_ms,
-        budgets=_budgets(file),
+        idle_ms=file.limits.idle_timeout_ms,
+        budgets=_admission_queue(file),
     )
 
 
 def engine_list(file: File) -> list[Engine]:
     """Return the file's engines that have an address."""
     assert file.site is not None
-    kinds, halls = machine_kinds(file.engines), file.site.halls
+    kinds = machine_kinds(file.engines)
+    zones = file.site.zones
     return [
         Engine(
             EngineEntry(
                 each.id,
-                zone=halls.index(each.hall or halls[0]),
+                zone=zones.index(each.zone or zones[0]),
                 kind=kinds.index((each.cores, each.memory_mb)),
             ),
             each.address,
@@ -117,32 +133,23 @@
     return list(dict.fromkeys((each.cores, each.memory_mb) for each in engines))
 
 
-def operator(file: File) -> Operator:
+def operator_options(file: File) -> Operator:
     """Return what the OData front, the console and the identities are set to."""
     front = file.odata
     return Operator(
         listen=address(front.listen, "odata.listen") if front is not None else None,
-        root="/" + (front.root if front is not None else "/odata").strip("/"),
-        page_rows=front.page_rows if front is not None else 200,
-        results_most=front.results_most if front is not None else 1,
-        result_ms=(front.result_seconds if front is not None else 60) * 1000.0,
+        root="/" + (front.root if front is not None else DEFAULT_ODATA_ROOT).strip("/"),
+        page_rows=front.page_rows if front is not None else DEFAULT_PAGE_ROWS,
+        results_most=front.max_results if front is not None else 1,
+        result_ms=(front.result_lifetime_s if front is not None else DEFAULT_RESULT_LIFETIME_S) * 1000.0,
         team=front.team if front is not None else "",
         team_header=front.team_header if front is not None else "",
         engines={each.id: each.protocol for each in file.engines},
-        sets={each.name: _entity_set(each) for each in file.sets},
-        identity={}
-        if file.identity is None
-        else {
-            "certificate": file.identity.certificate,
-            "key": file.identity.key,
-            "bundle": file.identity.bundle,
-            "trust_domain": file.identity.trust_domain,
-            "teams": dict(file.identity.teams),
-            "engines": list(file.identity.engines),
-        },
-        console=file.console.socket if file.console is not None else "",
-        watchers=file.console.watchers if file.console is not None else 0,
-        eject_silent_zones=file.routing.avoid_silent_halls,
+        sets={each.name: _entity_set(each) for each in file.entity_sets},
+        identity=_identity(file),
+        console=file.console.socket_path if file.console is not None else "",
+        watchers=file.console.max_consoles if file.console is not None else 0,
+        eject_silent_zones=file.routing.eject_silent_zones,
         fleet=_fleet(file),
         ledger=_ledger(file),
         shares=_shares(file),
@@ -150,114 +157,131 @@
     )
 
 
+def _identity(file: File) -> dict[str, Any]:
+    if (table := file.identity) is None:
+        return {}
+    return {
+        "certificate": table.certificate,
+        "key": table.key,
+        "bundle": table.bundle,
+        "trust_domain": table.trust_domain,
+        "teams": dict(table.teams),
+        "engines": list(table.engines),
+    }
+
+
 def _fleet(file: File) -> Fleet | None:
-    if (told := file.fleet) is None:
+    if (table := file.fleet) is None:
         return None
     from fordstair.membership.swim import Fleet
 
     # Port 0 is known once it is bound; a member's name is the site's where the file gives none.
-    advertised = told.advertise or ("" if told.listen.endswith(":0") else told.listen)
+    advertised = table.advertise or ("" if table.listen.endswith(":0") else table.listen)
     return Fleet(
-        told.cluster,
+        table.cluster,
         member_of(file),
         advertised,
-        tuple(told.seeds),
-        told.probe_ms,
-        told.timeout_ms,
-        told.indirect,
-        told.suspicion,
-        told.suspicion_most,
-        told.sync_ms,
-        told.forget_seconds * 1000.0,
-        told.members_most,
+        tuple(table.seeds),
+        table.probe_interval_ms,
+        table.probe_timeout_ms,
+        table.indirect_probes,
+        table.suspicion_factor,
+        table.max_suspicion_factor,
+        table.sync_interval_ms,
+        table.dead_retention_s * 1000.0,
+        table.max_members,
     )
 
 
 def _ledger(file: File) -> Ledger | None:
-    if file.fleet is None or (told := file.fleet.ledger) is None:
+    if file.fleet is None or (table := file.fleet.ledger) is None:
         return None
     from fordstair.replication.service import Ledger
 
     return Ledger(
         file.fleet.cluster,
         member_of(file),
-        dict(told.holders),
-        address(told.listen, "fleet.ledger.listen"),
-        told.store,
-        told.replicas,
-        told.claim_ms,
-        told.repeat_seconds * 1000.0,
-        told.exchange_ms,
-        told.kilobytes_per_s * 1000.0,
-        told.entries_most,
+        dict(table.replica_addresses),
+        address(table.listen, "fleet.ledger.listen"),
+        table.store_path,
+        table.replication_factor,
+        table.claim_timeout_ms,
+        table.retention_s * 1000.0,
+        table.exchange_interval_ms,
+        table.max_kilobytes_per_s * 1000.0,
+        table.max_entries,
     )
 
 
 def _shares(file: File) -> Part | None:
-    if file.fleet is None or (told := file.fleet.budgets) is None:
+    if file.fleet is None or (table := file.fleet.budgets) is None:
         return None
-    from fordstair.budgets.whole import MILLI, Part, Plan, Whole
-
-    wholes = list[Whole]()
-    for each in told.wholes:
-        # a share that no request fits into would be of no use
-        needs = [spec.threads for spec in file.classes if each.klass in (None, spec.name)] or [1]
-        rate = int(MILLI * (each.requests_per_s or 0.0))
-        of = (each.team or "", each.klass or "")
-        wholes.append(
-            Whole("rate", rate, *of)
-            if each.threads is None
-            else Whole("threads", each.threads, *of, quantum=max(needs), least=min(needs))
-        )
+    from fordstair.budgets.whole import Part, Plan
+
     plan = Plan(
         file.fleet.cluster,
-        tuple(wholes),
-        tuple(sorted(told.members)),
-        told.term_ms,
-        told.drift,
-        told.floor_part,
-        told.size,
+        tuple(_fleet_budget(file, budget) for budget in table.budgets),
+        tuple(sorted(table.members)),
+        table.lease_ms,
+        table.max_clock_drift,
+        table.floor_share,
+        table.fleet_size,
     )
     return Part(
-        plan, member_of(file), address(told.listen, "fleet.budgets.listen"), dict(told.members), told.audit
+        plan,
+        member_of(file),
+        address(table.listen, "fleet.budgets.listen"),
+        dict(table.members),
+        table.audit_path,
     )
 
 
-def _budgets(file: File) -> Budgets | None:
-    if (told := file.budgets) is None:
+def _fleet_budget(file: File, budget: WholeTable) -> Whole:
+    from fordstair.budgets.whole import MILLI, Whole
+
+    scope = (budget.team or "", budget.class_name or "")
+    if budget.threads is None:
+        return Whole("rate", int(MILLI * (budget.requests_per_s or 0.0)), *scope)
+    # A share that no request fits into would be of no use.
+    needs = [each.threads for each in file.classes if budget.class_name in (None, each.name)] or [1]
+    return Whole("threads", budget.threads, *scope, quantum=max(needs), least=min(needs))
+
+
+def _admission_queue(file: File) -> AdmissionQueueSettings | None:
+    if (table := file.budgets) is None:
         return None
-    return Budgets(
+    return AdmissionQueueSettings(
         {number: team.share for number, team in enumerate(file.teams)},
-        told.threads_a_core,
-        told.waiting_most,
-        told.burst_ms,
-        told.debt_ms,
+        table.threads_per_core,
+        table.max_waiting,
+        table.burst_ms,
+        table.debt_ms,
     )
 
 
-def _class(told: ClassTable) -> RequestClass:
+def _request_class(table: ClassTable) -> RequestClass:
     return RequestClass(
-        told.name,
-        Idempotency.IDEMPOTENT if told.effect == "safe" else Idempotency.NON_IDEMPOTENT,
-        latency_objective_ms=told.promise_ms,
-        latency_objective_work_factor=told.aim_stretch,
-        client_timeout_ms=told.give_up_ms,
-        priority_weight=told.worth,
-        late_weight=told.late_worth,
-        threads=told.threads,
-        is_load=told.load,
-        waits_for_loads=told.waits_for_loads,
+        table.name,
+        Idempotency.IDEMPOTENT if table.effect == "safe" else Idempotency.NON_IDEMPOTENT,
+        latency_objective_ms=table.latency_objective_ms,
+        latency_objective_work_factor=table.latency_objective_work_factor,
+        client_timeout_ms=table.client_timeout_ms,
+        priority_weight=table.priority_weight,
+        late_weight=table.late_weight,
+        threads=table.threads,
+        is_load=table.is_load,
+        waits_for_loads=table.waits_for_loads,
     )
 
 
-def _entity_set(told: SetTable) -> EntitySet:
+def _entity_set(table: SetTable) -> EntitySet:
     return EntitySet(
-        told.name,
-        told.table,
-        tuple(told.columns),
-        told.read,
-        told.lookup or told.read,
-        told.write or "",
-        told.cpu_ms,
-        told.need_mb,
+        table.name,
+        table.table,
+        tuple(table.columns),
+        table.read_class,
+        table.lookup_class or table.read_class,
+        table.write_class or "",
+        table.cpu_ms,
+        table.memory_mb,
     )
--- a/fordstair/configuration/operator_schema.py
+++ b/fordstair/configuration/operator_schema.py
@@ -1,117 +1,147 @@
 """What an operator's file may hold: every table and field, typed, with its bounds and its default.
 
 The file is TOML. Times are milliseconds unless a field's name ends in ``_seconds``; memory is in MB; a
-``thread`` is one core's worth of running work. Nothing here does I/O: see ``site.py`` for reading a file.
+``thread`` is one core's worth of running work. Nothing here does I/O: ``operator_file.py`` reads a file.
+Attributes have the code's terms; ``rename`` gives the key of the file where it differs.
 """
 
 from __future__ import annotations
 
-from typing import Annotated, Literal, TypeAlias
+from typing import Annotated, Literal
 
 import msgspec
-from msgspec import Meta, Struct
-
-Name: TypeAlias = Annotated[
-    str,
-    Meta(
-        pattern=r"\A[A-Za-z][A-Za-z0-9._-]{0,63}\Z",
-        description="a letter, then letters, digits, '.', '_' or '-'",
-    ),
-]
-Address: TypeAlias = Annotated[
-    str,
-    Meta(
-        pattern=r"\A[^\s:/]+:[0-9]{1,5}\Z|\A\[[0-9A-Fa-f:.]+\]:[0-9]{1,5}\Z",
-        max_length=300,
-        description="host:port, or [IPv6]:port",
-    ),
-]
-Identifier: TypeAlias = Annotated[str, Meta(pattern=r"\A[A-Za-z_][A-Za-z0-9_]{0,127}\Z")]
-TableName: TypeAlias = Annotated[
-    str,
-    Meta(
-        pattern=r"\A[A-Za-z_][A-Za-z0-9_]*\.[A-Za-z_][A-Za-z0-9_]*\Z",
-        max_length=257,
-        description="schema.table",
-    ),
-]
-Part: TypeAlias = Annotated[float, Meta(ge=0.0, le=1.0)]
-Positive: TypeAlias = Annotated[float, Meta(gt=0.0, le=1e9)]
-NotNegative: TypeAlias = Annotated[float, Meta(ge=0.0, le=1e12)]
-Threads: TypeAlias = Annotated[int, Meta(ge=1, le=1024)]
-Text: TypeAlias = Annotated[str, Meta(max_length=4096)]
-Protocol: TypeAlias = Literal["rest", "odata"]
-
-
-class Table(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file; a key that it does not know is a fault."""
-
-
-class SiteTable(Table, frozen=True, kw_only=True):
+from msgspec import Meta
+
+from fordstair.configuration.operator_fleet_schema import FleetTable
+from fordstair.configuration.operator_types import (
+    Address,
+    Fraction,
+    Identifier,
+    Name,
+    NotNegative,
+    Positive,
+    Protocol,
+    Table,
+    TableName,
+    Text,
+    Threads,
+)
+
+
+class SiteTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "over_quota_weight": "over_share_worth",
+        "zones": "halls",
+    },
+):
     """The site as a whole."""
 
     name: Name
     listen: Address = "127.0.0.1:6565"  # MessagePack-RPC; port 0 takes a free one
     requests_per_s: NotNegative = 0.0  # what all teams together may ask for; 0: no quota is stated
-    over_share_worth: Part = 0.1
-    halls: Annotated[list[Name], Meta(min_length=1, max_length=64)] = msgspec.field(
+    over_quota_weight: Fraction = 0.1
+    zones: Annotated[list[Name], Meta(min_length=1, max_length=64)] = msgspec.field(
         default_factory=lambda: ["hall-a"]
     )
     seed: Annotated[int, Meta(ge=0, le=2**63 - 1)] = 0  # 0: drawn anew at each start
 
 
-class LimitsTable(Table, frozen=True, kw_only=True):
+class LimitsTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "max_sockets": "sockets",
+        "idle_timeout_ms": "idle_ms",
+        "max_attempts": "attempts",
+        "sends_retry_after": "retry_advice",
+        "max_retry_after_ms": "retry_most_ms",
+    },
+):
     """What the machine gives."""
 
     memory_mb: Annotated[float, Meta(ge=32.0, le=1e6)] = 192.0
-    sockets: Annotated[int, Meta(ge=64, le=1_000_000)] = 1024
+    max_sockets: Annotated[int, Meta(ge=64, le=1_000_000)] = 1024
     connect_timeout_ms: Annotated[float, Meta(ge=1.0, le=60_000.0)] = 250.0
-    idle_ms: Annotated[float, Meta(ge=100.0, le=3_600_000.0)] = 30_000.0
-    attempts: Annotated[int, Meta(ge=1, le=16)] = 4  # for one request, the first included
+    idle_timeout_ms: Annotated[float, Meta(ge=100.0, le=3_600_000.0)] = 30_000.0
+    max_attempts: Annotated[int, Meta(ge=1, le=16)] = 4  # for one request, the first included
     may_cancel: bool = True
-    retry_advice: bool = True  # refusals say when to come back
-    retry_most_ms: NotNegative = 1_000.0
+    sends_retry_after: bool = True  # refusals say when to come back
+    max_retry_after_ms: NotNegative = 1_000.0
 
 
-class ColdTable(Table, frozen=True, kw_only=True):
+class ColdTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "initial_capacity": "start_part",
+        "duration_ms": "warm_ms",
+        "overload_factor": "fall_multiple",
+        "window_ms": "fall_ms",
+    },
+):
     """How an engine that has just started is spared."""
 
-    start_part: Part = 0.32  # the part of its capacity that it starts with
-    warm_ms: NotNegative = 15_000.0
-    fall_multiple: Annotated[float, Meta(ge=1.0, le=100.0)] = 2.5  # of what it can do: more pushes it over
-    fall_ms: Positive = 1_000.0
+    initial_capacity: Fraction = 0.32  # the part of its capacity that it starts with
+    duration_ms: NotNegative = 15_000.0
+    overload_factor: Annotated[float, Meta(ge=1.0, le=100.0)] = 2.5  # of what it can do: more pushes it over
+    window_ms: Positive = 1_000.0
 
 
-class ReportsTable(Table, frozen=True, kw_only=True):
+class ReportsTable(Table, frozen=True, kw_only=True, rename={"progress_interval_ms": "notes_ms"}):
     """What engines tell of themselves with each answer."""
 
     fields: Annotated[list[Literal["util", "inflight"]], Meta(max_length=2)] = msgspec.field(
         default_factory=lambda: ["util", "inflight"]
     )
-    notes_ms: NotNegative = 500.0  # between notes on running work; 0: none come
+    progress_interval_ms: NotNegative = 500.0  # between notes on running work; 0: none come
     priorities: bool = True
 
 
-class ClassTable(Table, frozen=True, kw_only=True):
+class ClassTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "latency_objective_ms": "promise_ms",
+        "latency_objective_work_factor": "aim_stretch",
+        "client_timeout_ms": "give_up_ms",
+        "priority_weight": "worth",
+        "late_weight": "late_worth",
+        "is_load": "load",
+    },
+):
     """One class of requests."""
 
     name: Name
     effect: Literal["safe", "unsafe"] = "safe"  # unsafe work is never repeated where it may have run
-    promise_ms: Positive = 1_000.0  # wanted within this time ...
-    aim_stretch: NotNegative = 0.0  # ... and this many times its work over its threads
-    give_up_ms: Positive = 10_000.0
-    worth: NotNegative = 1.0
-    late_worth: Part = 0.0  # what an answer after the wanted time still earns
+    latency_objective_ms: Positive = 1_000.0  # wanted within this time ...
+    latency_objective_work_factor: NotNegative = 0.0  # ... and this many times its work over its threads
+    client_timeout_ms: Positive = 10_000.0
+    priority_weight: NotNegative = 1.0
+    late_weight: Fraction = 0.0  # what an answer after the wanted time still earns
     threads: Threads = 1
-    load: bool = False  # holds its group of tables on its engine while it runs
+    is_load: bool = False  # holds its group of tables on its engine while it runs
     waits_for_loads: bool = False
 
 
-class BudgetsTable(Table, frozen=True, kw_only=True):
+class BudgetsTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "threads_per_core": "threads_a_core",
+        "max_waiting": "waiting_most",
+    },
+):
     """Queues in front of the decision module, fair between teams by their shares; off without this table."""
 
-    threads_a_core: Annotated[float, Meta(ge=0.25, le=16.0)] = 1.5  # that may be out at engines
-    waiting_most: Annotated[int, Meta(ge=1, le=100_000)] = 10_000
+    threads_per_core: Annotated[float, Meta(ge=0.25, le=16.0)] = 1.5  # that may be out at engines
+    max_waiting: Annotated[int, Meta(ge=1, le=100_000)] = 10_000
     burst_ms: Annotated[float, Meta(ge=10.0, le=60_000.0)] = 8_000.0  # of its budget that a team may save up
     debt_ms: Annotated[float, Meta(ge=0.0, le=600_000.0)] = 4_000.0  # of its budget that a team may owe
 
@@ -123,40 +153,58 @@
     share: Annotated[float, Meta(gt=0.0, le=1.0)]
 
 
-class EngineTable(Table, frozen=True, kw_only=True):
+class EngineTable(Table, frozen=True, kw_only=True, rename={"zone": "hall"}):
     """One engine; without an address it is one that a register tells of."""
 
     id: Name
     address: Address | None = None
-    hall: Name | None = None  # default: the site's first
+    zone: Name | None = None  # default: the site's first
     cores: Annotated[float, Meta(gt=0.0, le=4096.0)] = 4.0
     memory_mb: Positive = 8_192.0
     protocol: Protocol = "rest"
 
 
-class ODataTable(Table, frozen=True, kw_only=True):
+class ODataTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "max_results": "results_most",
+        "result_lifetime_s": "result_seconds",
+    },
+):
     """The OData front."""
 
     listen: Address
     root: Annotated[str, Meta(pattern=r"\A/?[A-Za-z0-9._/-]{0,200}\Z")] = "/odata"
     page_rows: Annotated[int, Meta(ge=1, le=100_000)] = 200
-    results_most: Annotated[int, Meta(ge=1, le=100_000)] = 64
-    result_seconds: Annotated[int, Meta(ge=1, le=100_000)] = 60
+    max_results: Annotated[int, Meta(ge=1, le=100_000)] = 64
+    result_lifetime_s: Annotated[int, Meta(ge=1, le=100_000)] = 60
     team: Text = ""  # of clients that have neither identity nor header
     team_header: Text = ""
 
 
-class SetTable(Table, frozen=True, kw_only=True):
+class SetTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "read_class": "read",
+        "lookup_class": "lookup",
+        "write_class": "write",
+        "memory_mb": "need_mb",
+    },
+):
     """One entity set: a table, and the classes of what is asked of it."""
 
     name: Identifier
     table: TableName
     columns: Annotated[list[Identifier], Meta(min_length=1, max_length=256)]  # the first one is the key
-    read: Name
-    lookup: Name | None = None  # default: as ``read``
-    write: Name | None = None  # none: the set is only read
+    read_class: Name
+    lookup_class: Name | None = None  # default: as ``read_class``
+    write_class: Name | None = None  # none: the set is only read
     cpu_ms: NotNegative = 0.0
-    need_mb: NotNegative = 0.0
+    memory_mb: NotNegative = 0.0
 
 
 class IdentityTable(Table, frozen=True, kw_only=True):
@@ -170,102 +218,70 @@
     engines: list[str] = []
 
 
-class LedgerTable(Table, frozen=True, kw_only=True):
-    """The ledger of loads under a repeat id, shared by the fleet; without it each coordinator has its own."""
-
-    listen: Address  # TCP
-    store: Annotated[str, Meta(min_length=1, max_length=512)]  # a file on a disk that outlives the program
-    holders: Annotated[dict[Name, Address], Meta(min_length=1, max_length=64)]  # by member
-    replicas: Annotated[int, Meta(ge=1, le=7)] = 3  # holders of each key
-    claim_ms: Annotated[float, Meta(ge=10.0, le=60_000.0)] = 1_000.0
-    repeat_seconds: Annotated[float, Meta(ge=10.0, le=86_400.0)] = 600.0  # that a load is remembered
-    exchange_ms: Annotated[float, Meta(ge=50.0, le=600_000.0)] = 5_000.0
-    kilobytes_per_s: Annotated[float, Meta(ge=1.0, le=1e6)] = 1_000.0  # that an exchange may bring
-    entries_most: Annotated[int, Meta(ge=100, le=1_000_000)] = 50_000
-
-
-class WholeTable(Table, frozen=True, kw_only=True, rename={"klass": "class"}):
-    """One budget of the whole fleet, in threads at engines or in requests a second."""
-
-    team: Name | None = None  # default: all together
-    klass: Name | None = None
-    threads: Annotated[int, Meta(ge=1, le=1_000_000)] | None = None
-    requests_per_s: Annotated[float, Meta(ge=0.001, le=1e7)] | None = None
-
-
-class FleetBudgetsTable(Table, frozen=True, kw_only=True, rename={"wholes": "whole"}):
-    """Budgets of the whole fleet, divided among its coordinators; needs ``[budgets]``."""
-
-    listen: Address  # UDP
-    members: Annotated[dict[Name, Address], Meta(min_length=1, max_length=64)]  # who may lead and has a floor
-    wholes: Annotated[list[WholeTable], Meta(min_length=1, max_length=32)]
-    term_ms: Annotated[float, Meta(ge=300.0, le=600_000.0)] = 5_000.0  # of a share, from when it is asked for
-    drift: Annotated[float, Meta(ge=0.0, le=0.5)] = 0.01  # how far a clock's rate may be off
-    floor_part: Annotated[float, Meta(ge=0.0, le=1.0)] = 0.2  # of an even share, as a listed member's floor
-    size: Annotated[int, Meta(ge=0, le=5_000)] = 0  # coordinators in the fleet; default: the listed ones
-    audit: Annotated[str, Meta(max_length=512)] = ""  # a file that gets a line for each share
-
-
-class FleetTable(Table, frozen=True, kw_only=True):
-    """Membership among coordinators; off without this table."""
-
-    cluster: Annotated[str, Meta(pattern=r"\A[A-Za-z][A-Za-z0-9._-]{0,63}\Z")]  # others' members are refused
-    listen: Address  # UDP
-    advertise: Address | None = None  # where the others reach this member; default: as ``listen``
-    member: Name | None = None  # default: the site's name; no two members may share one
-    seeds: Annotated[list[Address], Meta(max_length=64)] = []  # members to join through
-    probe_ms: Annotated[float, Meta(ge=20.0, le=60_000.0)] = 1_000.0  # one member is probed in each
-    timeout_ms: Annotated[float, Meta(ge=5.0, le=30_000.0)] = 300.0  # then others are asked to probe it
-    indirect: Annotated[int, Meta(ge=0, le=16)] = 3  # how many others
-    suspicion: Annotated[float, Meta(ge=1.0, le=100.0)] = 5.0  # periods at least, times log10 of the members
-    suspicion_most: Annotated[float, Meta(ge=1.0, le=20.0)] = 6.0  # times that, where nobody confirms it
-    sync_ms: Annotated[float, Meta(ge=100.0, le=600_000.0)] = 10_000.0  # between full exchanges
-    forget_seconds: Annotated[float, Meta(ge=10.0, le=604_800.0)] = 3_600.0  # dead members are kept so long
-    members_most: Annotated[int, Meta(ge=2, le=5_000)] = 2_000
-    ledger: LedgerTable | None = None
-    budgets: FleetBudgetsTable | None = None
-
-
-class RoutingTable(Table, frozen=True, kw_only=True):
+class RoutingTable(Table, frozen=True, kw_only=True, rename={"eject_silent_zones": "avoid_silent_halls"}):
     """Where requests go when engines fail together."""
 
-    avoid_silent_halls: bool = False  # found out by several of its engines, and tried again after seconds
+    eject_silent_zones: bool = False  # found out by several of its engines, and tried again after seconds
 
 
-class ConsoleTable(Table, frozen=True, kw_only=True):
+class ConsoleTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "socket_path": "socket",
+        "max_consoles": "watchers",
+    },
+):
     """The console's door."""
 
-    socket: Annotated[str, Meta(min_length=1, max_length=100)]
-    watchers: Annotated[int, Meta(ge=1, le=64)] = 8  # consoles that may follow at a time
+    socket_path: Annotated[str, Meta(min_length=1, max_length=100)]
+    max_consoles: Annotated[int, Meta(ge=1, le=64)] = 8  # consoles that may follow at a time
 
 
-class LogTable(Table, frozen=True, kw_only=True):
+class LogTable(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "format": "form",
+        "repeat_window_s": "repeat_seconds",
+        "max_waiting_lines": "lines_most",
+    },
+):
     """The log on standard error."""
 
-    form: Literal["human", "json"] = "human"
+    format: Literal["human", "json"] = "human"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    repeat_seconds: Annotated[float, Meta(ge=0.0, le=3600.0)] = 10.0  # equal lines are counted for so long
-    lines_most: Annotated[int, Meta(ge=16, le=65_536)] = 1_024  # that may wait for a slow reader
+    repeat_window_s: Annotated[float, Meta(ge=0.0, le=3600.0)] = 10.0  # equal lines are counted for so long
+    max_waiting_lines: Annotated[int, Meta(ge=16, le=65_536)] = 1_024  # that may wait for a slow reader
 
 
 class File(
     Table,
     frozen=True,
     kw_only=True,
-    rename={"classes": "class", "teams": "team", "engines": "engine", "sets": "set"},
+    rename={
+        "slow_start": "cold",
+        "load_reports": "reports",
+        "classes": "class",
+        "teams": "team",
+        "engines": "engine",
+        "entity_sets": "set",
+    },
 ):
     """The whole file; a site without a platform needs ``site``, ``class``, ``team`` and ``engine``."""
 
     site: SiteTable | None = None
     limits: LimitsTable = LimitsTable()
-    cold: ColdTable = ColdTable()
-    reports: ReportsTable = ReportsTable()
+    slow_start: ColdTable = ColdTable()
+    load_reports: ReportsTable = ReportsTable()
     classes: Annotated[list[ClassTable], Meta(max_length=64)] = []
     teams: Annotated[list[TeamTable], Meta(max_length=4096)] = []
     budgets: BudgetsTable | None = None
     engines: Annotated[list[EngineTable], Meta(max_length=4096)] = []
     odata: ODataTable | None = None
-    sets: Annotated[list[SetTable], Meta(max_length=1024)] = []
+    entity_sets: Annotated[list[SetTable], Meta(max_length=1024)] = []
     identity: IdentityTable | None = None
     fleet: FleetTable | None = None
     routing: RoutingTable = RoutingTable()
--- a/fordstair/configuration/settings_document.py
+++ b/fordstair/configuration/settings_document.py
@@ -5,6 +5,7 @@
 import math
 from typing import TypeVar
 
+from fordstair.configuration.errors import SettingsDocumentError
 from fordstair.decisions.settings import (
     DeduplicationScope,
     Discovery,
@@ -15,51 +16,72 @@
     Tenant,
 )
 
-T = TypeVar("T")
+Choice = TypeVar("Choice")
 
 _IDEMPOTENCY = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.WITH_KEY,
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
+_DISCOVERY = {"push": Discovery.PUSH, "ask": Discovery.ASK}
+_DEDUPLICATION_SCOPES = {scope.value: scope for scope in DeduplicationScope}
+_BOOLEANS = {"true": True, "false": False}
+DEFAULT_RETRY_WINDOW_MS = 5_000.0
 
 
-class SettingsDocumentError(ValueError):
-    """A setting that cannot be read; the message names its path and what is wrong."""
-
-
-class _Pairs:
-    """The settings text as typed look-ups that name what cannot be read."""
+class SettingsDocument:
+    """The document's ``path=value`` lines, read by type; errors name the path that cannot be read."""
 
     def __init__(self, text: str) -> None:
         self.values: dict[str, str] = {}
         for line in text.splitlines():
-            if line.strip():
-                path, sep, value = line.partition("=")
-                if not sep:
-                    raise SettingsDocumentError(f"settings: no '=' in line {line!r}")
-                self.values[path.strip()] = value.strip()
+            if not line.strip():
+                continue
+            path, separator, value = line.partition("=")
+            if not separator:
+                raise SettingsDocumentError(f"settings: no '=' in line {line!r}")
+            self.values[path.strip()] = value.strip()
+
+    def __contains__(self, path: str) -> bool:
+        return path in self.values
 
     def text(self, path: str, default: str = "") -> str:
+        """Return a value as it stands."""
         return self.values.get(path, default)
 
     def number(self, path: str, default: float = 0.0) -> float:
+        """Return a finite number, the first where several are listed."""
         return self._numbers(path, str(default))[0]
 
-    def whole(self, path: str, default: int) -> int:
+    def integer(self, path: str, default: int) -> int:
+        """Return a whole number."""
         value = self.number(path, default)
         if value != int(value):
             raise SettingsDocumentError(f"settings: {path}: {value} is not a whole number")
         return int(value)
 
-    def flag(self, path: str, default: bool = False) -> bool:
-        return self._flags(path, "true" if default else "false")[0]
+    def boolean(self, path: str, default: bool = False) -> bool:
+        """Return true or false, the first where several are listed."""
+        return self._booleans(path, "true" if default else "false")[0]
 
     def numbers(self, path: str) -> tuple[float, ...]:
+        """Return a list of finite numbers; empty where there is none."""
         return self._numbers(path, "") if self.text(path) else ()
 
-    def flags(self, path: str) -> tuple[bool, ...]:
-        return self._flags(path, "") if self.text(path) else ()
+    def booleans(self, path: str) -> tuple[bool, ...]:
+        """Return a list of true and false; empty where there is none."""
+        return self._booleans(path, "") if self.text(path) else ()
+
+    def texts(self, path: str) -> tuple[str, ...]:
+        """Return a list of texts without empty ones."""
+        return tuple(part for part in self.text(path).split(",") if part)
+
+    def choice(self, path: str, choices: dict[str, Choice], default: str) -> Choice:
+        """Return what a value stands for among a few."""
+        value = self.text(path, default)
+        if value not in choices:
+            raise SettingsDocumentError(f"settings: {path}: unknown value {value!r}")
+        return choices[value]
 
     def _numbers(self, path: str, default: str) -> tuple[float, ...]:
         try:
@@ -70,90 +92,93 @@
             raise SettingsDocumentError(f"settings: {path}: {self.text(path)!r} is not finite")
         return values
 
-    def _flags(self, path: str, default: str) -> tuple[bool, ...]:
+    def _booleans(self, path: str, default: str) -> tuple[bool, ...]:
         parts = self.text(path, default).split(",")
-        if any(part not in ("true", "false") for part in parts):
+        if any(part not in _BOOLEANS for part in parts):
             raise SettingsDocumentError(f"settings: {path}: {self.text(path)!r} is not true or false")
-        return tuple(part == "true" for part in parts)
-
-    def choice(self, path: str, table: dict[str, T], default: str) -> T:
-        value = self.text(path, default)
-        if value not in table:
-            raise SettingsDocumentError(f"settings: {path}: unknown value {value!r}")
-        return table[value]
+        return tuple(_BOOLEANS[part] for part in parts)
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the path=value settings; unknown keys are skipped."""
-    pairs = _Pairs(text)
-    budget = None
-    if "obligations.furtherRatio" in pairs.values or "obligations.budgetFree" in pairs.values:
-        budget = RetryBudget(
-            free=pairs.number("obligations.budgetFree"),
-            ratio=pairs.number("obligations.furtherRatio"),
-            window_ms=pairs.number("obligations.lookBackMs", 5000.0),
-        )
-    fields = tuple(part for part in pairs.text("report.fields").split(",") if part)
-    source = pairs.text("report.source", "silent")
+    """Read the settings document; unknown paths are skipped. Raise SettingsDocumentError."""
+    document = SettingsDocument(text)
+    retry_budget = _retry_budget(document)
+    has_reports = document.text("report.source", "silent") != "silent"
     try:
         return Settings(
-            classes=tuple(_class(pairs, i) for i in range(pairs.whole("categories.count", 0))),
-            tenants=tuple(
-                Tenant(pairs.text(f"projects.{i}.name", str(i)), pairs.number(f"projects.{i}.quotaPerS"))
-                for i in range(pairs.whole("projects.count", 0))
+            classes=tuple(
+                _class(document, index) for index in range(document.integer("categories.count", 0))
             ),
-            instances=pairs.whole("instances", 1),
-            cores_by_kind=pairs.numbers("extra.cpuOfKind"),
-            memory_mb_by_kind=pairs.numbers("extra.kindMemoryMb"),
-            largest_memory_grant_share=pairs.number("extra.largestShare", 1.0),
-            grants=pairs.flag("extra.grants"),
-            priorities=pairs.flag("extra.priorities"),
-            progress_interval_ms=pairs.number("extra.tellsEveryMs"),
-            load_report_fields=fields if source != "silent" else (),
-            reports_by_probe_only=source == "pull",
-            discovery=pairs.choice("discovery", {"push": Discovery.PUSH, "ask": Discovery.ASK}, "push"),
-            poll_within_ms=pairs.number("obligations.askWithinMs", 10000.0),
-            probes=pairs.flag("limits.probes"),
-            may_cancel=pairs.flag("limits.mayCancel"),
-            sends_retry_after=pairs.flag("limits.retryAfter"),
-            max_retry_after_ms=pairs.number("limits.maxRetryAfterMs"),
-            max_attempts=pairs.whole("limits.sendCap", 1),
-            over_quota_weight=pairs.number("overShareWorth", 1.0),
-            retry_budget=budget,
-            ordering_settle_ms=pairs.number("obligations.orderSettleMs"),
-            slow_start_initial_capacity=pairs.number("obligations.coldFrom", 1.0),
-            slow_start_ms=pairs.number("obligations.coldMs"),
-            slow_start_overload_factor=pairs.number("obligations.fallMultiple", 1.0),
-            slow_start_window_ms=pairs.number("obligations.fallMs", 1000.0),
+            tenants=tuple(_tenant(document, index) for index in range(document.integer("projects.count", 0))),
+            instances=document.integer("instances", 1),
+            cores_by_kind=document.numbers("extra.cpuOfKind"),
+            memory_mb_by_kind=document.numbers("extra.kindMemoryMb"),
+            largest_memory_grant_share=document.number("extra.largestShare", 1.0),
+            grants=document.boolean("extra.grants"),
+            priorities=document.boolean("extra.priorities"),
+            progress_interval_ms=document.number("extra.tellsEveryMs"),
+            load_report_fields=document.texts("report.fields") if has_reports else (),
+            reports_by_probe_only=document.text("report.source", "silent") == "pull",
+            discovery=document.choice("discovery", _DISCOVERY, "push"),
+            poll_within_ms=document.number("obligations.askWithinMs", 10000.0),
+            probes=document.boolean("limits.probes"),
+            may_cancel=document.boolean("limits.mayCancel"),
+            sends_retry_after=document.boolean("limits.retryAfter"),
+            max_retry_after_ms=document.number("limits.maxRetryAfterMs"),
+            max_attempts=document.integer("limits.sendCap", 1),
+            over_quota_weight=document.number("overShareWorth", 1.0),
+            retry_budget=retry_budget,
+            ordering_settle_ms=document.number("obligations.orderSettleMs"),
+            slow_start_initial_capacity=document.number("obligations.coldFrom", 1.0),
+            slow_start_ms=document.number("obligations.coldMs"),
+            slow_start_overload_factor=document.number("obligations.fallMultiple", 1.0),
+            slow_start_window_ms=document.number("obligations.fallMs", 1000.0),
         )
-    except ValueError as error:
+    except ValueError as error:  # Settings refuses what contradicts itself
         raise SettingsDocumentError(f"settings: {error}") from None
 
 
-def _class(pairs: _Pairs, index: int) -> RequestClass:
-    path = f"categories.{index}"
-    threads, loads = pairs.numbers("extra.parallelism"), pairs.flags("extra.loads")
-    waits = pairs.flags("extra.waitsForLoads")
+def _retry_budget(document: SettingsDocument) -> RetryBudget | None:
+    if "obligations.furtherRatio" not in document and "obligations.budgetFree" not in document:
+        return None
+    return RetryBudget(
+        free=document.number("obligations.budgetFree"),
+        ratio=document.number("obligations.furtherRatio"),
+        window_ms=document.number("obligations.lookBackMs", DEFAULT_RETRY_WINDOW_MS),
+    )
+
 
-    def places(name: str) -> frozenset[int] | None:
-        if f"{path}.{name}" not in pairs.values:
-            return None
-        return frozenset(int(value) for value in pairs.numbers(f"{path}.{name}"))
+def _tenant(document: SettingsDocument, index: int) -> Tenant:
+    path = f"projects.{index}"
+    return Tenant(document.text(f"{path}.name", str(index)), document.number(f"{path}.quotaPerS"))
 
+
+def _class(document: SettingsDocument, index: int) -> RequestClass:
+    path = f"categories.{index}"
+    threads = document.numbers("extra.parallelism")
+    loads = document.booleans("extra.loads")
+    waits = document.booleans("extra.waitsForLoads")
     return RequestClass(
-        name=pairs.text(f"{path}.name", str(index)),
-        idempotency=pairs.choice(f"{path}.effect", _IDEMPOTENCY, "non_idempotent"),
-        latency_objective_ms=pairs.number(f"{path}.promiseMs", 1000.0),
-        latency_objective_work_factor=pairs.number(f"{path}.aimStretch"),
-        client_timeout_ms=pairs.number(f"{path}.giveUpMs", 10000.0),
-        priority_weight=pairs.number(f"{path}.worth", 1.0),
-        late_weight=pairs.number(f"{path}.lateWorth"),
-        deduplication_scope=pairs.choice(f"{path}.group", {s.value: s for s in DeduplicationScope}, "all"),
-        deduplication_window_ms=pairs.number(f"{path}.memorySpanMs"),
-        ordered=pairs.flag(f"{path}.serialByKey"),
-        zones=places("areasOpen"),
-        kinds=places("hostTypesAllowed"),
+        name=document.text(f"{path}.name", str(index)),
+        idempotency=document.choice(f"{path}.effect", _IDEMPOTENCY, "non_idempotent"),
+        latency_objective_ms=document.number(f"{path}.promiseMs", 1000.0),
+        latency_objective_work_factor=document.number(f"{path}.aimStretch"),
+        client_timeout_ms=document.number(f"{path}.giveUpMs", 10000.0),
+        priority_weight=document.number(f"{path}.worth", 1.0),
+        late_weight=document.number(f"{path}.lateWorth"),
+        deduplication_scope=document.choice(f"{path}.group", _DEDUPLICATION_SCOPES, "all"),
+        deduplication_window_ms=document.number(f"{path}.memorySpanMs"),
+        ordered=document.boolean(f"{path}.serialByKey"),
+        zones=_allowed(document, f"{path}.areasOpen"),
+        kinds=_allowed(document, f"{path}.hostTypesAllowed"),
         threads=int(threads[index]) if index < len(threads) else 1,
         is_load=index < len(loads) and loads[index],
         waits_for_loads=index < len(waits) and waits[index],
     )
+
+
+def _allowed(document: SettingsDocument, path: str) -> frozenset[int] | None:
+    """Return the numbers of the zones or kinds that a class is bound to; None where it is bound to none."""
+    if path not in document:
+        return None
+    return frozenset(int(value) for value in document.numbers(path))
--- a/fordstair/entry_point.py
+++ b/fordstair/entry_point.py
@@ -10,7 +10,8 @@
 
 import trio
 
-from fordstair.configuration.platform import Config, ConfigError, load
+from fordstair.configuration.errors import ConfigError
+from fordstair.configuration.platform import Config, load
 from fordstair.program import Program
 from fordstair.runtime.event_log import PlainFormatter
 
@@ -26,7 +27,7 @@
         operator_file,  # the platform's program holds none of what only this needs
     )
 
-    return load(), operator_file.operator(operator_file.load_checked(path, whole=False))
+    return load(), operator_file.operator_options(operator_file.load_operator_file(path, require_site=False))
 
 
 def main() -> int:
--- a/fordstair/lab/replay.py
+++ b/fordstair/lab/replay.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from fordstair.configuration.operator_file import settings as site_settings
+from fordstair.configuration.operator_file import decision_settings
 from fordstair.configuration.operator_schema import BudgetsTable, File
 from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import Arrival, read
@@ -18,7 +18,7 @@
 
 def compare(path: Path, file: File, seed: int) -> dict[str, dict[str, Any]]:
     """Return figures by team and in all, without budgets and with the file's (or the default ones)."""
-    told, arrivals = site_settings(file), list(read(path))
+    told, arrivals = decision_settings(file), list(read(path))
     known = ({each.name for each in told.classes}, {each.name for each in told.tenants})
     for number, arrival in enumerate(arrivals, 1):
         if arrival.class_name not in known[0] or arrival.team not in known[1]:
@@ -31,8 +31,8 @@
     cores = sum(each.cores for each in file.engines)
     scheduler = Scheduler(
         {number: team.share for number, team in enumerate(file.teams)},
-        cores * budgets.threads_a_core,
-        waiting_most=budgets.waiting_most,
+        cores * budgets.threads_per_core,
+        waiting_most=budgets.max_waiting,
         burst_ms=budgets.burst_ms,
         debt_ms=budgets.debt_ms,
     )
--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -21,7 +21,7 @@
 import trio
 import ujson
 
-from fordstair.configuration.platform import ConfigError
+from fordstair.configuration.errors import ConfigError
 from fordstair.core.coordinator import Coordinator
 from fordstair.overrides.register import (
     BringBack,
--- a/fordstair/net/identity.py
+++ b/fordstair/net/identity.py
@@ -16,7 +16,7 @@
 from cryptography import x509
 from cryptography.x509.oid import ExtendedKeyUsageOID
 
-from fordstair.configuration.platform import ConfigError
+from fordstair.configuration.errors import ConfigError
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.runtime.event_log import EventLog
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -10,7 +10,8 @@
 
 import trio
 
-from fordstair.configuration.platform import Config, ConfigError
+from fordstair.configuration.errors import ConfigError
+from fordstair.configuration.platform import Config
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import Engine, Transport
 from fordstair.core.start_times import StartTimes
--- a/fordstair/simulator/codec.py
+++ b/fordstair/simulator/codec.py
@@ -7,7 +7,8 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from fordstair.configuration.settings_document import SettingsDocumentError, parse_settings
+from fordstair.configuration.errors import SettingsDocumentError
+from fordstair.configuration.settings_document import parse_settings
 from fordstair.decisions.actions import (
     Action,
     CancelAttempt,
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -15,8 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fordstair.configuration.operator_file import load_file
-from fordstair.configuration.operator_file import settings as site_settings
+from fordstair.configuration.operator_file import decision_settings, read_operator_file
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import Engine
 from fordstair.decisions.engine_list import ListUpdateKind
@@ -134,7 +133,7 @@
 
 def test_what_the_module_avoids_is_never_called_ready_and_looking_changes_nothing() -> None:
     """Two modules of the same seed, one of them looked at all the time: they decide alike."""
-    told = site_settings(load_file(str(APPLIANCE), whole=True))
+    told = decision_settings(read_operator_file(str(APPLIANCE), require_site=True))
     plain, watched = (Coordinator(told, 7, {}, Deadlines(lambda: 0.0), Counters()) for _ in range(2))
     observer = Observer("x", watched, Ledger(), WallClock())
     named = set()
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,7 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fordstair.configuration.platform import ConfigError, flatten, parse
+from fordstair.configuration.errors import ConfigError
+from fordstair.configuration.platform import flatten, parse
 from fordstair.core.statements import table_group
 from fordstair.decisions.engine_list import EngineState
 from fordstair.net.clients.messagepack import Incomplete, Malformed, read
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,8 +14,9 @@
 from hypothesis import strategies as st
 
 from fordstair.configuration import operator_file
+from fordstair.configuration.errors import InvalidOperatorFileError
 from fordstair.configuration.operator_schema import File, json_schema
-from fordstair.configuration.operator_validation import Faulty, read
+from fordstair.configuration.operator_validation import validate_operator_file
 from fordstair.decisions.settings import Idempotency
 from tests.standins import ROOT
 
@@ -23,18 +24,18 @@
 many = settings(max_examples=200, derandomize=True, deadline=None)
 
 
-def faults(text: str, whole: bool = False) -> dict[str, str]:
+def problems_of(text: str, require_site: bool = False) -> dict[str, str]:
     """What is wrong, by path."""
     try:
-        read(tomllib.loads(text), whole=whole)
-    except Faulty as faulty:
-        return {fault.path: fault.reason for fault in faulty.faults}
+        validate_operator_file(tomllib.loads(text), require_site=require_site)
+    except InvalidOperatorFileError as invalid:
+        return {problem.path: problem.reason for problem in invalid.problems}
     return {}
 
 
 def test_the_file_in_the_repository_makes_the_modules_settings() -> None:
-    file = operator_file.load_file(str(APPLIANCE), whole=True)
-    config, operator = operator_file.config(file), operator_file.operator(file)
+    file = operator_file.read_operator_file(str(APPLIANCE), require_site=True)
+    config, operator = operator_file.coordinator_config(file), operator_file.operator_options(file)
     told = config.settings
     assert [(each.name, each.idempotency, each.threads, each.is_load) for each in told.classes] == [
         ("lookup", Idempotency.IDEMPOTENT, 1, False),
@@ -57,7 +58,7 @@
 
 
 def test_all_faults_are_listed_at_once() -> None:
-    found = faults("""
+    found = problems_of("""
         colour = "red"
         [site]
         name = "9"
@@ -119,11 +120,11 @@
         'team = ""': ('team = "who"', {"odata.team": "no team 'who'"}),
         '"/tmp/': ('"tmp/', {"console.socket": "a path from the root is wanted"}),
     }
-    assert faults(base, whole=True) == {}
+    assert problems_of(base, require_site=True) == {}
     for before, (after, expected) in wrong.items():
         assert base.count(before) >= 1
-        assert faults(base.replace(before, after, 1), whole=True) == expected
-    assert set(faults("", whole=True)) == {"site", "class", "team", "engine"}
+        assert problems_of(base.replace(before, after, 1), require_site=True) == expected
+    assert set(problems_of("", require_site=True)) == {"site", "class", "team", "engine"}
 
 
 values: st.SearchStrategy[Any] = st.recursive(
@@ -157,12 +158,12 @@
     ),
     st.booleans(),
 )
-def test_whatever_stands_in_a_file_a_fault_is_named(told: dict[str, Any], whole: bool) -> None:
+def test_whatever_stands_in_a_file_a_fault_is_named(told: dict[str, Any], require_site: bool) -> None:
     try:
-        file = read(told, whole=whole)
-    except Faulty as faulty:
-        assert faulty.faults
-        assert all("\n" not in each.line("f") and each.reason for each in faulty.faults)
+        file = validate_operator_file(told, require_site=require_site)
+    except InvalidOperatorFileError as invalid:
+        assert invalid.problems
+        assert all("\n" not in each.line("f") and each.reason for each in invalid.problems)
     else:
         assert isinstance(file, File)
 
@@ -177,9 +178,9 @@
     field = data.draw(st.sampled_from(sorted(rows[number])))
     rows[number][field] = object() if data.draw(st.booleans()) else {"odd": [1]}
     path = f"{table}.{number}.{field}" if isinstance(told[table], list) else f"{table}.{field}"
-    with pytest.raises(Faulty) as faulty:
-        read(told, whole=True)
-    assert path in {fault.path for fault in faulty.value.faults}
+    with pytest.raises(InvalidOperatorFileError) as invalid:
+        validate_operator_file(told, require_site=True)
+    assert path in {problem.path for problem in invalid.value.problems}
 
 
 @pytest.mark.parametrize(
@@ -229,7 +230,7 @@
     assert f"{bad}: site.name: is missing" in done.stderr.splitlines()
     assert f"{bad}: site.hue: unknown key" in done.stderr
     told = ujson.loads(run("check", "--json", str(bad)).stdout)
-    assert {fault["path"] for fault in told["faults"]} >= {"site.listen", "site.hue", "site.name"}
+    assert {problem["path"] for problem in told["faults"]} >= {"site.listen", "site.hue", "site.name"}
     assert ujson.loads(run("schema").stdout) == json_schema()
     assert run("nonsense").returncode == 2
 
@@ -252,9 +253,9 @@
             "ledger": ledger,
         }
     }
-    with pytest.raises(Faulty) as caught:
-        read(told, whole=False)
-    assert {fault.path for fault in caught.value.faults} == {
+    with pytest.raises(InvalidOperatorFileError) as caught:
+        validate_operator_file(told, require_site=False)
+    assert {problem.path for problem in caught.value.problems} == {
         "fleet.timeout_ms",
         "fleet.advertise",
         "fleet.seeds.1",
@@ -266,15 +267,18 @@
         "fleet.ledger.repeat_seconds",
         "fleet.ledger",
     }
-    with pytest.raises(Faulty) as caught:
-        read({"fleet": {"cluster": "9", "listen": "nowhere", "probe_ms": 1.0, "unknown": 1}}, whole=False)
-    assert {fault.path for fault in caught.value.faults} == {
+    with pytest.raises(InvalidOperatorFileError) as caught:
+        validate_operator_file(
+            {"fleet": {"cluster": "9", "listen": "nowhere", "probe_ms": 1.0, "unknown": 1}},
+            require_site=False,
+        )
+    assert {problem.path for problem in caught.value.problems} == {
         "fleet.cluster",
         "fleet.listen",
         "fleet.probe_ms",
         "fleet.unknown",
     }
-    good = read(
+    good = validate_operator_file(
         {
             "odata": {"listen": "127.0.0.1:0"},
             "fleet": {
@@ -285,14 +289,14 @@
                 | {"store": "/var/ledger", "repeat_seconds": 600.0, "holders": {"north": "10.0.0.4:7947"}},
             },
         },
-        whole=False,
+        require_site=False,
     )
-    operator = operator_file.operator(good)
+    operator = operator_file.operator_options(good)
     assert operator.fleet is not None
     assert operator.fleet.address == "10.0.0.4:7946"
     assert operator.ledger is not None
     assert operator.ledger.holders == {"north": "10.0.0.4:7947"}
-    assert operator_file.operator(read({}, whole=False)).fleet is None
+    assert operator_file.operator_options(validate_operator_file({}, require_site=False)).fleet is None
 
 
 def test_faults_of_a_fleets_budgets_are_told_at_once_and_a_good_table_makes_its_plan() -> None:
@@ -318,9 +322,9 @@
             },
         },
     }
-    with pytest.raises(Faulty) as caught:
-        read(told, whole=False)
-    assert {fault.path for fault in caught.value.faults} == {
+    with pytest.raises(InvalidOperatorFileError) as caught:
+        validate_operator_file(told, require_site=False)
+    assert {problem.path for problem in caught.value.problems} == {
         "fleet.budgets",
         "fleet.budgets.members",
         "fleet.budgets.members.east",
@@ -342,7 +346,7 @@
             }
         },
     }
-    part = operator_file.operator(read(good, whole=False)).shares
+    part = operator_file.operator_options(validate_operator_file(good, require_site=False)).shares
     assert part is not None
     assert part.member == "north"
     assert part.plan.members == ("north",)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from fordstair.configuration.settings_document import SettingsDocumentError, parse_settings
+from fordstair.configuration.errors import SettingsDocumentError
+from fordstair.configuration.settings_document import parse_settings
 from fordstair.decisions.actions import (
     CancelAttempt,
     CheckHealth,
