--- a/fordstair/simulator/host.py
+++ b/fordstair/simulator/host.py
@@ -7,53 +7,71 @@
 
 from fordstair.decisions.actions import Action
 from fordstair.decisions.gateway import Gateway
-from fordstair.simulator.codec import HEADER, Decoder, Encoder, Shutdown, Up, WireError
+from fordstair.simulator.action_encoder import ReplyEncoder
+from fordstair.simulator.event_decoder import EventDecoder, InstanceEvent, InstanceStarted, InstanceStopped
+from fordstair.simulator.frames import BATCH_HEADER, WireError
 
 
-def _read(source: BinaryIO, size: int, what: str) -> bytes:
-    """Exactly size bytes, or none at a clean end of input."""
-    data = source.read(size)
-    if len(data) < size and (data or what == "body"):
-        raise WireError(f"{what}: input ended after {len(data)} of {size} bytes")
-    return data
+class InstanceHost:
+    """The gateways of one process, by the simulator's numbers of their instances."""
 
+    def __init__(self) -> None:
+        self._decoder = EventDecoder()
+        self._gateways: dict[int, Gateway] = {}
 
-def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
-    decoder = Decoder()
-    gateways: dict[int, Gateway] = {}
-    while header := _read(source, HEADER.size, "header"):
-        size, now, count, number = HEADER.unpack(header)
-        body = _read(source, size, "body") if size else b""
-        encoder = Encoder()
-        current = None
-        for instance, event in decoder.batch(count, body):
-            actions: list[Action] = []
+    def answer(self, batch_number: int, now: float, count: int, body: bytes) -> bytes:
+        """Feed a batch's events at its time; return the reply. Raise WireError where it cannot be read."""
+        encoder = ReplyEncoder()
+        current: int | None = None
+        for instance, event in self._decoder.batch(count, body):
+            self._require_started(instance, event)
             try:
-                if isinstance(event, Up):
-                    gateways[instance] = Gateway(event.settings, event.seed)
-                elif isinstance(event, Shutdown):
-                    gateways.pop(instance, None)
-                elif instance in gateways:
-                    actions = gateways[instance].handle(now, event)
-                else:
-                    raise WireError(f"event {type(event).__name__} for instance {instance}, which is not up")
-            except WireError:
-                raise
-            except Exception as error:  # the page asks that any failure of the module be told on the wire
-                encoder.fault(f"{type(error).__name__}: {error}")
+                actions = self._feed(instance, now, event)
+            except Exception as error:  # noqa: BLE001 - the wire wants any failure of the decisions reported
+                encoder.internal_error(f"{type(error).__name__}: {error}")
                 continue
             if actions and instance != current:
-                encoder.at(instance)
+                encoder.switch_instance(instance)
                 current = instance
             for action in actions:
                 encoder.action(action)
-        sink.write(encoder.reply(number))
+        return encoder.reply(batch_number)
+
+    def _require_started(self, instance: int, event: InstanceEvent) -> None:
+        if isinstance(event, InstanceStarted | InstanceStopped) or instance in self._gateways:
+            return
+        raise WireError(f"event {type(event).__name__} for instance {instance}, which is not up")
+
+    def _feed(self, instance: int, now: float, event: InstanceEvent) -> list[Action]:
+        if isinstance(event, InstanceStarted):
+            self._gateways[instance] = Gateway(event.settings, event.seed)
+            return []
+        if isinstance(event, InstanceStopped):
+            self._gateways.pop(instance, None)
+            return []
+        return self._gateways[instance].handle(now, event)
+
+
+def run(source: BinaryIO, sink: BinaryIO) -> None:
+    """Answer batches until the input ends; raise WireError at input that cannot be read."""
+    host = InstanceHost()
+    while header := _read(source, BATCH_HEADER.size, "header"):
+        size, now, count, batch_number = BATCH_HEADER.unpack(header)
+        body = _read(source, size, "body") if size else b""
+        sink.write(host.answer(batch_number, now, count, body))
         sink.flush()
 
 
+def _read(source: BinaryIO, size: int, what: str) -> bytes:
+    """Return exactly size bytes, or none at a clean end of input."""
+    data = source.read(size)
+    if len(data) < size and (data or what == "body"):
+        raise WireError(f"{what}: input ended after {len(data)} of {size} bytes")
+    return data
+
+
 def main() -> int:
-    """Run on standard input and output; 0 at the end of input, 1 at input that cannot be read."""
+    """Run on standard input and output; return 0 at the end of input, 1 at input that cannot be read."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -40,7 +40,8 @@
     TimerFired,
 )
 from fordstair.simulator import host
-from fordstair.simulator.codec import Decoder, Encoder, Shutdown, Up
+from fordstair.simulator.action_encoder import ReplyEncoder
+from fordstair.simulator.event_decoder import EventDecoder, InstanceStarted, InstanceStopped
 
 SETTINGS = "categories.count=1\ncategories.0.effect=read_like\nunknown.key=x\ninstances=2\n"
 
@@ -59,7 +60,7 @@
 
 
 def read(*records: bytes, tail: bytes = b"") -> list[object]:
-    return [event for _, event in Decoder().batch(len(records) + 1, SWITCH + b"".join(records) + tail)]
+    return [event for _, event in EventDecoder().batch(len(records) + 1, SWITCH + b"".join(records) + tail)]
 
 
 def frame(records: list[bytes], tail: bytes = b"", number: int = 1, clock: float = 242.0) -> bytes:
@@ -88,7 +89,7 @@
         + record("0d 00000005")
         + record("06 0e6f2b19")
     )
-    assert list(Decoder().batch(5, body)) == [
+    assert list(EventDecoder().batch(5, body)) == [
         (3, RequestArrived(0x5D3A91C4, 0, 240.0, 0, 12.0, 384.0, 11.0, 0x91F03B7C55D20A64)),
         (3, TimerFired(77)),
         (5, ClientDisconnected(0x0E6F2B19)),
@@ -109,7 +110,7 @@
     assert read(record("05 5d3a91c4 00 0a124a07 1f43 0000 4032800000000000 01 00011060 00")) == [
         AttemptEnded(0x5D3A91C4, 0, "10.18.74.7:8003", Status.OK, 18.5, True, 17.0, 384.0)
     ]
-    assert read(record("0a")) == [Shutdown()]
+    assert read(record("0a")) == [InstanceStopped()]
 
 
 def test_lists_are_replaced_within_a_batch() -> None:
@@ -127,11 +128,11 @@
 
 
 def test_example_reply() -> None:
-    encoder = Encoder()
-    encoder.at(3)
+    encoder = ReplyEncoder()
+    encoder.switch_instance(3)
     encoder.action(SendAttempt(0x5D3A91C4, "10.18.74.7:8003", 80.0))
     encoder.action(StartTimer(77, 500.0))
-    encoder.at(5)
+    encoder.switch_instance(5)
     encoder.action(LogMessage("two servers known"))
     assert (
         encoder.reply(12)
@@ -164,7 +165,7 @@
     ],
 )
 def test_example_actions(action: SendAttempt, text: str) -> None:
-    encoder = Encoder()
+    encoder = ReplyEncoder()
     encoder.action(action)
     assert encoder.reply(0)[12:36] == record(text, 24)
 
@@ -279,6 +280,6 @@
 
 def test_up_carries_seed_and_settings() -> None:
     (event,) = read(up(), tail=SETTINGS.encode())
-    assert isinstance(event, Up)
+    assert isinstance(event, InstanceStarted)
     assert event.seed == 9
     assert event.settings.instances == 2
