--- a/fordstair/cli/serve.py
+++ b/fordstair/cli/serve.py
@@ -7,14 +7,16 @@
 from fordstair.configuration import operator_file
 from fordstair.configuration.errors import ConfigError
 from fordstair.configuration.platform import Config
-from fordstair.logs import setup
+from fordstair.logs.handler import start_logging
 from fordstair.program import Program
 
 
 def run(path: str) -> None:
     """Run until SIGTERM or drain; raise ConfigError where the file, or what it names, cannot be used."""
     file = operator_file.load_operator_file(path, require_site=True)
-    log = setup.start(file.log.format, file.log.level, file.log.repeat_window_s, file.log.max_waiting_lines)
+    handler = start_logging(
+        file.log.format, file.log.level, file.log.repeat_window_s, file.log.max_waiting_lines
+    )
     try:
         program = Program(
             operator_file.coordinator_config(file),
@@ -22,13 +24,13 @@
             lambda: _read_config(path),
         )
         if program.console_server is not None:
-            log.watchers.append(program.console_server.note)
+            handler.listeners.append(program.console_server.note)
         trio.run(program.run)
     except* ConfigError as group:
         problems = [str(error) for error in _leaves(group)]
         raise ConfigError("\n".join(f"{path}: {problem}" for problem in problems)) from None
     finally:
-        log.close()
+        handler.close()
 
 
 def _read_config(path: str) -> Config:
--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -277,7 +277,7 @@
     def _whole(self) -> None:
         self.began_ms = 0.0
         if self._due is not None:
-            self.deadlines.drop(self._due)
+            self.deadlines.cancel(self._due)
             self._due = None
 
     def _overdue(self) -> None:
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -307,7 +307,7 @@
         """Log and count steps of the wall clock, for whoever reads times in logs."""
         while True:
             await self.deadlines.sleep(CLOCK_WATCH_MS)
-            if step_ms := self.wall_clock.look():
+            if step_ms := self.wall_clock.follow_step():
                 self.counters.add("clock.steps")
                 log.warning("clock.stepped", by_ms=round(step_ms))
 
--- a/fordstair/runtime/clock.py
+++ b/fordstair/runtime/clock.py
@@ -1,6 +1,6 @@
 """The system's clocks, and the only place that reads them.
 
-All spans, deadlines and windows are reckoned in milliseconds of the monotonic clock, as plain floats: no
+All spans, deadlines and windows are counted in milliseconds of the monotonic clock, as plain floats: no
 operator and no time server steps it. Unix time is a type of its own that neither adds to nor compares with
 those floats. It is read where a wire, a disk or a log wants it, and is turned into the program's time
 there.
@@ -14,7 +14,7 @@
 from typing import NewType
 
 MonotonicMs = NewType("MonotonicMs", float)
-STEP_LEAST_MS = 250.0  # a smaller change of the wall clock counts as drift
+MIN_STEP_MS = 250.0  # a smaller change of the wall clock counts as drift
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -35,7 +35,7 @@
 
 
 class AnchoredClock:
-    """Relates Unix time to monotonic time by one look at both clocks, so that later steps change nothing."""
+    """Relates Unix time to monotonic time by one reading of both clocks: later steps change nothing."""
 
     def __init__(
         self, monotonic: Callable[[], float] = monotonic_now, unix: Callable[[], UnixMs] = unix_now
@@ -57,24 +57,25 @@
 
 
 class WallClock:
-    """Tells moments of the monotonic clock in the wall clock's time of now, for people; follows its steps."""
+    """Converts moments of the monotonic clock to the wall clock's time, for people; follows its steps."""
 
     def __init__(
         self, monotonic: Callable[[], float] = monotonic_now, unix: Callable[[], UnixMs] = unix_now
     ) -> None:
-        self._monotonic, self._unix = monotonic, unix
+        self._monotonic = monotonic
+        self._unix = unix
         self._offset_ms = self._measure()
 
-    def look(self) -> float:
-        """Return by how far the wall clock was stepped since it was last followed; 0 where it was not."""
+    def follow_step(self) -> float:
+        """Follow a step of the wall clock; return by how many milliseconds it was stepped, 0 for none."""
         step_ms = self._measure() - self._offset_ms
-        if abs(step_ms) < STEP_LEAST_MS:
+        if abs(step_ms) < MIN_STEP_MS:
             return 0.0
         self._offset_ms += step_ms
         return step_ms
 
     def unix(self, moment_ms: float) -> UnixMs:
-        """Return a moment of the monotonic clock as the wall clock tells it; equal moments stay equal."""
+        """Return a moment of the monotonic clock as the wall clock shows it; equal moments stay equal."""
         return UnixMs(moment_ms + self._offset_ms)
 
     def _measure(self) -> float:
--- a/fordstair/runtime/counters.py
+++ b/fordstair/runtime/counters.py
@@ -11,24 +11,24 @@
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
-        self._others: dict[str, Callable[[], Mapping[str, int]]] = {}
+        self._included: dict[str, Callable[[], Mapping[str, int]]] = {}
 
     def add(self, name: str, by: int = 1) -> None:
-        """Count one more."""
+        """Count some more, one unless ``by`` says otherwise."""
         self._counts[name] += by
 
     def include(self, area: str, counts: Callable[[], Mapping[str, int]]) -> None:
-        """Show counts that a part keeps by itself, under its area."""
-        self._others[area] = counts
+        """Include counts that another part keeps, under its area, in every snapshot."""
+        self._included[area] = counts
 
     def __getitem__(self, name: str) -> int:
         return self._counts[name]
 
     def snapshot(self) -> dict[str, int]:
         """Return all counts, by name in order."""
-        others = {
+        included = {
             f"{area}.{name}": count
-            for area, counts in self._others.items()
+            for area, counts in self._included.items()
             for name, count in counts().items()
         }
-        return dict(sorted((self._counts | others).items()))
+        return dict(sorted((self._counts | included).items()))
--- a/fordstair/runtime/deadlines.py
+++ b/fordstair/runtime/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines of the program, in one sorted structure that is swept each turn.
+"""All deadlines of the program, in one sorted structure that is swept whenever the first is due.
 
 Times are milliseconds of the monotonic clock; a step of the wall clock moves none of them.
 """
@@ -17,7 +17,8 @@
 
 log = EventLog(__name__)
 
-Ticket: TypeAlias = tuple[float, int]
+IDLE_SWEEP_MS = 60_000.0  # between sweeps where no deadline is set
+Ticket: TypeAlias = tuple[float, int]  # time in ms, number of the deadline
 
 
 class Deadlines:
@@ -33,7 +34,7 @@
         return len(self._due)
 
     def add(self, at_ms: float, action: Callable[[], object]) -> Ticket:
-        """Run the action at the first sweep at or after that time."""
+        """Run the action at the first sweep at or after that time; return what ``cancel`` takes."""
         self._number += 1
         ticket = (at_ms, self._number)
         self._due[ticket] = action
@@ -45,19 +46,19 @@
         """Run the action once that span of real time has passed."""
         return self.add(self.clock() + span_ms, action)
 
-    def drop(self, ticket: Ticket) -> None:
+    def cancel(self, ticket: Ticket) -> None:
         """Forget a deadline; one that has passed is no error."""
         self._due.pop(ticket, None)
 
     def sweep(self) -> None:
         """Run what is due, in order of time."""
-        now = self.clock()
-        while self._due and self._due.peekitem(0)[0][0] <= now:
+        now_ms = self.clock()
+        while self._due and self._due.peekitem(0)[0][0] <= now_ms:
             _, action = self._due.popitem(0)
             try:
                 action()
-            except Exception:  # one bad action must not stop the deadlines of everything else
-                log.exception("deadline.broke")
+            except Exception:  # one failing action must not stop the deadlines of everything else
+                log.exception("deadline.action_failed")
 
     @contextmanager
     def limit(self, at_ms: float) -> Iterator[trio.CancelScope]:
@@ -67,15 +68,15 @@
             try:
                 yield scope
             finally:
-                self.drop(ticket)
+                self.cancel(ticket)
 
     def limit_for(self, span_ms: float) -> AbstractContextManager[trio.CancelScope]:
         """Cancel the block once that span of real time has passed, as ``limit`` does."""
         return self.limit(self.clock() + span_ms)
 
-    async def sleep(self, ms: float) -> None:
-        """Wait for that long."""
-        with self.limit_for(ms):
+    async def sleep(self, span_ms: float) -> None:
+        """Wait for that many milliseconds of real time."""
+        with self.limit_for(span_ms):
             await trio.sleep_forever()
 
     async def run(self) -> None:
@@ -83,6 +84,6 @@
         while True:
             self.sweep()
             self._earlier = trio.Event()
-            wait_ms = self._due.peekitem(0)[0][0] - self.clock() if self._due else 60_000.0
+            wait_ms = self._due.peekitem(0)[0][0] - self.clock() if self._due else IDLE_SWEEP_MS
             with trio.move_on_after(max(0.0, wait_ms) / 1000.0):
                 await self._earlier.wait()
--- a/fordstair/runtime/event_log.py
+++ b/fordstair/runtime/event_log.py
@@ -1,7 +1,7 @@
-"""Log lines as events: one name and typed fields, whatever renders them.
+"""Log lines as events: one name and typed fields, whatever handler renders them.
 
-The name is a fixed text such as ``client.broke``; all that varies is a field. On the platform the standard
-library prints ``name field=value``; an appliance's log takes both apart again (``fordstair/logs``).
+The name is a fixed text such as ``client.idle_timeout``; all that varies is a field. On the platform the
+standard library prints ``name field=value``; an appliance's log takes both apart again (``fordstair/logs``).
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import logging
 from typing import Any
 
-FIELDS = "fields"  # the attribute of a log record that holds them
+FIELDS = "fields"  # the attribute of a log record that holds an event's fields
 
 
 class EventLog:
@@ -21,23 +21,23 @@
         self._log = logging.getLogger(name)
 
     def debug(self, event: str, **fields: Any) -> None:
-        """What only a search for a fault needs."""
+        """Log what only a search for a fault needs."""
         self._write(logging.DEBUG, event, fields)
 
     def info(self, event: str, **fields: Any) -> None:
-        """What an operator may want to know."""
+        """Log what an operator may want to know."""
         self._write(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """What an operator should look at."""
+        """Log what an operator should look at."""
         self._write(logging.WARNING, event, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """What did not work."""
+        """Log what did not work."""
         self._write(logging.ERROR, event, fields)
 
     def exception(self, event: str, **fields: Any) -> None:
-        """A fault that was caught here, with its traceback."""
+        """Log an exception that was caught here, with its traceback; call it in the except block."""
         self._write(logging.ERROR, event, fields, exc_info=True)
 
     def _write(self, level: int, event: str, fields: dict[str, Any], exc_info: bool = False) -> None:
@@ -48,7 +48,7 @@
 class PlainFormatter(logging.Formatter):
     """``LEVEL logger: event field=value ...``, on one line but for a traceback."""
 
-    def formatMessage(self, record: logging.LogRecord) -> str:
+    def formatMessage(self, record: logging.LogRecord) -> str:  # noqa: N802 - the standard library calls it so
         """Return the line."""
         fields = "".join(f" {name}={_one_line(value)}" for name, value in getattr(record, FIELDS, {}).items())
         return f"{record.levelname} {record.name}: {record.getMessage()}{fields}"
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -22,8 +22,8 @@
 from fordstair.decisions.events import Status
 from fordstair.decisions.gateway import SOUND
 from fordstair.lab.machine import Job, Machine
-from fordstair.logs.repeats import Repeats
-from fordstair.logs.setup import Log
+from fordstair.logs.handler import EventLogHandler
+from fordstair.logs.repeat_filter import RepeatFilter
 from fordstair.logs.sink import Sink
 from fordstair.overrides.register import (
     BringBack,
@@ -262,14 +262,14 @@
 @many
 @given(st.lists(st.tuples(st.sampled_from("abcdefgh"), st.floats(-50.0, 400.0)), max_size=80))
 def test_every_line_is_shown_or_counted_once(lines: list[tuple[str, float]]) -> None:
-    repeats, now, told = Repeats(500.0, most=4), 0.0, Counter[str]()
+    repeats, now, told = RepeatFilter(500.0, max_keys=4), 0.0, Counter[str]()
     for key, ahead in lines:
         now += ahead
-        for ended, held in repeats.ended(now):
+        for ended, held in repeats.take_ended(now):
             told[str(ended)] += held
-        told[key] += repeats.show(key, now)
+        told[key] += repeats.admit(key, now)
         assert len(repeats) <= 5
-    for ended, held in repeats.rest():
+    for ended, held in repeats.take_all():
         told[str(ended)] += held
     assert told == Counter(key for key, _ in lines)
 
@@ -277,9 +277,9 @@
 def test_the_log_counts_equal_lines_and_keeps_fields_apart() -> None:
     read, write = os.pipe()
     now = [0.0]
-    log = Log(Sink(write, 64), "json", 1_000.0, clock=lambda: now[0])
+    log = EventLogHandler(Sink(write, 64), "json", 1_000.0, clock=lambda: now[0])
     shown = list[tuple[float, str, str]]()
-    log.watchers.append(lambda *line: shown.append(line))
+    log.listeners.append(lambda *line: shown.append(line))
     logger = logging.getLogger("test.log")
     logger.addHandler(log)
     logger.propagate = False
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -175,8 +175,8 @@
     clocks.pass_time(500.0, step_ms)
     assert anchored.now() == UnixMs(1.7e12 + 500.0)
     assert anchored.monotonic(anchored.now()) == clocks.monotonic_ms
-    assert wall.look() == step_ms
-    assert wall.look() == 0.0
+    assert wall.follow_step() == step_ms
+    assert wall.follow_step() == 0.0
     assert wall.unix(clocks.monotonic_ms) == clocks.unix()
 
 
