--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -19,7 +19,7 @@
 
 if TYPE_CHECKING:
     from fordstair.budgets.whole import Part, Whole
-    from fordstair.membership.swim import Fleet
+    from fordstair.membership.configuration import MembershipConfig
     from fordstair.replication.service import Ledger
 
 MAX_FILE_BYTES = 1024 * 1024
@@ -170,14 +170,14 @@
     }
 
 
-def _fleet(file: File) -> Fleet | None:
+def _fleet(file: File) -> MembershipConfig | None:
     if (table := file.fleet) is None:
         return None
-    from fordstair.membership.swim import Fleet
+    from fordstair.membership.configuration import MembershipConfig
 
     # Port 0 is known once it is bound; a member's name is the site's where the file gives none.
     advertised = table.advertise or ("" if table.listen.endswith(":0") else table.listen)
-    return Fleet(
+    return MembershipConfig(
         table.cluster,
         member_of(file),
         advertised,
--- a/fordstair/simulator/event_decoder.py
+++ b/fordstair/simulator/event_decoder.py
@@ -195,18 +195,18 @@
 
 def _request_arrived(record: _Record) -> RequestArrived:
     unpacked: tuple[Any, ...] = _REQUEST_ARRIVED.unpack_from(record.fields)
-    request, tenant, cost_ms, group, flags, key, class_index, budget_ms, memory_mb = unpacked
+    request, tenant, cost_ms, group, flags, key, class_index, time_left_ms, memory_mb = unpacked
     return RequestArrived(
         request=request,
         class_index=class_index,
-        budget_ms=budget_ms,
+        time_left_ms=time_left_ms,
         tenant=tenant,
         cost_ms=cost_ms if flags & COST_KNOWN else 0.0,
         memory_mb=memory_mb,
-        group=group,
-        key=key,
-        client_retry=bool(flags & CLIENT_RETRY),
-        write=bool(flags & WRITE),
+        table_group=group,
+        ordering_key=key,
+        is_client_retry=bool(flags & CLIENT_RETRY),
+        is_write=bool(flags & WRITE),
     )
 
 
