--- a/benchmarks/decision_play.py
+++ b/benchmarks/decision_play.py
@@ -1,11 +1,13 @@
 """Plays lookups to one gateway in virtual time, and measures the processor time of its calls.
 
-    python benchmarks/decision_play.py ENGINES LOOKUPS SEED
+    python benchmarks/decision_play.py ENGINES LOOKUPS SLICES SEED
 
-A first play, with engines that answer after the time that a lookup takes, notes every event with its time.
+A first play, with engines that answer after the time that a lookup takes, records every event with its time.
 A second gateway with the same seed is then fed the same events, and only its calls are timed: the driver's
-own work is in no figure. The last line is one JSON object. Run by ``benchmarks.decisions``, once a variant
-and round, with the commit to measure on PYTHONPATH.
+own work is in no figure. The first half of the lookups fills the engines; the others are timed in slices of
+equal numbers, one for each line on standard input, so that ``benchmarks.decisions`` can let two checkouts
+take turns. Each line of output is a JSON object: what was played, then a slice at a time. The commit to
+measure is on PYTHONPATH.
 """
 
 from __future__ import annotations
@@ -27,8 +29,9 @@
 LOOKUP_WORK_MS = 100.0  # mean, of processor time at an engine
 UTILISATION = 0.6  # of all cores, by the lookups that arrive
 FAULT_SHARE = 0.02  # of attempts; half answer with an error, half find no connection
-WARM_UP_SHARE = 0.5  # of the lookups, before the first that is timed
+WARM_UP_SHARE = 0.5  # of the lookups, before the first slice
 TABLE_GROUPS = 12
+CLIENT_TIMEOUT_MS = 3_000.0
 # The names up to commit 8b7ffb3, where the module was the package cairnhoist; only _load_old uses them.
 OLD_SETTING_NAMES = {
     "load_report_fields": "report_fields",
@@ -37,6 +40,7 @@
     "slow_start_overload_factor": "fall_multiple",
     "slow_start_window_ms": "fall_ms",
 }
+OLD_REQUEST_NAMES = {"table_group": "group"}
 OLD_CLASS_NAMES = {
     "latency_objective_ms": "promise_ms",
     "latency_objective_work_factor": "aim_stretch",
@@ -54,8 +58,10 @@
     request_class: Callable[..., Any]
     engine_entry: Callable[..., Any]
     engine_list_changed: Callable[..., Any]
-    request_arrived: Any
-    attempt_ended: Any
+    request_arrived: Callable[..., Any]
+    request_arrived_type: Any
+    attempt_ended: Callable[..., Any]
+    attempt_ended_type: Any
     timer_fired: Callable[..., Any]
     send_attempt: Any
     start_timer: Any
@@ -91,9 +97,9 @@
             self._schedule(at, self._arrival(request))
         while self._due:
             self.now, _, event = heapq.heappop(self._due)
-            if isinstance(event, self.module.request_arrived):
+            if isinstance(event, self.module.request_arrived_type):
                 self.arrival_indices.append(len(self.events))
-            elif isinstance(event, self.module.attempt_ended):
+            elif isinstance(event, self.module.attempt_ended_type):
                 self._running[event.engine] -= 1
             self._feed(event)
         return self._answers.hexdigest()[:16]
@@ -101,7 +107,7 @@
     def _arrival(self, request: int) -> Any:
         cost_ms = self.random.lognormvariate(4.3, 0.7)
         group = float(self.random.randrange(TABLE_GROUPS))
-        return self.module.request_arrived(request, 0, 3_000.0, cost_ms=cost_ms, group=group)
+        return self.module.request_arrived(request, 0, CLIENT_TIMEOUT_MS, cost_ms=cost_ms, table_group=group)
 
     def _feed(self, event: Any) -> None:
         self.events.append((self.now, event))
@@ -153,7 +159,7 @@
         name="lookup",
         latency_objective_ms=600.0,
         latency_objective_work_factor=2.0,
-        client_timeout_ms=3_000.0,
+        client_timeout_ms=CLIENT_TIMEOUT_MS,
         priority_weight=1.0,
     )
     settings = module.settings(
@@ -191,7 +197,9 @@
         engine_entry=engine_list.EngineEntry,
         engine_list_changed=events.EngineListChanged,
         request_arrived=events.RequestArrived,
+        request_arrived_type=events.RequestArrived,
         attempt_ended=events.AttemptEnded,
+        attempt_ended_type=events.AttemptEnded,
         timer_fired=events.TimerFired,
         send_attempt=actions.SendAttempt,
         start_timer=actions.StartTimer,
@@ -208,8 +216,10 @@
         request_class=_renaming(interface.RequestClass, OLD_CLASS_NAMES),
         engine_entry=interface.EngineEntry,
         engine_list_changed=interface.MembersChanged,
-        request_arrived=interface.RequestArrived,
+        request_arrived=_renaming(interface.RequestArrived, OLD_REQUEST_NAMES),
+        request_arrived_type=interface.RequestArrived,
         attempt_ended=interface.AttemptEnded,
+        attempt_ended_type=interface.AttemptEnded,
         timer_fired=interface.TimerFired,
         send_attempt=interface.Send,
         start_timer=interface.SetTimer,
@@ -219,37 +229,37 @@
 
 
 def _renaming(make: Callable[..., Any], old_names: dict[str, str]) -> Callable[..., Any]:
-    def build(**fields: Any) -> Any:
-        return make(**{old_names.get(name, name): value for name, value in fields.items()})
+    def build(*values: Any, **fields: Any) -> Any:
+        return make(*values, **{old_names.get(name, name): value for name, value in fields.items()})
 
     return build
 
 
 def main() -> None:
-    """Play, time, and print the figures."""
-    engine_count, lookups, seed = (int(argument) for argument in sys.argv[1:])
+    """Play, then time a slice for each line of input."""
+    engine_count, lookups, slices, seed = (int(argument) for argument in sys.argv[1:])
     module = load_decision_module()
     play = Play(module, engine_count, seed)
     digest = play.run(lookups)
     first = int(lookups * WARM_UP_SHARE)
-    boundary = play.arrival_indices[first]
+    size = (lookups - first) // slices
+    starts = [play.arrival_indices[first + number * size] for number in range(slices)]
+    ends = [*starts[1:], len(play.events)]
     gateway = new_gateway(module, seed)
-    for now, event in play.events[:boundary]:
+    for now, event in play.events[: starts[0]]:
         gateway.handle(now, event)
     gc.collect()
     gc.freeze()
-    begun_s = time.process_time()
-    for now, event in play.events[boundary:]:
-        gateway.handle(now, event)
-    cpu_s = time.process_time() - begun_s
-    figures = {
-        "cpu_us_per_lookup": cpu_s * 1e6 / (lookups - first),
-        "lookups": lookups - first,
-        "events": len(play.events) - boundary,
-        "sent": play.attempt_counts.total(),
-        "actions": digest,
-    }
-    print(json.dumps(figures))
+    print(json.dumps({"sent": play.attempt_counts.total(), "actions": digest}), flush=True)
+    for start, end in zip(starts, ends, strict=True):
+        if not sys.stdin.readline():
+            return
+        part = play.events[start:end]
+        begun_s = time.process_time()
+        for now, event in part:
+            gateway.handle(now, event)
+        cpu_s = time.process_time() - begun_s
+        print(json.dumps({"cpu_us_per_lookup": cpu_s * 1e6 / size}), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -2,11 +2,11 @@
 
     .venv/bin/python -m benchmarks.decisions [--before DIR] [--quick] [--seed N]
 
-With ``--before``, the checkout in DIR and this one play the same lookups in turns: each play is a process of
-its own, and the order changes from round to round, so that what else the machine does falls on both alike.
-The last line is one JSON object: for each number of engines the median over the rounds of microseconds a
-lookup for each variant, the ratio of the medians (present over before), and whether both decided alike. The
-ratio is to stay within RATIO_BOUND.
+With ``--before``, the checkout in DIR and this one play the same lookups, each in a process of its own, and
+take turns in slices of some tens of lookups; the order changes from slice to slice, so that what else the
+machine does falls on both alike. The last line is one JSON object: for each number of engines the medians
+over all slices of microseconds a lookup, the ratio of these medians (present over before), the median of the
+slices' own ratios, and whether both decided alike. The ratio is to stay within RATIO_BOUND.
 """
 
 from __future__ import annotations
@@ -17,46 +17,94 @@
 import statistics
 import subprocess
 import sys
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 ROOT = Path(__file__).parent.parent
 PLAY = Path(__file__).with_name("decision_play.py")
 RATIO_BOUND = 1.05  # of processor time, present over before
-ROUNDS = 7
-QUICK_ROUNDS = 3
-LOOKUPS = {8: 4_000, 50: 3_000, 200: 2_500}  # by number of engines; the first half fills the engines
-
-
-def play(checkout: Path, engine_count: int, lookups: int, seed: int) -> dict[str, Any]:
-    """Play once with a checkout's decision module; return the figures."""
-    environment = os.environ | {"PYTHONPATH": str(checkout)}
-    command = [sys.executable, str(PLAY), str(engine_count), str(lookups), str(seed)]
-    done = subprocess.run(command, cwd=checkout, env=environment, check=True, capture_output=True, text=True)
-    figures: dict[str, Any] = json.loads(done.stdout.splitlines()[-1])
-    return figures
-
-
-def measure(
-    checkouts: dict[str, Path], engine_count: int, rounds: int, lookups: int, seed: int
-) -> dict[str, Any]:
-    """Let the variants take turns at one number of engines; return their medians and the ratio."""
-    played: dict[str, list[dict[str, Any]]] = {variant: [] for variant in checkouts}
-    for number in range(rounds):
-        order = list(checkouts) if number % 2 == 0 else list(reversed(checkouts))
-        for variant in order:
-            played[variant].append(play(checkouts[variant], engine_count, lookups, seed + number))
-    medians = {
-        variant: statistics.median(figures["cpu_us_per_lookup"] for figures in all_figures)
-        for variant, all_figures in played.items()
-    }
-    result: dict[str, Any] = {f"{variant}_us": round(median, 2) for variant, median in medians.items()}
-    if "before" in medians:
-        result["ratio"] = round(medians["present"] / medians["before"], 4)
-        result["same_actions"] = all(
-            present["actions"] == before["actions"]
-            for present, before in zip(played["present"], played["before"], strict=True)
+LOOKUPS = {8: 6_000, 50: 3_000, 200: 2_500}  # by number of engines; the first half fills the engines
+SLICES = 30
+ROUNDS = 3  # each with a seed of its own
+QUICK_ROUNDS = 1
+
+
+class Variant:
+    """A checkout's decision module, in a process that has recorded its play and waits for its turns."""
+
+    def __init__(self, checkout: Path, engine_count: int, lookups: int, seed: int) -> None:
+        arguments = [str(number) for number in (engine_count, lookups, SLICES, seed)]
+        self.process = subprocess.Popen(
+            [sys.executable, str(PLAY), *arguments],
+            cwd=checkout,
+            env=os.environ | {"PYTHONPATH": str(checkout)},
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            text=True,
         )
+
+    def read(self) -> dict[str, Any]:
+        """Return the next object that the process prints."""
+        assert self.process.stdout is not None
+        line = self.process.stdout.readline()
+        if not line:
+            raise SystemExit(f"decisions: the play has ended with status {self.process.wait()}")
+        figures: dict[str, Any] = json.loads(line)
+        return figures
+
+    def time_slice(self) -> float:
+        """Let it take one turn; return its microseconds a lookup."""
+        assert self.process.stdin is not None
+        self.process.stdin.write("next\n")
+        self.process.stdin.flush()
+        return float(self.read()["cpu_us_per_lookup"])
+
+    def end(self) -> None:
+        """End the process."""
+        self.process.kill()
+        self.process.communicate()
+
+
+@dataclass(slots=True)
+class Round:
+    """The times of one play."""
+
+    times_us: dict[str, list[float]]  # by variant: a lookup's, for each slice
+    same_actions: bool
+
+
+def play_round(checkouts: dict[str, Path], engine_count: int, lookups: int, seed: int) -> Round:
+    """Let the variants take turns over one play; return their times by slice."""
+    variants = {name: Variant(path, engine_count, lookups, seed) for name, path in checkouts.items()}
+    try:
+        played = [variant.read() for variant in variants.values()]
+        result = Round({name: [] for name in variants}, all(each == played[0] for each in played))
+        for number in range(SLICES):
+            order = list(variants) if number % 2 == 0 else list(reversed(variants))
+            for name in order:
+                result.times_us[name].append(variants[name].time_slice())
+        return result
+    finally:
+        for variant in variants.values():
+            variant.end()
+
+
+def measure(checkouts: dict[str, Path], engine_count: int, rounds: int, seed: int) -> dict[str, Any]:
+    """Play the rounds at one number of engines; return the medians and the ratios."""
+    played = [
+        play_round(checkouts, engine_count, LOOKUPS[engine_count], seed + number) for number in range(rounds)
+    ]
+    times_us = {name: [time for each in played for time in each.times_us[name]] for name in checkouts}
+    medians = {name: statistics.median(times) for name, times in times_us.items()}
+    result: dict[str, Any] = {f"{name}_us": round(median, 2) for name, median in medians.items()}
+    if "before" in checkouts:
+        slice_ratios = [
+            present / before for before, present in zip(times_us["before"], times_us["present"], strict=True)
+        ]
+        result["ratio"] = round(medians["present"] / medians["before"], 4)
+        result["median_of_ratios"] = round(statistics.median(slice_ratios), 4)
+        result["same_actions"] = all(each.same_actions for each in played)
     return result
 
 
@@ -73,9 +121,15 @@
     if options.before is not None:
         checkouts = {"before": options.before.resolve(), **checkouts}
     rounds = QUICK_ROUNDS if options.quick else ROUNDS
-    figures: dict[str, Any] = {"rounds": rounds, "lookups": LOOKUPS, "bound": RATIO_BOUND, "engines": {}}
-    for engine_count, lookups in LOOKUPS.items():
-        result = measure(checkouts, engine_count, rounds, lookups, options.seed)
+    figures: dict[str, Any] = {
+        "rounds": rounds,
+        "slices": SLICES,
+        "lookups": LOOKUPS,
+        "bound": RATIO_BOUND,
+        "engines": {},
+    }
+    for engine_count in LOOKUPS:
+        result = measure(checkouts, engine_count, rounds, options.seed)
         figures["engines"][engine_count] = result
         print(f"{engine_count} engines: {result}", flush=True)
     results = figures["engines"].values()
--- a/benchmarks/followers.py
+++ b/benchmarks/followers.py
@@ -5,12 +5,12 @@
 import asyncio
 import sys
 
-from fordstair.console.link import pictures
+from fordstair.console.connection import follow_snapshots
 
 
 async def follows(path: str, counts: list[int], number: int) -> None:
     """Take picture after picture."""
-    async for picture in pictures(path):
+    async for picture in follow_snapshots(path):
         counts[number] = picture.number
 
 
