--- a/fordstair/cli/app.py
+++ b/fordstair/cli/app.py
@@ -12,7 +12,7 @@
 import typer
 
 from fordstair.configuration.errors import ConfigError, ConfigurationProblem, InvalidOperatorFileError
-from fordstair.console.link import LinkError, ask
+from fordstair.console.connection import ConsoleConnectionError, send_command
 
 DEFAULT_FILE = Path("deploy/appliance.toml")
 
@@ -165,12 +165,12 @@
 ) -> None:
     """Run an appliance with stand-in engines and light traffic, and open the console on it."""
     from fordstair.cli.demo import Demo
-    from fordstair.lab.appliance import NotStarted
+    from fordstair.lab.appliance import NotStartedError
 
     try:
         demo_run = Demo(engines, rate, seed, trouble)
         figures = demo_run.headless(seconds, progress=not as_json) if headless else demo_run.watched()
-    except NotStarted as error:
+    except NotStartedError as error:
         end(Exit.FAILED, f"demo: {error}")
     if headless and as_json:
         typer.echo(json.dumps(figures))
@@ -244,18 +244,20 @@
     path = console_socket(socket, file)
     try:
         if once:
-            from fordstair.console.once import show
+            from fordstair.console.print_once import print_once
 
-            return show(path)
+            return print_once(path)
         from fordstair.console.app import ConsoleApp
 
-        ask(path, "status")  # a program that cannot be reached is told in a line, not on a full screen
+        send_command(
+            path, "status"
+        )  # a program that cannot be reached is told in a line, not on a full screen
         if svg:
-            from fordstair.console.once import save_svg
+            from fordstair.console.print_once import save_svg
 
             return save_svg(path, svg)
         ConsoleApp(path).run()
-    except LinkError as error:
+    except ConsoleConnectionError as error:
         end(Exit.FAILED, f"fordstair: {error}")
 
 
@@ -323,8 +325,8 @@
 def print_table(table: str, socket: str, file: Path, as_json: bool) -> None:
     """Ask a running program for a table, and print it."""
     try:
-        answer = ask(console_socket(socket, file), table)
-    except LinkError as error:
+        answer = send_command(console_socket(socket, file), table)
+    except ConsoleConnectionError as error:
         end(Exit.FAILED, f"fordstair: {error}")
     if as_json:
         return typer.echo(json.dumps(answer))
@@ -341,12 +343,12 @@
     """Ask for an adjustment; ask the operator where it disturbs service."""
     path = console_socket(socket, file)
     try:
-        answer = ask(path, command, confirmed=yes, **fields)
+        answer = send_command(path, command, confirmed=yes, **fields)
         if answer.get("verdict") == "confirm" and not as_json and sys.stdin.isatty():
             if not typer.confirm(f"{command}: {answer['why']}. Do it?"):
                 end(Exit.UNCONFIRMED, "left as it was")
-            answer = ask(path, command, confirmed=True, **fields)
-    except LinkError as error:
+            answer = send_command(path, command, confirmed=True, **fields)
+    except ConsoleConnectionError as error:
         end(Exit.FAILED, f"fordstair: {error}")
     verdict = str(answer.get("verdict"))
     if as_json:
--- a/fordstair/cli/tables.py
+++ b/fordstair/cli/tables.py
@@ -13,14 +13,14 @@
 from fordstair.snapshots.snapshot import TABLES, Picture
 
 
-def shown(pane: Pane, lines: Rows) -> Table:
+def as_table(pane: Pane, rows: Rows) -> Table:
     """Return a pane's rows as a table."""
     table = Table(title=pane.title, title_justify="left", box=None, pad_edge=False)
     for name in pane.columns:
         table.add_column(
             name, justify="right" if name in pane.right else "left", no_wrap=name != pane.columns[-1]
         )
-    for _, cells in lines:
+    for _, cells in rows:
         table.add_row(*cells)
     return table
 
@@ -31,7 +31,7 @@
     views = {str(number): msgspec.convert(row, TABLES[name]) for number, row in enumerate(rows)}
     empty = Picture()
     picture = Picture(1, at_ms, empty.site, empty.tables.set(name, empty.table(name).update(views)))
-    Console().print(shown(pane, pane.rows(picture, time.time() * 1000.0, False)))
+    Console().print(as_table(pane, pane.rows(picture, time.time() * 1000.0, False)))
 
 
 def print_pairs(values: dict[str, Any]) -> None:
--- a/fordstair/console/app.py
+++ b/fordstair/console/app.py
@@ -13,7 +13,7 @@
 from textual.screen import ModalScreen
 from textual.widgets import ContentSwitcher, DataTable, Footer, Input, Label, Static
 
-from fordstair.console.link import LinkError, ask, clocks, pictures
+from fordstair.console.connection import ConsoleConnectionError, follow_snapshots, read_clocks, send_command
 from fordstair.console.panes import (
     ADJUSTMENTS,
     CLASSES,
@@ -30,9 +30,9 @@
 from fordstair.snapshots.publishing import Freshness
 from fordstair.snapshots.snapshot import Picture
 
-AGAIN_S = 0.5  # between two tries to reach the program
+RECONNECT_S = 0.5  # between attempts to reach the program
 REFRESH_S = 0.25  # ages grow, and a lost feed is noticed, without a frame
-LOWER = (REQUESTS, REFUSALS, ADJUSTMENTS, LOG, MEMBERS, SHARES)
+LOWER_PANES = (REQUESTS, REFUSALS, ADJUSTMENTS, LOG, MEMBERS, SHARES)
 
 HELP = """\
 What is shown
@@ -116,7 +116,8 @@
 
     def __init__(self, what: str, why: str) -> None:
         super().__init__()
-        self.what, self.why = what, why
+        self.what = what
+        self.why = why
 
     def compose(self) -> ComposeResult:
         """Show what is about to be done, and what it does."""
@@ -136,12 +137,15 @@
 
     def __init__(self, class_name: str, now: str) -> None:
         super().__init__()
-        self.class_name, self.now = class_name, now
+        self.class_name = class_name
+        self.limit_now = now
 
     def compose(self) -> ComposeResult:
         """Show the field."""
         with Vertical(id="question"):
-            yield Label(f"Threads that {self.class_name} may hold (now {self.now}); empty lifts the limit")
+            yield Label(
+                f"Threads that {self.class_name} may hold (now {self.limit_now}); empty lifts the limit"
+            )
             yield Input(type="integer", id="threads")
 
     def on_input_submitted(self, event: Input.Submitted) -> None:
@@ -179,15 +183,20 @@
         Binding("b", "bring_back", "back"),
         Binding("l", "limit", "limit"),
         Binding("d", "drain", "drain"),
-        *(Binding(str(n + 1), f"lower('{pane.name}')", pane.title.lower()) for n, pane in enumerate(LOWER)),
+        *(
+            Binding(str(number), f"lower('{pane.name}')", pane.title.lower())
+            for number, pane in enumerate(LOWER_PANES, 1)
+        ),
         Binding("q", "quit", "quit"),
     ]
     ENABLE_COMMAND_PALETTE = False
 
-    def __init__(self, path: str, clock: Callable[[], tuple[float, float]] = clocks) -> None:
+    def __init__(self, path: str, clock: Callable[[], tuple[float, float]] = read_clocks) -> None:
         super().__init__()
-        self.path, self.clock = path, clock
-        self.picture, self.freshness = Picture(), Freshness()
+        self.path = path
+        self.clock = clock
+        self.picture = Picture()
+        self.freshness = Freshness()
         self.shown = ""  # the headline as it stands
 
     def compose(self) -> ComposeResult:
@@ -198,7 +207,7 @@
             yield Table(CLASSES)
             yield Table(TEAMS)
         with ContentSwitcher(initial=REQUESTS.name, id="lower"):
-            for pane in LOWER:
+            for pane in LOWER_PANES:
                 yield Table(pane)
         yield Static("", id="message", markup=False)
         yield Footer()
@@ -215,14 +224,14 @@
         """Take picture after picture; reach for the program again when it is lost."""
         while True:
             try:
-                async for picture in pictures(self.path):
+                async for picture in follow_snapshots(self.path):
                     self.picture = picture
                     self.freshness.heard(self.clock()[0], picture.at_ms)
                     self.refresh_panes()
-            except LinkError as error:
+            except ConsoleConnectionError as error:
                 self.freshness.broken(str(error))
             self.refresh_panes()
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RECONNECT_S)
 
     def refresh_panes(self) -> None:
         """Show the picture as it stands now."""
@@ -234,7 +243,7 @@
         line.set_class(bool(stale), "stale")
         visible = self.query_one("#lower", ContentSwitcher).current
         for table in self.query(Table):
-            if table.pane not in LOWER or table.pane.name == visible:
+            if table.pane not in LOWER_PANES or table.pane.name == visible:
                 table.show(self.picture, wall, bool(stale))
 
     def action_lower(self, name: str) -> None:
@@ -280,12 +289,14 @@
         """Ask the program; ask the operator first where it disturbs service."""
         seen = self.picture.site.revision
         try:
-            answer = await asyncio.to_thread(ask, self.path, command, seen=seen, **fields)
+            answer = await asyncio.to_thread(send_command, self.path, command, seen=seen, **fields)
             if answer.get("verdict") == "confirm":
                 if not await self.push_screen_wait(Question(what, str(answer["why"]))):
                     return self.say(f"{what}: left as it was")
-                answer = await asyncio.to_thread(ask, self.path, command, seen=seen, confirmed=True, **fields)
-        except LinkError as error:
+                answer = await asyncio.to_thread(
+                    send_command, self.path, command, seen=seen, confirmed=True, **fields
+                )
+        except ConsoleConnectionError as error:
             return self.say(f"{what}: {error}")
         why = f": {answer['why']}" if answer.get("why") else ""
         self.say(f"{what}: {answer.get('verdict')}{why}")
--- a/fordstair/console/link.py
+++ b/fordstair/console/connection.py
@@ -1,4 +1,4 @@
-"""The console's end of the door: one command and its answer, or the feed, over the Unix socket."""
+"""The console's end of its Unix socket: one command and its answer, or the feed of snapshots."""
 
 from __future__ import annotations
 
@@ -12,93 +12,93 @@
 
 from fordstair.snapshots.snapshot import Frame, Gap, Picture, decode, follow
 
-ANSWER_S = 5.0
-FRAME_BYTES = 16 * 1024 * 1024
+ANSWER_TIMEOUT_S = 5.0
+MAX_FRAME_BYTES = 16 * 1024 * 1024
 FOLLOW = b'{"command":"follow"}\n'
-TAKEN = b"\n"  # answers each frame: the next one comes after it
+ACKNOWLEDGEMENT = b"\n"  # of a frame: the next one comes after it
 
 
-class LinkError(Exception):
+class ConsoleConnectionError(Exception):
     """The program cannot be reached, or has answered what cannot be read; one line."""
 
 
-class Link:
+class ConsoleConnection:
     """A connection for commands."""
 
     def __init__(self, path: str) -> None:
         self.path = path
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        self._sock.settimeout(ANSWER_S)
+        self._sock.settimeout(ANSWER_TIMEOUT_S)
         try:
             self._sock.connect(path)
         except (OSError, ValueError) as error:
             self._sock.close()
-            raise LinkError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
+            raise ConsoleConnectionError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
         self._file = self._sock.makefile("rb")
 
-    def ask(self, command: str, **fields: Any) -> dict[str, Any]:
-        """Ask one command; return the answer's object. An error that the program tells is a LinkError."""
+    def send_command(self, command: str, **fields: Any) -> dict[str, Any]:
+        """Send one command; return the answer. An error in the answer is a ConsoleConnectionError."""
         try:
             self._sock.sendall(ujson.dumps({"command": command, **fields}).encode() + b"\n")
-            line = self._file.readline(FRAME_BYTES)
+            line = self._file.readline(MAX_FRAME_BYTES)
         except OSError as error:
-            raise LinkError(f"{self.path}: {error.strerror or error}") from None
+            raise ConsoleConnectionError(f"{self.path}: {error.strerror or error}") from None
         if not line:
-            raise LinkError(f"{self.path}: the program has closed the connection")
+            raise ConsoleConnectionError(f"{self.path}: the program has closed the connection")
         try:
             answer = ujson.loads(line)
         except ValueError:
             answer = None
         if not isinstance(answer, dict):
-            raise LinkError(f"{self.path}: the answer cannot be read")
+            raise ConsoleConnectionError(f"{self.path}: the answer cannot be read")
         if "error" in answer:
-            raise LinkError(f"{self.path}: {answer['error']}")
+            raise ConsoleConnectionError(f"{self.path}: {answer['error']}")
         return answer
 
-    def first_picture(self) -> Picture:
-        """Return the full picture, and read no further."""
+    def first_snapshot(self) -> Picture:
+        """Return the first snapshot, which is a full one, and read no further."""
         try:
             self._sock.sendall(FOLLOW)
-            return follow(Picture(), _frame(self._file.readline(FRAME_BYTES)))
+            return follow(Picture(), _frame(self._file.readline(MAX_FRAME_BYTES)))
         except (OSError, Gap) as error:
-            raise LinkError(f"{self.path}: {error}") from None
+            raise ConsoleConnectionError(f"{self.path}: {error}") from None
 
     def close(self) -> None:
         """End the connection."""
         self._file.close()
         self._sock.close()
 
-    def __enter__(self) -> Link:
+    def __enter__(self) -> ConsoleConnection:
         return self
 
     def __exit__(self, *_: object) -> None:
         self.close()
 
 
-def ask(path: str, command: str, **fields: Any) -> dict[str, Any]:
-    """Ask one command on a connection of its own."""
-    with Link(path) as link:
-        return link.ask(command, **fields)
+def send_command(path: str, command: str, **fields: Any) -> dict[str, Any]:
+    """Send one command on a connection of its own; return the answer. Raise ConsoleConnectionError."""
+    with ConsoleConnection(path) as connection:
+        return connection.send_command(command, **fields)
 
 
-async def pictures(path: str) -> AsyncIterator[Picture]:
-    """Yield picture after picture; raise LinkError once the feed has ended."""
+async def follow_snapshots(path: str) -> AsyncIterator[Picture]:
+    """Yield snapshot after snapshot; raise ConsoleConnectionError once the feed has ended."""
     try:
-        reader, writer = await asyncio.open_unix_connection(path, limit=FRAME_BYTES)
+        reader, writer = await asyncio.open_unix_connection(path, limit=MAX_FRAME_BYTES)
     except (OSError, ValueError) as error:
-        raise LinkError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
+        raise ConsoleConnectionError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
     try:
         writer.write(FOLLOW)
         picture = Picture()
         while line := await reader.readline():
             picture = follow(picture, _frame(line))
-            writer.write(TAKEN)
+            writer.write(ACKNOWLEDGEMENT)
             yield picture
     except (OSError, ValueError, Gap) as error:
-        raise LinkError(f"{path}: {error}") from None
+        raise ConsoleConnectionError(f"{path}: {error}") from None
     finally:
         writer.close()
-    raise LinkError(f"{path}: the feed has ended")
+    raise ConsoleConnectionError(f"{path}: the feed has ended")
 
 
 def _frame(line: bytes) -> Frame:
@@ -107,6 +107,6 @@
     return decode(line)
 
 
-def clocks() -> tuple[float, float]:
+def read_clocks() -> tuple[float, float]:
     """Return monotonic and Unix time, in milliseconds."""
     return time.monotonic() * 1000.0, time.time() * 1000.0
--- a/fordstair/console/once.py
+++ b/fordstair/console/print_once.py
@@ -1,4 +1,4 @@
-"""One look, for scripts and for pictures in the documentation."""
+"""The console's panes printed once, for scripts, or saved as a picture, for the documentation."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 from rich.console import Console
 
-from fordstair.cli.tables import shown
+from fordstair.cli.tables import as_table
 from fordstair.console.app import ConsoleApp
-from fordstair.console.link import Link, clocks
+from fordstair.console.connection import ConsoleConnection, read_clocks
 from fordstair.console.panes import PANES, headline
 
 SETTLE_S = 2.0
 
 
-def show(path: str) -> None:
-    """Print every pane once; raise LinkError where there is nothing to look at."""
-    with Link(path) as link:
-        picture = link.first_picture()
-    _, wall = clocks()
+def print_once(path: str) -> None:
+    """Print every pane once; raise ConsoleConnectionError where the program cannot be reached."""
+    with ConsoleConnection(path) as connection:
+        picture = connection.first_snapshot()
+    _, wall = read_clocks()
     console = Console()
     console.print(headline(picture, wall, ""), markup=False, highlight=False)
     for pane in PANES:
         rows = pane.rows(picture, wall, False)
         if rows:
             console.print()
-            console.print(shown(pane, rows))
+            console.print(as_table(pane, rows))
 
 
 def save_svg(path: str, to: str, size: tuple[int, int] = (100, 30)) -> None:
--- a/fordstair/lab/appliance.py
+++ b/fordstair/lab/appliance.py
@@ -19,7 +19,7 @@
 START_S, END_S = 15.0, 10.0
 
 
-class NotStarted(Exception):
+class NotStartedError(Exception):
     """The appliance did not start, or did not stay; with its last word."""
 
 
@@ -77,7 +77,7 @@
         if process.poll() is not None:
             break
         await trio.sleep(0.02)
-    raise NotStarted(f"the appliance has not started: {last_line(log)}")
+    raise NotStartedError(f"the appliance has not started: {last_line(log)}")
 
 
 async def ask_door(path: Path, command: str) -> Any:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -20,7 +20,7 @@
 import ujson
 
 from fordstair.console.app import ConsoleApp, Question, Table
-from fordstair.console.link import LinkError, ask
+from fordstair.console.connection import ConsoleConnectionError, send_command
 from fordstair.lab.appliance import Appliance, appliance, end, operator_file
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
@@ -51,7 +51,7 @@
         self.process, self.ports = running.process, running.ports
 
     def told(self, table: str) -> dict[str, dict[str, Any]]:
-        rows = ask(self.door, table)[table]
+        rows = send_command(self.door, table)[table]
         return {row.get("id", row.get("name", row.get("target"))): row for row in rows}
 
     async def until(self, wanted: Callable[[], object], within_s: float = 10.0) -> None:
@@ -150,7 +150,7 @@
                     each.name: len(each.held()) for each in one.engines
                 }
                 held = {txn: each.name for each in one.engines for txn in each.held()}
-                told = ask(one.door, "requests")["requests"]
+                told = send_command(one.door, "requests")["requests"]
                 assert {row["txn"]: row["engine"] for row in told} == held
                 assert one.told("teams")["karri-energy"]["threads"] == 12
                 nursery.cancel_scope.cancel()
@@ -189,8 +189,10 @@
             await until(lambda: "engine:engine-0" in app.picture.table("adjustments"))
             # Another operator is first: this console acts on what it has seen, and is told so.
             stale_revision = app.picture.site.revision
-            ask(one.door, "bring-back", engine="engine-0")
-            answer = ask(one.door, "set-aside", engine="engine-0", seen=stale_revision, confirmed=True)
+            send_command(one.door, "bring-back", engine="engine-0")
+            answer = send_command(
+                one.door, "set-aside", engine="engine-0", seen=stale_revision, confirmed=True
+            )
             assert answer["verdict"] == "conflict"
             await pilot.press("question_mark")
             await pilot.pause()
@@ -236,14 +238,14 @@
             await stopped.send_all(b'{"command":"follow"}\n')
             for number in range(7):
                 nursery.start_soon(reads, number)
-            await one.until(lambda: ask(one.door, "status")["status"]["watchers"] == 8)
-            with pytest.raises(LinkError, match="8 consoles follow"):
-                ask(one.door, "follow")
-            await one.until(lambda: ask(one.door, "counters")["counters"].get("console.cut"), 30.0)
-            assert ask(one.door, "status")["status"]["watchers"] == 7
+            await one.until(lambda: send_command(one.door, "status")["status"]["watchers"] == 8)
+            with pytest.raises(ConsoleConnectionError, match="8 consoles follow"):
+                send_command(one.door, "follow")
+            await one.until(lambda: send_command(one.door, "counters")["counters"].get("console.cut"), 30.0)
+            assert send_command(one.door, "status")["status"]["watchers"] == 7
             # Each is told on its own, five times a second: the one that makes a picture keeps it from nobody.
             assert all(15 <= frames <= 28 for frames in told), told
-            held = ask(one.door, "classes")["classes"][0]
+            held = send_command(one.door, "classes")["classes"][0]
             assert pictures[0].table("classes")["lookup"].served <= held["served"]
             await one.until(lambda: traffic.tally.counts["asked"] and not traffic.lines, 30.0)
             assert traffic.tally.counts["served"] == traffic.tally.counts["asked"]
@@ -265,7 +267,7 @@
             done = await command("serve", file)  # in use: not taken
             assert done.returncode == 2
             assert b"another program listens there" in done.stderr
-            assert ask(one.door, "status")["status"]["name"] == "demo"
+            assert send_command(one.door, "status")["status"]["name"] == "demo"
         door.write_text("mine")
         done = await command("serve", str(tmp_path / "appliance.toml"))
         assert done.returncode == 2
@@ -303,7 +305,7 @@
                     while not (tmp_path / "console.sock").exists():
                         await trio.sleep(0.02)
                 for number in range(50):  # each is an event, and none leaves
-                    ask(str(tmp_path / "console.sock"), "set-aside", engine=f"none-{number}")
+                    send_command(str(tmp_path / "console.sock"), "set-aside", engine=f"none-{number}")
                 tally: Tally = await Traffic("127.0.0.1", port, [LOOKUPS], seed=2).run(1.5)
                 assert tally.counts["served"] == tally.counts["asked"] > 40
                 assert tally.at(99.0) < 1_500.0
