--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -244,7 +244,7 @@
     def _stop_message_timeout(self) -> None:
         self._message_began_ms = 0.0
         if self._message_timeout is not None:
-            self.deadlines.drop(self._message_timeout)
+            self.deadlines.cancel(self._message_timeout)
             self._message_timeout = None
 
     def _check_message_timeout(self) -> None:
