--- a/fordstair/lab/ledger_trial.py
+++ b/fordstair/lab/ledger_trial.py
@@ -30,7 +30,8 @@
 from fordstair.replication.ledger import Entry
 from fordstair.replication.records import CLAIM, of_entry
 from fordstair.runtime.clock import unix_now
-from fordstair.store.disk import Disk, Record, Spoilt
+from fordstair.store.record import CorruptedRecord, Record
+from fordstair.store.record_file import RecordFile
 
 FRONTS = 4  # of a member: MessagePack-RPC, OData, the fleet's and the ledger's
 ANSWER_S = 8.0
@@ -120,7 +121,7 @@
     def flip_bit(self, name: str, id: str) -> None:
         """Flip one bit in what an ended member's file holds of a load, and see that its checksum tells."""
         path = self.folder / f"{name}.ledger"
-        disk = Disk(str(path))
+        disk = RecordFile(str(path))
         disk.open()  # and with its close the log is in the table
         key, value = next(
             (record.key, record.value)
@@ -133,7 +134,7 @@
         # What was written over may stand in the file still, as free space: only the present value counts.
         path.write_bytes(held.replace(key + value, key + value[:-1] + bytes([value[-1] ^ 4])))
         disk.open()
-        assert any(isinstance(each, Spoilt) and each.key == key for each in disk.read(0.0))
+        assert any(isinstance(each, CorruptedRecord) and each.key == key for each in disk.read(0.0))
         disk.close()
 
     async def logged(self, name: str, text: str, within_s: float = 20.0) -> str:
@@ -146,7 +147,7 @@
 
     def preload(self, name: str, count: int) -> None:
         """Put settled loads into an ended member's store, as if it had heard of them."""
-        disk, now = Disk(str(self.folder / f"{name}.ledger")), int(unix_now().value)
+        disk, now = RecordFile(str(self.folder / f"{name}.ledger")), int(unix_now().value)
         disk.open()
         entries = {
             f"pindan-retail|before-{number}": Entry(f"before:1:{number}", now, b"x" * 200)
@@ -248,8 +249,8 @@
 
 
 def stored(path: str) -> dict[str, Entry]:
-    """Return the entries of a store that no program has open; raise StoreFailed where it is unreadable."""
-    disk = Disk(path)
+    """Return the entries of a store that no program has open; raise StoreError where it is unreadable."""
+    disk = RecordFile(path)
     disk.open()
     try:
         return {
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -229,7 +229,7 @@
                     self.anchor.unix(heard_ms).value, kept(self.coordinator.engines.values())
                 )
             ):
-                log.warning("engines.not_kept", why=ledger.writer.broken)
+                log.warning("engines.not_kept", why=ledger.writer.unavailable_reason)
             with self.deadlines.limit_for(KEEP_MS):
                 await self.listed.wait()
 
--- a/fordstair/replication/records.py
+++ b/fordstair/replication/records.py
@@ -11,7 +11,8 @@
 from fordstair.replication.ledger import UNKNOWN_TOKEN, Entry
 from fordstair.replication.registers import Register
 from fordstair.runtime.event_log import EventLog
-from fordstair.store.disk import Disk, Record, Spoilt
+from fordstair.store.record import CorruptedRecord, Record
+from fordstair.store.record_file import RecordFile
 
 log = EventLog(__name__)
 
@@ -51,13 +52,13 @@
     return Record(ENGINES, b"set", msgspec.msgpack.encode(roster), int(roster.heard_ms + OLDEST_MS))
 
 
-def read(disk: Disk, now_ms: float) -> Stored:
-    """Open the store and read it all; blocks. Raise StoreFailed or StoreDamaged where that cannot be done."""
+def read(disk: RecordFile, now_ms: float) -> Stored:
+    """Open the store and read it all; blocks. Raise StoreError where that cannot be done."""
     disk.open()
-    disk.drop_expired(now_ms)
-    told = Stored("the store is new" if disk.fresh else "")
+    disk.delete_expired(now_ms)
+    told = Stored("the store is new" if disk.newly_created else "")
     for record in disk.read(now_ms):
-        if isinstance(record, Spoilt):
+        if isinstance(record, CorruptedRecord):
             told.spoilt += 1
             log.error("store.spoilt", path=disk.path, kind=record.kind, key=record.key[:64])
             if record.kind in (VALUE, ENGINES):  # what converges comes again from the others
--- a/fordstair/replication/server.py
+++ b/fordstair/replication/server.py
@@ -12,8 +12,8 @@
 from fordstair.replication.link import no_delay
 from fordstair.replication.messages import Frame, Hello, Malformed, Reader, Told, encode
 from fordstair.runtime.event_log import EventLog
-from fordstair.store.disk import StoreFailed
-from fordstair.store.writer import Batch
+from fordstair.store.errors import StoreError
+from fordstair.store.writer import CommitBatch
 
 log = EventLog(__name__)
 
@@ -29,16 +29,16 @@
 
     ok: Told
     failed: Told | None = None
-    batch: Batch | None | StoreFailed = None
+    batch: CommitBatch | None | StoreError = None
 
     async def told(self, counts: Counter[str]) -> Told:
         """Wait for the disk; return the answer that may then be given."""
         try:
-            if isinstance(self.batch, StoreFailed):
+            if isinstance(self.batch, StoreError):
                 raise self.batch
             if self.batch is not None:
                 await self.batch.written()
-        except StoreFailed:
+        except StoreError:
             counts["writes_failed"] += 1
             assert self.failed is not None
             return self.failed
--- a/fordstair/replication/service.py
+++ b/fordstair/replication/service.py
@@ -55,8 +55,10 @@
 from fordstair.replication.server import Decided, Server
 from fordstair.runtime.clock import AnchoredClock
 from fordstair.runtime.event_log import EventLog
-from fordstair.store.disk import Disk, Record, StoreDamaged, StoreFailed
-from fordstair.store.writer import Batch, Writer
+from fordstair.store.errors import StoreCorruptedError, StoreError
+from fordstair.store.record import Record
+from fordstair.store.record_file import RecordFile
+from fordstair.store.writer import CommitBatch, GroupCommitWriter
 
 log = EventLog(__name__)
 
@@ -119,9 +121,9 @@
         self.holder.doubted = "the store is not read yet"
         self.values = Registers(told.member, VALUES_KEPT_MS, VALUES_MOST)
         self.on_values: Callable[[], None] = lambda: None  # called when values of others were taken in
-        self.disk = Disk(told.path)
-        self.writer = Writer(self.disk)
-        self.writer.broken = self.holder.doubted
+        self.disk = RecordFile(told.path)
+        self.writer = GroupCommitWriter(self.disk)
+        self.writer.unavailable_reason = self.holder.doubted
         self.engines = EngineSet(told.member)
         self.on_engines: Callable[[], None] = lambda: None  # called when engines were taken in
         self.loaded = trio.Event()
@@ -272,21 +274,26 @@
         kept = [of_entry(key, entry)] if entry is not None else []
         return Decided(ok, failed, self._add(kept))
 
-    def _add(self, records: Sequence[Record]) -> Batch | None | StoreFailed:
+    def _add(self, records: Sequence[Record]) -> CommitBatch | None | StoreError:
         """Hand records to the writer; None where there is nothing to wait for."""
         try:
             return self.writer.add(records) if records else None
-        except StoreFailed as error:
+        except StoreError as error:
             return error
 
     async def _put(self, records: Sequence[Record]) -> bool:
         try:
             await self.writer.put(records)
-        except StoreFailed:
+        except StoreError:
             self.counts["writes_failed"] += 1
             return False
         return True
 
+    @property
+    def unavailable_reason(self) -> str:
+        """Why this member grants no claim at the moment; empty: it does."""
+        return self.holder.doubted or self.writer.unavailable_reason
+
     @property
     def sent_bytes(self) -> int:
         """What was sent to other members so far, as questions."""
@@ -303,10 +310,10 @@
             try:
                 self.take_in(await trio.to_thread.run_sync(read, self.disk, self._now_ms()))
                 return
-            except StoreDamaged as error:
-                log.error("store.damaged", why=error, kept_as=self.disk.put_aside())
-            except StoreFailed as error:
-                self.holder.doubted = self.writer.broken = str(error)
+            except StoreCorruptedError as error:
+                log.error("store.damaged", why=error, kept_as=self.disk.quarantine())
+            except StoreError as error:
+                self.holder.doubted = self.writer.unavailable_reason = str(error)
                 log.error("store.cannot_open", why=error)
                 await trio.sleep(AGAIN_S)
 
@@ -318,9 +325,9 @@
         if told.roster is not None:
             self.engines.merge(self._now_ms(), told.roster)
         self.counts["spoilt"] += told.spoilt
-        if self.disk.fresh:
+        if self.disk.newly_created:
             self._new_until = math.inf
-        self.holder.doubted, self.writer.broken = told.doubted, ""
+        self.holder.doubted, self.writer.unavailable_reason = told.doubted, ""
         log.info(
             "ledger.loaded", path=self.told.path, entries=len(told.entries), doubted=told.doubted or "no"
         )
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -225,7 +225,7 @@
                 health=swim.awareness.score,
                 entries=len(shared.holder.entries) if shared is not None else 0,
                 store_bytes=shared.disk.size_bytes if shared is not None else 0,
-                doubted=shared.holder.doubted or shared.writer.broken if shared is not None else "",
+                doubted=shared.unavailable_reason if shared is not None else "",
             )
         }
         for each in swim.members.values():
--- a/fordstair/store/__init__.py
+++ b/fordstair/store/__init__.py
@@ -1,1 +1,1 @@
-"""Records that outlive the process: one file, a checksum on each record, and commits that are shared."""
+"""Durable records: one SQLite file, a checksum on each record, and group commit."""
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -39,7 +39,9 @@
 from fordstair.replication.registers import Register, Registers, newer
 from fordstair.replication.service import Ledger, Service, running
 from fordstair.runtime.clock import UnixMs
-from fordstair.store.disk import Disk, Record, Spoilt, StoreFailed
+from fordstair.store.errors import StoreError
+from fordstair.store.record import CorruptedRecord, Record
+from fordstair.store.record_file import RecordFile
 from tests.helpers import Rig
 from tests.helpers import settings as settings_of
 from tests.standins import ROOT
@@ -206,8 +208,8 @@
 # The store
 
 
-def opened(path: Path) -> Disk:
-    disk = Disk(str(path))
+def opened(path: Path) -> RecordFile:
+    disk = RecordFile(str(path))
     disk.open()
     return disk
 
@@ -216,7 +218,10 @@
     """A process says each number once it is on disk, and is killed; bytes are then cut off its log."""
     path = tmp_path / "store"
     code = (
-        "import sys; from fordstair.store.disk import *; d = Disk(sys.argv[1]); d.open()\n"
+        "import sys\n"
+        "from fordstair.store.record import Record\n"
+        "from fordstair.store.record_file import RecordFile\n"
+        "d = RecordFile(sys.argv[1]); d.open()\n"
         "for n in range(100000):\n"
         " d.write([Record('claim', b'%d' % n, b'v' * 50)]); print(n, flush=True)"
     )
@@ -234,7 +239,7 @@
             os.truncate(log, log.stat().st_size - cut)
         disk = opened(path)
         kept = {int(record.key) for record in disk.read(0.0) if isinstance(record, Record)}
-        assert not disk.fresh
+        assert not disk.newly_created
         assert kept >= set(range(last + 1 if not cut else last - 1))
         assert kept == set(range(len(kept)))  # what was kept is a beginning, never a hole
         disk.close()
@@ -249,7 +254,7 @@
     data[data.index(b"value-17")] ^= 0x04
     path.write_bytes(data)
     disk = opened(path)
-    found = [record for record in disk.read(0.0) if isinstance(record, Spoilt)]
+    found = [record for record in disk.read(0.0) if isinstance(record, CorruptedRecord)]
     assert [spoilt.key for spoilt in found] == [b"k17"]
     disk.close()
     service = Service(Ledger("c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(path)), 1)
@@ -266,7 +271,7 @@
     ignored = signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
     try:
         resource.setrlimit(resource.RLIMIT_FSIZE, (disk.size_bytes + 50_000, before[1]))
-        with pytest.raises(StoreFailed):
+        with pytest.raises(StoreError):
             for number in range(200):
                 disk.write([Record("claim", b"n%d" % number, b"v" * 4_000)])
     finally:
@@ -279,13 +284,13 @@
     assert all(record.value for record in kept)
     disk.close()
     (tmp_path / "noise").write_bytes(b"no database " * 500)
-    with pytest.raises(StoreFailed):
+    with pytest.raises(StoreError):
         opened(tmp_path / "noise")
-    with pytest.raises(StoreFailed):
+    with pytest.raises(StoreError):
         opened(tmp_path / "missing" / "store")
     with sqlite3.connect(tmp_path / "newer") as newer:
         newer.execute("PRAGMA user_version=99")
-    with pytest.raises(StoreFailed, match="version 99"):
+    with pytest.raises(StoreError, match="version 99"):
         opened(tmp_path / "newer")
 
 
@@ -293,7 +298,7 @@
     disk = opened(tmp_path / "store")
     disk.write([Record("claim", b"old", b"v", 100), Record("claim", b"new", b"v", 10_000)])
     assert [record.key for record in disk.read(5_000.0)] == [b"new"]
-    assert disk.drop_expired(5_000.0) == 1
+    assert disk.delete_expired(5_000.0) == 1
     assert len(list(disk.read(0.0))) == 1
     disk.close()
 
@@ -315,7 +320,7 @@
             assert (await service.begin("t|a"))[::2] == (Verdict.ANSWER, b"done")
 
             def fails(records: object) -> None:
-                raise StoreFailed("no space left on device")
+                raise StoreError("no space left on device")
 
             service.disk.write = fails  # type: ignore[method-assign]
             assert (await service.begin("t|b"))[0] is Verdict.REFUSE
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -23,7 +23,7 @@
 from fordstair.replication.ledger import Entry
 from fordstair.replication.records import of_entry, read
 from fordstair.runtime.clock import AnchoredClock, MonotonicMs, UnixMs, WallClock
-from fordstair.store.disk import Disk
+from fordstair.store.record_file import RecordFile
 from tests.standins import Answered, Program, RestEngine, at_once, config, connect, engine, inside, program
 
 HOUR_MS = 3_600_000.0
@@ -206,12 +206,12 @@
 
 
 def test_a_claim_is_kept_over_a_restart_whatever_the_wall_clock_says(tmp_path: Path) -> None:
-    disk, granted_ms = Disk(str(tmp_path / "ledger")), 1_700_000_000_000
+    disk, granted_ms = RecordFile(str(tmp_path / "ledger")), 1_700_000_000_000
     disk.open()
     disk.write([of_entry("key", Entry("a:1:1", granted_ms))])
     disk.close()
     later_ms = granted_ms + 10 * HOUR_MS  # a step, or a long time down: nobody can tell
-    assert read(Disk(disk.path), later_ms).entries == [("key", Entry("a:1:1", int(later_ms)))]
+    assert read(RecordFile(disk.path), later_ms).entries == [("key", Entry("a:1:1", int(later_ms)))]
 
 
 # --- the guard ------------------------------------------------------------------------------------
