--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -23,8 +23,10 @@
 from benchmarks.command import run as run_command
 from fordstair.lab.history import check
 from fordstair.lab.ledger_trial import kills, partitions, trial
-from fordstair.replication.ledger import Verdict
-from fordstair.replication.service import SETTLE_S, Ledger, Service, running
+from fordstair.replication.claim_coordinator import SETTLE_TIMEOUT_S
+from fordstair.replication.claim_quorum import ClaimVerdict
+from fordstair.replication.service import ReplicationService, running_service
+from fordstair.replication.settings import ReplicationSettings
 
 FLEETS = 3  # of the trials that run side by side
 CLAIMANTS = 32  # tasks that claim at a time
@@ -64,7 +66,7 @@
 
 
 @asynccontextmanager
-async def fleet(count: int) -> AsyncIterator[list[Service]]:
+async def fleet(count: int) -> AsyncIterator[list[ReplicationService]]:
     """Run that many members of a new fleet in this process, each with a store of its own."""
     listeners = [await trio.open_tcp_listeners(0, host="127.0.0.1") for _ in range(count)]
     ports = [each[0].socket.getsockname()[1] for each in listeners]
@@ -75,23 +77,23 @@
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="rep")))
         ran = [
             await stack.enter_async_context(
-                running(
-                    Ledger(
+                running_service(
+                    ReplicationSettings(
                         "bench",
                         name,
                         holders,
                         ("127.0.0.1", ports[n]),
                         str(folder / name),
-                        exchange_ms=300.0,
-                        bytes_per_s=20e6,
-                        entries_most=300_000,
+                        exchange_interval_ms=300.0,
+                        max_pull_bytes_per_s=20e6,
+                        max_entries=300_000,
                     ),
                     n,
                 )
             )
             for n, name in enumerate(holders)
         ]
-        while any(each.holder.doubted for each in ran):
+        while any(each.state.claims.incomplete_reason for each in ran):
             await trio.sleep(0.05)
         yield ran
 
@@ -107,20 +109,20 @@
             while trio.current_time() < until:
                 n += 1
                 member, began = members[(number + n) % count], time.perf_counter()
-                verdict, begun, _ = await member.begin(f"t|{number}-{n}")
+                verdict, begun, _ = await member.claims.begin(f"t|{number}-{n}")
                 took.append(time.perf_counter() - began)
-                assert verdict is Verdict.RUN
+                assert verdict is ClaimVerdict.GRANTED
                 assert begun is not None
-                await member.settle(begun, b"x" * 200)
+                await member.claims.settle(begun, b"x" * 200)
 
         async with trio.open_nursery() as nursery:
             for number in range(claimants):
                 nursery.start_soon(claimant, number)
-        written = sum(each.disk.written_bytes for each in members)
-        commits = sum(each.disk.commits for each in members)
+        written = sum(each.state.file.written_bytes for each in members)
+        commits = sum(each.state.file.commits for each in members)
         changes = 2 * len(took) * min(3, count)
-        files = sum(each.disk.size_bytes for each in members)
-        links = sum(each.sent_bytes for each in members)
+        files = sum(each.state.file.size_bytes for each in members)
+        links = sum(each.peers.sent_bytes for each in members)
     return {
         "claims_per_s": round(len(took) / seconds),
         "p50_ms": round(1e3 * statistics.median(took), 2),
@@ -149,7 +151,7 @@
             one.relay.part({"m2"}, {"m0", "m1"})
             for _ in range(loads):
                 await one.load("m0", one.new_id())
-            await trio.sleep(SETTLE_S + 0.5)  # until nobody tells it any more of its own accord
+            await trio.sleep(SETTLE_TIMEOUT_S + 0.5)  # until nobody tells it any more of its own accord
             one.relay.heal()
             converged = await one.alike(60.0)
             for name in one.names:
--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from fordstair.budgets.whole import Part
     from fordstair.membership.swim import Fleet
-    from fordstair.replication.service import Ledger
+    from fordstair.replication.settings import ReplicationSettings
 
 LARGEST_FILE = 1024 * 1024
 OPERATOR_LISTEN = "127.0.0.1:0"
@@ -173,12 +173,12 @@
     )
 
 
-def _ledger(file: File) -> Ledger | None:
+def _ledger(file: File) -> ReplicationSettings | None:
     if file.fleet is None or (told := file.fleet.ledger) is None:
         return None
-    from fordstair.replication.service import Ledger
+    from fordstair.replication.settings import ReplicationSettings
 
-    return Ledger(
+    return ReplicationSettings(
         file.fleet.cluster,
         member_of(file),
         dict(told.holders),
--- a/fordstair/lab/ledger_trial.py
+++ b/fordstair/lab/ledger_trial.py
@@ -27,8 +27,8 @@
 from fordstair.lab.history import How, Operation
 from fordstair.lab.machine import Machine
 from fordstair.lab.relay import Faults, Relay
-from fordstair.replication.ledger import Entry
-from fordstair.replication.records import CLAIM, of_entry
+from fordstair.replication.claim_entry import ClaimEntry
+from fordstair.replication.stored_records import CLAIM_KIND, claim_record
 from fordstair.runtime.clock import unix_now
 from fordstair.store.record import CorruptedRecord, Record
 from fordstair.store.record_file import RecordFile
@@ -150,10 +150,10 @@
         disk, now = RecordFile(str(self.folder / f"{name}.ledger")), int(unix_now().value)
         disk.open()
         entries = {
-            f"pindan-retail|before-{number}": Entry(f"before:1:{number}", now, b"x" * 200)
+            f"pindan-retail|before-{number}": ClaimEntry(f"before:1:{number}", now, b"x" * 200)
             for number in range(count)
         }
-        disk.write(of_entry(key, entry) for key, entry in entries.items())
+        disk.write(claim_record(key, entry) for key, entry in entries.items())
         disk.close()
 
     def written_bytes(self) -> int:
@@ -248,15 +248,15 @@
         return copies
 
 
-def stored(path: str) -> dict[str, Entry]:
+def stored(path: str) -> dict[str, ClaimEntry]:
     """Return the entries of a store that no program has open; raise StoreError where it is unreadable."""
     disk = RecordFile(path)
     disk.open()
     try:
         return {
-            record.key.decode(): msgspec.msgpack.decode(record.value, type=Entry)
+            record.key.decode(): msgspec.msgpack.decode(record.value, type=ClaimEntry)
             for record in disk.read(0.0)
-            if isinstance(record, Record) and record.kind == CLAIM and record.value is not None
+            if isinstance(record, Record) and record.kind == CLAIM_KIND and record.value is not None
         }
     finally:
         disk.close()
--- a/fordstair/net/clients/odata_front.py
+++ b/fordstair/net/clients/odata_front.py
@@ -32,7 +32,7 @@
     read_resource,
     understand,
 )
-from fordstair.net.clients.repeatable_requests import OwnRepeats, Repeats
+from fordstair.net.clients.repeatable_requests import IdempotencyStore, LocalIdempotencyStore
 from fordstair.runtime.event_log import EventLog
 
 log = EventLog(__name__)
@@ -143,7 +143,7 @@
     ) -> None:
         self.coordinator, self.operator = coordinator, operator
         self.results = Results(operator.results_most, operator.result_ms, coordinator)
-        self.repeats: Repeats = OwnRepeats(coordinator)
+        self.repeats: IdempotencyStore = LocalIdempotencyStore(coordinator)
         self.team_of = team_of
         self.connections = self.busy = 0
 
--- a/fordstair/net/clients/odata_model.py
+++ b/fordstair/net/clients/odata_model.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from fordstair.budgets.whole import Part
     from fordstair.membership.swim import Fleet
-    from fordstair.replication.service import Ledger
+    from fordstair.replication.settings import ReplicationSettings
 
 _KEY = re.compile(r"(?P<set>\w+)\((?:(?P<name>\w+)=)?'(?P<key>(?:[^']|'')*)'\)\Z")
 _OPTIONS = {"$select", "$filter", "$orderby", "$top", "$skip", "$count", "$skiptoken", "$format"}
@@ -79,7 +79,7 @@
     watchers: int = 8  # consoles that may follow at a time
     fleet: Fleet | None = None  # membership among coordinators; no address: the one that is bound
     fleet_listen: tuple[str, int] = ("127.0.0.1", 0)
-    ledger: Ledger | None = None  # of loads that run at most once among all coordinators
+    ledger: ReplicationSettings | None = None  # of loads that run at most once among all coordinators
     shares: Part | None = None  # of budgets that the whole fleet has together
     eject_silent_zones: bool = False
 
--- a/fordstair/net/clients/repeatable_requests.py
+++ b/fordstair/net/clients/repeatable_requests.py
@@ -1,4 +1,4 @@
-"""Loads that carry a Repeatability-Request-ID: each runs at most once, whatever is sent again, and where."""
+"""Loads that carry a Repeatability-Request-ID: each runs at most once, wherever it is sent again."""
 
 from __future__ import annotations
 
@@ -12,73 +12,71 @@
 from fordstair.net.clients.odata_model import ODataError, Response
 
 if TYPE_CHECKING:  # loaded only where the operator's file sets it up
-    from fordstair.replication.service import Begun, Service
+    from fordstair.replication.claim_coordinator import ClaimCoordinator, ClaimHandle
 
-REPEATS_MOST, REPEAT_MS = 4_096, 600_000.0
-LARGEST_NAME = 256
-_responses: msgspec.msgpack.Decoder[Response] = msgspec.msgpack.Decoder(Response)
+MAX_REMEMBERED_LOADS = 4_096
+RETENTION_MS = 600_000.0
+MAX_ID_BYTES = 256
 _REJECTED = {"Repeatability-Result": "rejected"}
+_response_decoder: msgspec.msgpack.Decoder[Response] = msgspec.msgpack.Decoder(Response)
 
 
-class Repeats(Protocol):
-    """What the front asks before and after a load."""
+class IdempotencyStore(Protocol):
+    """What is asked before and after a load; a ticket stands for a load that may run."""
 
-    async def begin(self, team: str, name: str) -> Response | Any:
-        """Return the answer of the first run, or a ticket to run under; raise ODataError where neither is."""
+    async def begin(self, team: str, request_id: str) -> Response | Any:
+        """Return the response of the first run, or a ticket to run under; raise ODataError for neither."""
 
     def end(self, ticket: Any, response: Response | None) -> None:
-        """Note the answer of a load that ran; None where it certainly never ran."""
+        """Store the response of a load that ran; None where it certainly never ran."""
 
 
-def _unknown() -> ODataError:
-    return ODataError(412, "Repeated", "this load was sent before and its end is not known", _REJECTED)
-
-
-class OwnRepeats:
+class LocalIdempotencyStore:
     """What this program alone remembers, until it ends."""
 
     def __init__(self, coordinator: Coordinator) -> None:
         self.coordinator = coordinator
-        self._known: OrderedDict[tuple[str, str], Response | None] = OrderedDict()
-
-    async def begin(self, team: str, name: str) -> Response | tuple[str, str]:
-        """Note a load; return its answer if it is a repeat, and refuse one whose first run is not over."""
-        if (team, name) in self._known:
-            if (known := self._known[team, name]) is not None:
-                return known
-            raise _unknown()
-        if len(self._known) >= REPEATS_MOST:
+        self._loads: OrderedDict[tuple[str, str], Response | None] = OrderedDict()
+
+    async def begin(self, team: str, request_id: str) -> Response | tuple[str, str]:
+        """Remember a load; return a repeated one's response, and reject it before its first run ended."""
+        ticket = (team, request_id)
+        if ticket in self._loads:
+            response = self._loads[ticket]
+            if response is None:
+                raise _outcome_unknown()
+            return response
+        if len(self._loads) >= MAX_REMEMBERED_LOADS:
             raise ODataError(503, "TooManyRepeats", "no room to remember another load", {"Retry-After": "60"})
-        self._known[team, name] = None
-        deadlines = self.coordinator.deadlines
-        deadlines.after(REPEAT_MS, partial(self._known.pop, (team, name), None))
-        return team, name
+        self._loads[ticket] = None
+        self.coordinator.deadlines.after(RETENTION_MS, partial(self._loads.pop, ticket, None))
+        return ticket
 
     def end(self, ticket: tuple[str, str], response: Response | None) -> None:
-        """Note how it ended."""
+        """Store the response, or forget a load that never ran."""
         if response is None:
-            self._known.pop(ticket, None)
-        elif ticket in self._known:
-            self._known[ticket] = response
-
-
-class SharedRepeats:
-    """What the fleet's ledger remembers: a load runs once a majority of its holders has granted it."""
-
-    def __init__(self, ledger: Service) -> None:
-        self.ledger = ledger
-
-    async def begin(self, team: str, name: str) -> Response | Begun:
-        """Claim a load."""
-        if len(name.encode()) > LARGEST_NAME:
-            raise ODataError(400, "BadRequest", f"a repeatability id has at most {LARGEST_NAME} bytes")
-        verdict, begun, outcome = await self.ledger.begin(f"{team}|{name}")
-        if begun is not None:
-            return begun
-        if outcome is not None:
-            return read_response(outcome)
-        if verdict.name == "UNKNOWN":
-            raise _unknown()
+            self._loads.pop(ticket, None)
+        elif ticket in self._loads:
+            self._loads[ticket] = response
+
+
+class ReplicatedIdempotencyStore:
+    """What the fleet's replicas remember: a load runs once a quorum of them has granted its claim."""
+
+    def __init__(self, claims: ClaimCoordinator) -> None:
+        self.claims = claims
+
+    async def begin(self, team: str, request_id: str) -> Response | ClaimHandle:
+        """Claim a load by its team and id."""
+        if len(request_id.encode()) > MAX_ID_BYTES:
+            raise ODataError(400, "BadRequest", f"a repeatability id has at most {MAX_ID_BYTES} bytes")
+        result = await self.claims.begin(f"{team}|{request_id}")
+        if result.claim is not None:
+            return result.claim
+        if result.outcome is not None:
+            return decode_response(result.outcome)
+        if result.verdict.name == "UNKNOWN":
+            raise _outcome_unknown()
         raise ODataError(
             503,
             "NoMajority",
@@ -86,16 +84,20 @@
             {"Retry-After": "1"},
         )
 
-    def end(self, ticket: Begun, response: Response | None) -> None:
-        """Tell the holders in the background: the client's answer need not wait for them."""
+    def end(self, ticket: ClaimHandle, response: Response | None) -> None:
+        """Settle or release in the background: the client's response need not wait for the replicas."""
         if response is None:
-            self.ledger.release_later(ticket)
+            self.claims.release_in_background(ticket)
         else:
-            self.ledger.settle_later(ticket, msgspec.msgpack.encode(response))
+            self.claims.settle_in_background(ticket, msgspec.msgpack.encode(response))
 
 
-def read_response(outcome: bytes) -> Response:
-    """Return the answer that was kept; raise ODataError where it was too large to keep."""
+def decode_response(outcome: bytes) -> Response:
+    """Return a stored response; raise ODataError where it was too large to be stored."""
     if not outcome:
         raise ODataError(412, "Repeated", "this load has run; its answer is not kept", _REJECTED)
-    return _responses.decode(outcome)
+    return _response_decoder.decode(outcome)
+
+
+def _outcome_unknown() -> ODataError:
+    return ODataError(412, "Repeated", "this load was sent before and its end is not known", _REJECTED)
--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -43,7 +43,7 @@
 if TYPE_CHECKING:
     from fordstair.budgets.transport import FleetBudgets
     from fordstair.membership.transport import Membership
-    from fordstair.replication.service import Service
+    from fordstair.replication.service import ReplicationService
 
 log = EventLog(__name__)
 
@@ -86,7 +86,7 @@
         wall_clock: WallClock,
         watchers_most: int = 8,
         membership: Membership | None = None,
-        shared: Service | None = None,
+        shared: ReplicationService | None = None,
         budgets: FleetBudgets | None = None,
     ) -> None:
         self.coordinator, self.deadlines, self.drain = coordinator, coordinator.deadlines, drain
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -36,7 +36,7 @@
     from fordstair.net.clients.odata_model import Operator
     from fordstair.net.console_server import ConsoleServer
     from fordstair.net.identity import Identity
-    from fordstair.replication.service import Service
+    from fordstair.replication.service import ReplicationService
 
 log = EventLog("fordstair")
 
@@ -67,7 +67,7 @@
         self.odata: ODataFront | None = None
         self.console_server: ConsoleServer | None = None
         self.membership: Membership | None = None
-        self.ledger: Service | None = None
+        self.ledger: ReplicationService | None = None
         self.budgets: FleetBudgets | None = None
         self.admission_queue: AdmissionQueue | None = None
         if operator is not None and operator.identity:
@@ -118,12 +118,12 @@
             team_of = self.identity.team_of if self.identity else lambda _: None
             self.odata = ODataFront(self.coordinator, operator, team_of)
         if operator is not None and operator.ledger is not None and self.odata is not None:
-            from fordstair.net.clients.repeatable_requests import SharedRepeats
-            from fordstair.replication.service import Service
+            from fordstair.net.clients.repeatable_requests import ReplicatedIdempotencyStore
+            from fordstair.replication.service import ReplicationService
 
             named = replace(operator.ledger, member=operator.ledger.member or config.name)
-            ledger = self.ledger = Service(named, config.seed)
-            self.odata.repeats = SharedRepeats(ledger)
+            ledger = self.ledger = ReplicationService(named, config.seed)
+            self.odata.repeats = ReplicatedIdempotencyStore(ledger.claims)
             self.counters.include("ledger", lambda: ledger.counts)
         if operator is not None and operator.fleet is not None:
             from fordstair.membership.transport import Membership
@@ -195,20 +195,20 @@
         self.coordinator.members(kind, engines)
         self.listed.set()
 
-    async def keep_engines(self, ledger: Service) -> None:
+    async def keep_engines(self, ledger: ReplicationService) -> None:
         """Keep the engines that the register lists on disk and with the other members.
 
         Until it is heard, and where nobody else tells of any engine, go on with those that were kept, and
         with what other members hear.
         """
-        from fordstair.replication.engines import Restored, kept
+        from fordstair.replication.engine_restoration import EngineRestorer, replicated_engines
 
-        restored = Restored(self.config.settings.slow_start_ms)
+        restored = EngineRestorer(self.config.settings.slow_start_ms)
 
         def take_over() -> None:
             if told or self.command_channel.heard_ms > 0.0:
                 return
-            engines = restored.engines(self.anchor.now().value, ledger.engines)
+            engines = restored.engines(self.anchor.now().value, ledger.state.engines)
             here = {(each.entry, each.address) for each in self.coordinator.engines.values()}
             if engines and {(each.entry, each.address) for each in engines} != here:
                 log.warning("engines.restored", engines=len(engines))
@@ -217,7 +217,7 @@
         await ledger.loaded.wait()
         heard_ms = self.deadlines.clock()
         told = bool(self.coordinator.engines)
-        ledger.on_engines = take_over
+        ledger.engines.on_received = take_over
         take_over()
         while True:
             self.listed = trio.Event()
@@ -225,36 +225,32 @@
             if (
                 heard_ms > 0.0
                 and self.coordinator.engines
-                and not await ledger.follow_engines(
-                    self.anchor.unix(heard_ms).value, kept(self.coordinator.engines.values())
+                and not await ledger.engines.update_from_registry(
+                    self.anchor.unix(heard_ms).value, replicated_engines(self.coordinator.engines.values())
                 )
             ):
-                log.warning("engines.not_kept", why=ledger.writer.unavailable_reason)
+                log.warning("engines.not_kept", why=ledger.state.writer.unavailable_reason)
             with self.deadlines.limit_for(KEEP_MS):
                 await self.listed.wait()
 
-    async def share_costs(self, ledger: Service) -> None:
+    async def share_costs(self, ledger: ReplicationService) -> None:
         """Take over what others, or an earlier life, have learned of costs, and tell what is learned here."""
-        from fordstair.replication.costs import is_news, learned, restore
+        from fordstair.replication.learned_costs import differs_enough, learned_values, restore_values
 
         gateway = self.coordinator.gateway
 
         def take_over() -> None:
-            if taken := restore(gateway, {key: each.value for key, each in ledger.values.values.items()}):
+            if taken := restore_values(gateway, ledger.registers.values()):
                 log.info("costs.taken_over", values=taken)
 
         await ledger.loaded.wait()
-        ledger.on_values = take_over
+        ledger.registers.on_received = take_over
         take_over()
         while True:
             await self.deadlines.sleep(SHARE_MS)
-            values, known = list(learned(gateway)), ledger.values.values
-            await ledger.set_values(
-                [
-                    (key, value)
-                    for key, value in values
-                    if is_news(known[key].value if key in known else None, value)
-                ]
+            values, known = list(learned_values(gateway)), ledger.registers.values()
+            await ledger.registers.set_values(
+                [(key, value) for key, value in values if differs_enough(known.get(key), value)]
             )
 
     async def run(self) -> None:
--- a/fordstair/replication/__init__.py
+++ b/fordstair/replication/__init__.py
@@ -1,1 +1,1 @@
-"""State copied among coordinators: the ledger of loads that run at most once, and its exchange."""
+"""Replicated state: claims on loads that run at most once, learned costs and known engines."""
--- /dev/null
+++ b/fordstair/replication/claim_recovery.py
@@ -0,0 +1,58 @@
+"""Recovery of claims after a loss: nothing is granted until every other member has been heard."""
+
+from __future__ import annotations
+
+import random
+
+import trio
+
+from fordstair.replication.claim_sync import ClaimSync, PullProgress
+from fordstair.replication.key_ranges import RANGE_COUNT
+from fordstair.replication.peer_connection import PeerUnreachableError
+from fordstair.replication.peers import Peers
+from fordstair.replication.replica_state import ReplicaState
+from fordstair.runtime.event_log import EventLog
+
+log = EventLog(__name__)
+
+FIRST_START_S = 60.0  # for which a member of a new fleet tells the others that its store is new as well
+MIN_RETRY_INTERVAL_S = 0.3
+MAX_RETRY_INTERVAL_S = 0.7
+
+
+class ClaimRecovery:
+    """Restores a member's claims from the others, where its store is new or was found incomplete."""
+
+    def __init__(self, state: ReplicaState, peers: Peers, sync: ClaimSync, rng: random.Random) -> None:
+        self._state = state
+        self._peers = peers
+        self._sync = sync
+        self._random = rng
+
+    async def run(self) -> None:
+        """Return once this member may grant: all were heard, or each lost grant has expired by now."""
+        claims = self._state.claims
+        expired_at_s = trio.current_time() + self._state.settings.retention_ms / 1000.0
+        while claims.incomplete_reason:
+            if await self._pull_from_all() or trio.current_time() >= expired_at_s:
+                log.info("ledger.recovered", entries=len(claims.entries), was=claims.incomplete_reason)
+                claims.incomplete_reason = ""
+                break
+            await trio.sleep(self._random.uniform(MIN_RETRY_INTERVAL_S, MAX_RETRY_INTERVAL_S))
+
+    async def _pull_from_all(self) -> bool:
+        """Take in all entries of every other member, unsettled ones too; False where some may be missing.
+
+        A grant that was lost here may have been counted in a quorum with any of the others: each must be
+        heard, and none may be incomplete itself, unless all stores are new, which is a fleet's first start.
+        """
+        progress = PullProgress(all_new_stores=self._state.is_new_store)
+        try:
+            for member in self._peers.names:
+                await self._sync.pull(member, range(RANGE_COUNT), progress, include_unsettled=True)
+        except PeerUnreachableError:
+            return False
+        if progress.incomplete and not progress.all_new_stores:
+            return False
+        self._state.treat_store_as_new_for(FIRST_START_S if progress.all_new_stores else 0.0)
+        return True
--- /dev/null
+++ b/fordstair/replication/claim_replica.py
@@ -0,0 +1,129 @@
+"""What one member stores and answers as a replica of claims; pure: no clock, no disk, no wire."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from fordstair.replication.claim_entry import ClaimEntry, entry_size_bytes, merge_entries
+from fordstair.replication.claim_quorum import Vote, VoteStatus
+from fordstair.replication.key_ranges import RANGE_COUNT, Page, RangeIndex, entry_digest, range_of
+from fordstair.replication.replica_placement import replicas_of
+
+
+class ClaimReplica:
+    """One member's entries. What a call returns as changed must be on disk before the call is answered.
+
+    ``digests`` holds for each other member the digest of each range, over the settled entries that both are
+    replicas of: equal entries have equal digests, in whatever order they came. The times of grants are left
+    out, since each replica has its own. ``incomplete_reason`` says why entries may be missing here, so that
+    nothing may be granted; empty: none is missing.
+    """
+
+    def __init__(
+        self,
+        member: str,
+        members: Iterable[str],
+        replication_factor: int,
+        retention_ms: float,
+        max_entries: int,
+    ) -> None:
+        self.member = member
+        self.members = tuple(members)
+        self.replication_factor = replication_factor
+        self.retention_ms = retention_ms
+        self.max_entries = max_entries
+        self.entries: dict[str, ClaimEntry] = {}  # oldest first, but for copies: kept up to twice as long
+        self.ranges: RangeIndex[ClaimEntry] = RangeIndex()
+        self.digests = {name: [0] * RANGE_COUNT for name in self.members if name != member}
+        self.forgotten_keys: list[str] = []  # expired, and still on disk
+        self.incomplete_reason = ""
+
+    def replicas_of(self, key: str) -> tuple[str, ...]:
+        """Return the members that are replicas of a key."""
+        return replicas_of(key, self.members, self.replication_factor)
+
+    def claim(self, now_ms: float, key: str, token: str) -> tuple[Vote, ClaimEntry | None]:
+        """Vote on a claim; with GRANTED comes the entry to write.
+
+        A key is granted to the first claim on it, unless entries may be missing here or there are
+        ``max_entries`` of them. A repeated claim gets the same grant, and waits for the same write.
+        """
+        self.expire(now_ms)
+        if (entry := self.entries.get(key)) is not None:
+            if entry.token == token and entry.outcome is None:
+                return Vote(VoteStatus.GRANTED), entry
+            return Vote(VoteStatus.TAKEN, entry.token, entry.outcome), None
+        if self.incomplete_reason or len(self.entries) >= self.max_entries:
+            return Vote(VoteStatus.UNAVAILABLE), None
+        entry = ClaimEntry(token, int(now_ms))
+        self._put(key, entry)
+        return Vote(VoteStatus.GRANTED), entry
+
+    def release(self, key: str, token: str) -> bool:
+        """Remove a grant for its own claimant, which has run nothing; True where it was there."""
+        entry = self.entries.get(key)
+        if entry is None or entry.token != token or entry.outcome is not None:
+            return False
+        self._remove(key)
+        return True
+
+    def settle(self, now_ms: float, key: str, token: str, outcome: bytes) -> ClaimEntry | None:
+        """Store a claim's outcome, which proves its quorum; return the entry to write, if any."""
+        before = self.entries.get(key)
+        granted_ms = before.granted_ms if before is not None else int(now_ms)
+        return self.merge(key, ClaimEntry(token, granted_ms, outcome))
+
+    def merge(self, key: str, entry: ClaimEntry) -> ClaimEntry | None:
+        """Merge another replica's copy; return the entry to write where it has changed."""
+        before = self.entries.get(key)
+        merged = merge_entries(before, entry)
+        if merged is None or merged == before:
+            return None
+        self._put(key, merged)
+        return merged
+
+    def load(self, entries: Iterable[tuple[str, ClaimEntry]]) -> None:
+        """Merge what the store held with what was received while it was read."""
+        for key, entry in sorted(entries, key=lambda item: item[1].granted_ms):
+            self.merge(key, entry)
+
+    def expire(self, now_ms: float) -> None:
+        """Forget entries that were granted ``retention_ms`` ago or earlier."""
+        while self.entries:
+            key, entry = next(iter(self.entries.items()))
+            if now_ms - entry.granted_ms < self.retention_ms:
+                return
+            self._remove(key)
+            self.forgotten_keys.append(key)
+
+    def page(
+        self, range_number: int, after_key: str, max_bytes: int, *, include_unsettled: bool
+    ) -> Page[ClaimEntry]:
+        """Return a range's entries after a key, until their sizes exceed ``max_bytes``."""
+
+        def size_of(key: str, entry: ClaimEntry) -> int | None:
+            included = include_unsettled or entry.outcome is not None
+            return entry_size_bytes(key, entry) if included else None
+
+        return self.ranges.page(range_number, after_key, max_bytes, size_of)
+
+    def _put(self, key: str, entry: ClaimEntry) -> None:
+        self._toggle_digests(key)
+        self.entries[key] = entry
+        self.ranges.put(key, entry)
+        self._toggle_digests(key)
+
+    def _remove(self, key: str) -> None:
+        self._toggle_digests(key)
+        del self.entries[key]
+        self.ranges.remove(key)
+
+    def _toggle_digests(self, key: str) -> None:
+        """Add a settled entry to the digests, or remove it: with exclusive-or the same step."""
+        entry = self.entries.get(key)
+        if entry is None or entry.outcome is None:
+            return
+        digest = entry_digest(key.encode(), entry.token.encode(), entry.outcome)
+        for name in self.replicas_of(key):
+            if name != self.member:
+                self.digests[name][range_of(key)] ^= digest
--- /dev/null
+++ b/fordstair/replication/engine_set_sync.py
@@ -0,0 +1,45 @@
+"""Anti-entropy of the known engines: the registry's list goes in here, others' sets are merged."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+
+from fordstair.replication.engine_set import EngineSetState, ReplicatedEngine
+from fordstair.replication.messages import EngineSetRequest, EngineSetResponse
+from fordstair.replication.peers import Peers
+from fordstair.replication.replica_state import ReplicaState
+from fordstair.replication.stored_records import engine_set_record
+
+
+class EngineSetSync:
+    """Updates the set of known engines; ``on_received`` is called when others' engines were taken in."""
+
+    def __init__(self, state: ReplicaState, peers: Peers) -> None:
+        self._state = state
+        self._peers = peers
+        self.on_received: Callable[[], None] = lambda: None
+
+    async def update_from_registry(
+        self, registry_heard_ms: float, listed: Iterable[ReplicatedEngine]
+    ) -> bool:
+        """Follow what the registry lists, heard at a Unix time; False where the set is not on disk."""
+        self._state.engines.update_from_registry(self._state.now_ms(), registry_heard_ms, listed)
+        return await self._store()
+
+    async def exchange(self, member: str) -> None:
+        """Merge a member's set; raise PeerUnreachableError."""
+        engines = self._state.engines
+        response = await self._peers.request(
+            member, lambda request_id: EngineSetRequest(request_id, engines.digest), EngineSetResponse
+        )
+        received = response.state or EngineSetState([], {}, response.registry_heard_ms)
+        heard_before_ms = engines.registry_heard_ms
+        if engines.merge(self._state.now_ms(), received):
+            self._state.counts["engines_taken"] += 1
+        elif engines.registry_heard_ms == heard_before_ms:
+            return
+        await self._store()
+        self.on_received()
+
+    async def _store(self) -> bool:
+        return await self._state.put_records([engine_set_record(self._state.engines.state)])
--- a/fordstair/replication/messages.py
+++ b/fordstair/replication/messages.py
@@ -1,4 +1,8 @@
-"""What members ask each other of the ledger: MessagePack frames over TCP, every field checked; pure."""
+"""Frames between replicas: MessagePack arrays over TCP, every field checked; pure.
+
+Each frame is preceded by its length in four bytes, big endian. Tags, the order of fields and their types are
+those on the wire; names are not sent.
+"""
 
 from __future__ import annotations
 
@@ -8,25 +12,27 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from fordstair.replication.clock import Milliseconds
-from fordstair.replication.engines import Roster
-from fordstair.replication.ledger import OUTCOME_MOST, Entry
-from fordstair.replication.ranges import RANGES
-from fordstair.replication.registers import Register
+from fordstair.replication.claim_entry import MAX_OUTCOME_BYTES, ClaimEntry
+from fordstair.replication.engine_set import EngineSetState
+from fordstair.replication.hybrid_clock import UnixMilliseconds
+from fordstair.replication.key_ranges import DIGEST_BITS, RANGE_COUNT
+from fordstair.replication.register_map import Register
 
-LARGEST_FRAME = 256 * 1024
-PAGE_BYTES = 64 * 1024
+MAX_FRAME_BYTES = 256 * 1024
+PAGE_BYTES = 64 * 1024  # after which a page of entries ends
+MAX_PAGE_ITEMS = 8_192
 _LENGTH = struct.Struct(">I")
 
-Number: TypeAlias = Annotated[int, Meta(ge=0, le=2**32 - 1)]
+RequestId: TypeAlias = Annotated[int, Meta(ge=0, le=2**32 - 1)]
 Text: TypeAlias = Annotated[str, Meta(min_length=1, max_length=512)]
-Outcome: TypeAlias = Annotated[bytes, Meta(max_length=OUTCOME_MOST)]
-Digest: TypeAlias = Annotated[int, Meta(ge=0, lt=2**56)]
-Range: TypeAlias = Annotated[int, Meta(ge=0, lt=RANGES)]
+AfterKey: TypeAlias = Annotated[str, Meta(max_length=512)]
+Outcome: TypeAlias = Annotated[bytes, Meta(max_length=MAX_OUTCOME_BYTES)]
+Digest: TypeAlias = Annotated[int, Meta(ge=0, lt=2**DIGEST_BITS)]
+RangeNumber: TypeAlias = Annotated[int, Meta(ge=0, lt=RANGE_COUNT)]
 
 
 class _Frame(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    number: Number  # of the question; its answer has the same
+    request_id: RequestId  # of a request on its connection; the response has the same
 
 
 class Hello(_Frame, frozen=True, tag=0):
@@ -36,141 +42,163 @@
     member: Text
 
 
-class AskClaim(_Frame, frozen=True, tag=1):
+class ClaimRequest(_Frame, frozen=True, tag=1):
     """Grant a key to a claim."""
 
     key: Text
     token: Text
 
 
-class AskRelease(_Frame, frozen=True, tag=2):
-    """Take a grant back; the claim has run nothing."""
+class ReleaseRequest(_Frame, frozen=True, tag=2):
+    """Remove a grant; the claim has run nothing."""
 
     key: Text
     token: Text
 
 
-class AskSettle(_Frame, frozen=True, tag=3):
-    """Note how a claim ended."""
+class SettleRequest(_Frame, frozen=True, tag=3):
+    """Store the outcome of a claim."""
 
     key: Text
     token: Text
     outcome: Outcome
 
 
-class AskDigests(_Frame, frozen=True, tag=4):
-    """The digests of what is settled, by range, of the keys that both members hold."""
+class ClaimDigestsRequest(_Frame, frozen=True, tag=4):
+    """The digests by range of the settled entries of which both members are replicas."""
 
 
-class AskRange(_Frame, frozen=True, tag=5):
-    """A page of a range's entries after a key; with ``grants`` also what is not settled."""
+class ClaimPageRequest(_Frame, frozen=True, tag=5):
+    """A page of a range's entries after a key; with ``include_unsettled`` also grants without an outcome."""
 
-    which: Range
-    after: Annotated[str, Meta(max_length=512)]
-    grants: bool
+    range_number: RangeNumber
+    after_key: AfterKey
+    include_unsettled: bool
 
 
-class AskValueDigests(_Frame, frozen=True, tag=6):
-    """The digests of the values that converge, by range."""
+class RegisterDigestsRequest(_Frame, frozen=True, tag=6):
+    """The digests by range of the registers."""
 
 
-class AskValues(_Frame, frozen=True, tag=7):
-    """A page of a range's values after a key."""
+class RegisterPageRequest(_Frame, frozen=True, tag=7):
+    """A page of a range's registers after a key."""
 
-    which: Range
-    after: Annotated[str, Meta(max_length=512)]
+    range_number: RangeNumber
+    after_key: AfterKey
 
 
-class AskEngines(_Frame, frozen=True, tag=8):
-    """The known engines, unless the asking member's have this digest."""
+class EngineSetRequest(_Frame, frozen=True, tag=8):
+    """The known engines, unless the requesting member's set has this digest."""
 
     digest: Digest
 
 
-class Said(_Frame, frozen=True, tag=16):
-    """A holder's word on a claim."""
+class VoteResponse(_Frame, frozen=True, tag=16):
+    """A replica's vote on a claim; ``status`` is the value of a VoteStatus."""
 
-    word: Annotated[int, Meta(ge=0, le=2)]
+    status: Annotated[int, Meta(ge=0, le=2)]
     token: Annotated[str, Meta(max_length=512)]
     outcome: Outcome | None
 
 
-class Done(_Frame, frozen=True, tag=17):
-    """A release or a settlement is on disk, or could not be written."""
+class WrittenResponse(_Frame, frozen=True, tag=17):
+    """A release or an outcome is on disk, or could not be written."""
 
-    ok: bool
+    written: bool
 
 
-class Digests(_Frame, frozen=True, tag=18):
+class DigestsResponse(_Frame, frozen=True, tag=18):
     """One digest for each range."""
 
-    told: Annotated[list[Digest], Meta(min_length=RANGES, max_length=RANGES)]
+    digests: Annotated[list[Digest], Meta(min_length=RANGE_COUNT, max_length=RANGE_COUNT)]
+
 
+class ClaimPageResponse(_Frame, frozen=True, tag=19):
+    """Entries by key, in order; ``more`` where others follow.
 
-class Page(_Frame, frozen=True, tag=19):
-    """Entries by key, in order; ``more`` where others follow."""
+    ``incomplete``: entries may be missing at the responding member. ``new_store``: its store was made by its
+    start, which is the fleet's first as far as it knows.
+    """
 
-    entries: Annotated[list[tuple[Text, Entry]], Meta(max_length=8_192)]
+    entries: Annotated[list[tuple[Text, ClaimEntry]], Meta(max_length=MAX_PAGE_ITEMS)]
     more: bool
-    doubted: bool  # the answering member's own memory is in doubt: what it does not know may have been
-    new: bool  # its store was made by its start, on a fleet's first day as far as it knows
+    incomplete: bool
+    new_store: bool
 
 
-class Values(_Frame, frozen=True, tag=20):
-    """Values by key, in order; ``more`` where others follow."""
+class RegisterPageResponse(_Frame, frozen=True, tag=20):
+    """Registers by key, in order; ``more`` where others follow."""
 
-    values: Annotated[list[tuple[Text, Register]], Meta(max_length=8_192)]
+    registers: Annotated[list[tuple[Text, Register]], Meta(max_length=MAX_PAGE_ITEMS)]
     more: bool
 
 
-class Engines(_Frame, frozen=True, tag=21):
-    """The engines that a member knows, where they differ; and when it last heard of a register's word."""
+class EngineSetResponse(_Frame, frozen=True, tag=21):
+    """The engines that a member knows, None where the sets are equal; when it last heard of a registry."""
 
-    roster: Roster | None
-    heard_ms: Milliseconds
+    state: EngineSetState | None
+    registry_heard_ms: UnixMilliseconds
 
 
-Ask: TypeAlias = (
-    AskClaim | AskRelease | AskSettle | AskDigests | AskRange | AskValueDigests | AskValues | AskEngines
+Request: TypeAlias = (
+    ClaimRequest
+    | ReleaseRequest
+    | SettleRequest
+    | ClaimDigestsRequest
+    | ClaimPageRequest
+    | RegisterDigestsRequest
+    | RegisterPageRequest
+    | EngineSetRequest
+)
+Response: TypeAlias = (
+    VoteResponse
+    | WrittenResponse
+    | DigestsResponse
+    | ClaimPageResponse
+    | RegisterPageResponse
+    | EngineSetResponse
 )
-Told: TypeAlias = Said | Done | Digests | Page | Values | Engines
-Frame: TypeAlias = Hello | Ask | Told
+Frame: TypeAlias = Hello | Request | Response
 
 
-class Malformed(Exception):
-    """Bytes that are no frame of this protocol."""
+class MalformedFrameError(Exception):
+    """Bytes that are no frame of this protocol, or a frame that may not come here."""
 
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Frame] = msgspec.msgpack.Decoder(Frame)
 
 
-def encode(frame: Frame) -> bytes:
-    """Return the bytes, with their length before them."""
+def encode_frame(frame: Frame) -> bytes:
+    """Return the bytes of a frame, with their length before them."""
     body = _encoder.encode(frame)
     return _LENGTH.pack(len(body)) + body
 
 
-class Reader:
-    """Takes bytes as they come, and returns the frames in them."""
+class FrameDecoder:
+    """Takes bytes as they are received, and returns the frames in them."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
-    def take(self, chunk: bytes) -> list[Frame]:
-        """Return what has come whole; raise Malformed for what cannot be a frame."""
+    def feed(self, chunk: bytes) -> list[Frame]:
+        """Return the frames completed by a chunk; raise MalformedFrameError for what cannot be a frame."""
         self._buffer += chunk
         frames = list[Frame]()
         while len(self._buffer) >= _LENGTH.size:
-            length = _LENGTH.unpack_from(self._buffer)[0]
-            if length > LARGEST_FRAME:
-                raise Malformed(f"{length} bytes")
+            length: int = _LENGTH.unpack_from(self._buffer)[0]
+            if length > MAX_FRAME_BYTES:
+                raise MalformedFrameError(f"{length} bytes")
             end = _LENGTH.size + length
             if len(self._buffer) < end:
                 break
-            try:
-                frames.append(_decoder.decode(memoryview(self._buffer)[_LENGTH.size : end]))
-            except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-                raise Malformed(str(error)) from None
+            frames.append(_decode(memoryview(self._buffer)[_LENGTH.size : end]))
             del self._buffer[:end]
         return frames
+
+
+def _decode(body: memoryview) -> Frame:
+    try:
+        return _decoder.decode(body)
+    except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
+        raise MalformedFrameError(str(error)) from None
--- /dev/null
+++ b/fordstair/replication/replica_state.py
@@ -0,0 +1,127 @@
+"""One member's replicated state and the store that holds it."""
+
+from __future__ import annotations
+
+import math
+from collections import Counter
+from collections.abc import Sequence
+
+import trio
+
+from fordstair.replication.claim_replica import ClaimReplica
+from fordstair.replication.engine_set import EngineSet
+from fordstair.replication.register_map import RegisterMap
+from fordstair.replication.settings import ReplicationSettings
+from fordstair.replication.stored_records import LoadedState, load_state
+from fordstair.runtime.clock import AnchoredClock
+from fordstair.runtime.event_log import EventLog
+from fordstair.store.errors import StoreCorruptedError, StoreError
+from fordstair.store.record import Record
+from fordstair.store.record_file import RecordFile
+from fordstair.store.writer import CommitBatch, GroupCommitWriter
+
+log = EventLog(__name__)
+
+REGISTER_RETENTION_MS = 7 * 86_400_000.0  # since a register was set
+MAX_REGISTERS = 5_000  # a decision module learns some hundred values
+REOPEN_INTERVAL_S = 1.0  # from a store that cannot be opened to the next attempt
+NOT_LOADED = "the store is not read yet"
+
+
+class ReplicaState:
+    """Claims, registers and engines in memory, with the file that they are written to.
+
+    Its clock follows real time: a step of the wall clock lets nothing expire, and retains nothing longer.
+    """
+
+    def __init__(self, settings: ReplicationSettings, counts: Counter[str]) -> None:
+        self.settings = settings
+        self.counts = counts
+        self.claims = ClaimReplica(
+            settings.member,
+            settings.members,
+            settings.replication_factor,
+            settings.retention_ms,
+            settings.max_entries,
+        )
+        self.claims.incomplete_reason = NOT_LOADED
+        self.registers = RegisterMap(settings.member, REGISTER_RETENTION_MS, MAX_REGISTERS)
+        self.engines = EngineSet(settings.member)
+        self.file = RecordFile(settings.store_path)
+        self.writer = GroupCommitWriter(self.file)
+        self.writer.unavailable_reason = NOT_LOADED
+        self._clock = AnchoredClock()
+        self._new_store_until_s = -math.inf
+
+    def now_ms(self) -> float:
+        """Return the Unix time in milliseconds."""
+        return self._clock.now().value
+
+    @property
+    def unavailable_reason(self) -> str:
+        """Why this member grants no claim at the moment; empty: it does."""
+        return self.claims.incomplete_reason or self.writer.unavailable_reason
+
+    @property
+    def is_new_store(self) -> bool:
+        """Whether the store was made by this start, and no member was there that could have known more."""
+        return self._new_store_until_s > trio.current_time()
+
+    def treat_store_as_new_for(self, span_s: float) -> None:
+        """Let ``is_new_store`` hold from now on for so many seconds; none: no longer."""
+        self._new_store_until_s = trio.current_time() + span_s if span_s > 0.0 else -math.inf
+
+    # Writing
+
+    def add_records(self, records: Sequence[Record]) -> CommitBatch | None | StoreError:
+        """Queue records; return the commit to wait for, None where nothing is to be written, or the error."""
+        try:
+            return self.writer.add(records) if records else None
+        except StoreError as error:
+            return error
+
+    async def put_records(self, records: Sequence[Record]) -> bool:
+        """Write records; False where they are not surely on disk."""
+        try:
+            await self.writer.put(records)
+        except StoreError:
+            self.counts["writes_failed"] += 1
+            return False
+        return True
+
+    # Loading
+
+    async def load(self) -> None:
+        """Read the store, and retry until that can be done: the rest of the program goes on without it."""
+        while True:
+            try:
+                loaded = await trio.to_thread.run_sync(load_state, self.file, self.now_ms())
+            except StoreCorruptedError as error:
+                log.error("store.damaged", why=error, kept_as=self.file.quarantine())
+            except StoreError as error:
+                self.claims.incomplete_reason = str(error)
+                self.writer.unavailable_reason = str(error)
+                log.error("store.cannot_open", why=error)
+                await trio.sleep(REOPEN_INTERVAL_S)
+            else:
+                self.merge_loaded(loaded)
+                return
+
+    def merge_loaded(self, loaded: LoadedState) -> None:
+        """Merge what the store held with what was received while it was read."""
+        self.claims.load(loaded.entries)
+        for key, register in loaded.registers:
+            self.registers.merge(self.now_ms(), key, register)
+        if loaded.engine_set is not None:
+            self.engines.merge(self.now_ms(), loaded.engine_set)
+        self.counts["records_corrupted"] += loaded.corrupted_records
+        if self.file.newly_created:
+            self._new_store_until_s = math.inf
+        self.claims.incomplete_reason = loaded.incomplete_reason
+        self.writer.unavailable_reason = ""
+        log.info(
+            "ledger.loaded",
+            path=self.settings.store_path,
+            entries=len(loaded.entries),
+            doubted=loaded.incomplete_reason or "no",
+        )
--- /dev/null
+++ b/fordstair/replication/request_handler.py
@@ -0,0 +1,155 @@
+"""What a member answers to each request, and what must be on disk before it may."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass
+
+from fordstair.replication.claim_entry import ClaimEntry
+from fordstair.replication.claim_quorum import VoteStatus
+from fordstair.replication.messages import (
+    PAGE_BYTES,
+    ClaimDigestsRequest,
+    ClaimPageRequest,
+    ClaimPageResponse,
+    ClaimRequest,
+    DigestsResponse,
+    EngineSetRequest,
+    EngineSetResponse,
+    Frame,
+    MalformedFrameError,
+    RegisterDigestsRequest,
+    RegisterPageRequest,
+    RegisterPageResponse,
+    ReleaseRequest,
+    Response,
+    SettleRequest,
+    VoteResponse,
+    WrittenResponse,
+)
+from fordstair.replication.replica_state import ReplicaState
+from fordstair.replication.stored_records import CLAIM_KIND, claim_record, deletion
+from fordstair.store.errors import StoreError
+from fordstair.store.writer import CommitBatch
+
+
+@dataclass(frozen=True, slots=True)
+class PendingResponse:
+    """A response, the one to give where the write fails, and the commit that must be on disk before.
+
+    ``commit`` is None where nothing has to be written, and an error where it could not be queued.
+    """
+
+    response: Response
+    on_write_failure: Response | None = None
+    commit: CommitBatch | None | StoreError = None
+
+    async def when_written(self, counts: Counter[str]) -> Response:
+        """Wait for the commit; return the response that may then be given."""
+        try:
+            if isinstance(self.commit, StoreError):
+                raise self.commit
+            if self.commit is not None:
+                await self.commit.written()
+        except StoreError:
+            counts["writes_failed"] += 1
+            assert self.on_write_failure is not None
+            return self.on_write_failure
+        return self.response
+
+
+class RequestHandler:
+    """Does in memory what members request.
+
+    It is called in the order in which requests come, and queues their records at once: a release may not
+    overtake its claim, in memory or on disk.
+    """
+
+    def __init__(self, state: ReplicaState) -> None:
+        self._state = state
+
+    def handle(self, member: str, frame: Frame) -> PendingResponse:
+        """Handle a member's request; raise MalformedFrameError for a frame that is none."""
+        match frame:
+            case ClaimRequest():
+                return self._claim(frame)
+            case ReleaseRequest():
+                return self._release(frame)
+            case SettleRequest():
+                return self._settle(frame)
+            case ClaimDigestsRequest():
+                return self._claim_digests(member, frame)
+            case ClaimPageRequest():
+                return self._claim_page(frame)
+            case RegisterDigestsRequest():
+                return self._register_digests(frame)
+            case RegisterPageRequest():
+                return self._register_page(frame)
+            case EngineSetRequest():
+                return self._engine_set(frame)
+        raise MalformedFrameError("no request")
+
+    def _claim(self, request: ClaimRequest) -> PendingResponse:
+        vote, entry = self._state.claims.claim(self._state.now_ms(), request.key, request.token)
+        granted = VoteResponse(request.request_id, vote.status.value, vote.token, vote.outcome)
+        # Where the write fails nobody knows what is on disk: the key stays granted, without a vote for it.
+        failed = VoteResponse(request.request_id, VoteStatus.UNAVAILABLE.value, "", None)
+        return self._when_entry_written(granted, failed, request.key, entry)
+
+    def _release(self, request: ReleaseRequest) -> PendingResponse:
+        released = self._state.claims.release(request.key, request.token)
+        records = [deletion(CLAIM_KIND, request.key)] if released else []
+        return PendingResponse(
+            WrittenResponse(request.request_id, True),
+            WrittenResponse(request.request_id, False),
+            self._state.add_records(records),
+        )
+
+    def _settle(self, request: SettleRequest) -> PendingResponse:
+        entry = self._state.claims.settle(self._state.now_ms(), request.key, request.token, request.outcome)
+        return self._when_entry_written(
+            WrittenResponse(request.request_id, True),
+            WrittenResponse(request.request_id, False),
+            request.key,
+            entry,
+        )
+
+    def _claim_digests(self, member: str, request: ClaimDigestsRequest) -> PendingResponse:
+        self._state.claims.expire(self._state.now_ms())
+        return PendingResponse(DigestsResponse(request.request_id, list(self._state.claims.digests[member])))
+
+    def _claim_page(self, request: ClaimPageRequest) -> PendingResponse:
+        page = self._state.claims.page(
+            request.range_number,
+            request.after_key,
+            PAGE_BYTES,
+            include_unsettled=request.include_unsettled,
+        )
+        return PendingResponse(
+            ClaimPageResponse(
+                request.request_id,
+                page.items,
+                page.more,
+                incomplete=bool(self._state.claims.incomplete_reason),
+                new_store=self._state.is_new_store,
+            )
+        )
+
+    def _register_digests(self, request: RegisterDigestsRequest) -> PendingResponse:
+        self._state.registers.expire(self._state.now_ms())
+        return PendingResponse(DigestsResponse(request.request_id, list(self._state.registers.digests)))
+
+    def _register_page(self, request: RegisterPageRequest) -> PendingResponse:
+        page = self._state.registers.page(request.range_number, request.after_key, PAGE_BYTES)
+        return PendingResponse(RegisterPageResponse(request.request_id, page.items, page.more))
+
+    def _engine_set(self, request: EngineSetRequest) -> PendingResponse:
+        engines = self._state.engines
+        state = engines.state if request.digest != engines.digest else None
+        return PendingResponse(EngineSetResponse(request.request_id, state, engines.registry_heard_ms))
+
+    def _when_entry_written(
+        self, written: Response, failed: Response, key: str, entry: ClaimEntry | None
+    ) -> PendingResponse:
+        records = [claim_record(key, entry)] if entry is not None else []
+        return PendingResponse(written, failed, self._state.add_records(records))
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     from fordstair.budgets.transport import FleetBudgets
     from fordstair.membership.transport import Membership
-    from fordstair.replication.service import Service
+    from fordstair.replication.service import ReplicationService
 
 REQUESTS_MOST = 50  # the oldest; the counts by class and team hold all
 NOTES_MOST = 100
@@ -53,7 +53,7 @@
         ledger: Ledger,
         wall_clock: WallClock,
         membership: Membership | None = None,
-        shared: Service | None = None,
+        shared: ReplicationService | None = None,
         budgets: FleetBudgets | None = None,
     ) -> None:
         self.membership, self.shared, self.budgets = membership, shared, budgets
@@ -223,9 +223,9 @@
                 self._unix(self._started_ms),
                 own=True,
                 health=swim.awareness.score,
-                entries=len(shared.holder.entries) if shared is not None else 0,
-                store_bytes=shared.disk.size_bytes if shared is not None else 0,
-                doubted=shared.unavailable_reason if shared is not None else "",
+                entries=len(shared.state.claims.entries) if shared is not None else 0,
+                store_bytes=shared.state.file.size_bytes if shared is not None else 0,
+                doubted=shared.state.unavailable_reason if shared is not None else "",
             )
         }
         for each in swim.members.values():
@@ -240,7 +240,7 @@
                 len(doubt.accusers) if doubt is not None else 0,
                 self._unix(doubt.until) if doubt is not None else 0.0,
                 each.cut_off,
-                behind=shared.behind.get(each.name) if shared is not None else None,
+                behind=shared.claim_sync.differing_ranges.get(each.name) if shared is not None else None,
             )
         return views
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -14,7 +14,6 @@
     "fordstair/net/clients/odata_front.py",
     "fordstair/net/console_server.py",
     "fordstair/program.py",
-    "fordstair/replication/service.py",
 }
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -19,25 +19,27 @@
 from hypothesis import strategies as st
 
 from fordstair.lab.history import Operation, check
-from fordstair.replication.clock import HybridClock, Stamp
-from fordstair.replication.costs import is_news, learned, restore
-from fordstair.replication.engines import OLDEST_MS, Dot, EngineSet, Kept, Restored, Roster
-from fordstair.replication.ledger import (
-    UNKNOWN_TOKEN,
-    Answer,
-    Claim,
-    Entry,
-    Holder,
-    Verdict,
-    Word,
-    holders_of,
-    merge,
+from fordstair.replication.claim_entry import UNKNOWN_TOKEN, ClaimEntry, merge_entries
+from fordstair.replication.claim_quorum import ClaimQuorum, ClaimVerdict, Vote, VoteStatus
+from fordstair.replication.claim_replica import ClaimReplica
+from fordstair.replication.engine_restoration import EngineRestorer
+from fordstair.replication.engine_set import MAX_AGE_MS, Dot, EngineSet, EngineSetState, ReplicatedEngine
+from fordstair.replication.hybrid_clock import HybridLogicalClock, HybridTimestamp
+from fordstair.replication.key_ranges import RANGE_COUNT
+from fordstair.replication.learned_costs import differs_enough, learned_values, restore_values
+from fordstair.replication.messages import (
+    ClaimRequest,
+    FrameDecoder,
+    Hello,
+    MalformedFrameError,
+    VoteResponse,
+    encode_frame,
 )
-from fordstair.replication.messages import AskClaim, Hello, Malformed, Reader, Said, encode
-from fordstair.replication.ranges import RANGES
-from fordstair.replication.records import read
-from fordstair.replication.registers import Register, Registers, newer
-from fordstair.replication.service import Ledger, Service, running
+from fordstair.replication.register_map import Register, RegisterMap, merge_registers
+from fordstair.replication.replica_placement import replicas_of
+from fordstair.replication.service import ReplicationService, running_service
+from fordstair.replication.settings import ReplicationSettings
+from fordstair.replication.stored_records import load_state
 from fordstair.runtime.clock import UnixMs
 from fordstair.store.errors import StoreError
 from fordstair.store.record import CorruptedRecord, Record
@@ -48,22 +50,22 @@
 
 FIXED = settings(max_examples=150, deadline=None, derandomize=True, database=None)
 tokens, outcomes = st.sampled_from(["a", "b", UNKNOWN_TOKEN]), st.sampled_from([None, b"x", b"y"])
-entries = st.one_of(st.none(), st.builds(Entry, tokens, st.integers(0, 3), outcomes))
+entries = st.one_of(st.none(), st.builds(ClaimEntry, tokens, st.integers(0, 3), outcomes))
 
 
 @FIXED
 @given(entries, entries, entries)
 def test_merging_is_commutative_associative_and_idempotent(
-    a: Entry | None, b: Entry | None, c: Entry | None
+    a: ClaimEntry | None, b: ClaimEntry | None, c: ClaimEntry | None
 ) -> None:
-    assert merge(a, b) == merge(b, a)
-    assert merge(a, merge(b, c)) == merge(merge(a, b), c)
-    assert merge(a, a) == a
-    assert merge(merge(a, b), b) == merge(a, b)
+    assert merge_entries(a, b) == merge_entries(b, a)
+    assert merge_entries(a, merge_entries(b, c)) == merge_entries(merge_entries(a, b), c)
+    assert merge_entries(a, a) == a
+    assert merge_entries(merge_entries(a, b), b) == merge_entries(a, b)
 
 
-def holder(own: str = "h0", members: tuple[str, ...] = ("h0", "h1", "h2"), most: int = 100) -> Holder:
-    return Holder(own, members, 3, 600_000.0, most)
+def replica(own: str = "h0", members: tuple[str, ...] = ("h0", "h1", "h2"), most: int = 100) -> ClaimReplica:
+    return ClaimReplica(own, members, 3, 600_000.0, most)
 
 
 @FIXED
@@ -74,11 +76,11 @@
     """Messages arrive in any order, some never, some twice; holders crash to what they had written."""
     rng = random.Random(seed)
     names = tuple(f"h{number}" for number in range(count))
-    memory = {name: Holder(name, names, count, 600_000.0, 100) for name in names}
-    disk: dict[str, dict[str, Entry]] = {name: {} for name in names}
-    claims = [Claim("k", f"c{number}", names) for number in range(claimants)]
-    verdicts: dict[str, Verdict] = {}
-    flights: list[tuple[str, int, str, Answer | None]] = [
+    memory = {name: ClaimReplica(name, names, count, 600_000.0, 100) for name in names}
+    disk: dict[str, dict[str, ClaimEntry]] = {name: {} for name in names}
+    claims = [ClaimQuorum("k", f"c{number}", names) for number in range(claimants)]
+    verdicts: dict[str, ClaimVerdict] = {}
+    flights: list[tuple[str, int, str, Vote | None]] = [
         ("ask", number, name, None) for number in range(claimants) for name in names for _ in (1, 2)
     ]
     while flights:
@@ -87,23 +89,23 @@
         if rng.random() < 0.15:
             continue  # lost
         if rng.random() < 0.1:  # a crash: only what is on disk comes back
-            memory[name] = there = Holder(name, names, count, 600_000.0, 100)
+            memory[name] = there = ClaimReplica(name, names, count, 600_000.0, 100)
             there.load(disk[name].items())
         if kind == "ask":
             said, entry = there.claim(1.0, "k", claim.token)
             if entry is not None:
                 if rng.random() < 0.1:  # the write fails: granted in memory, and not said to be
-                    said = Answer(Word.CANNOT)
+                    said = Vote(VoteStatus.UNAVAILABLE)
                 else:
                     disk[name]["k"] = entry
             flights.append(("told", number, name, said))
         elif kind == "told" and answer is not None and claim.token not in verdicts:
-            verdict = claim.heard(name, answer)
+            verdict = claim.record_vote(name, answer)
             if verdict is None and rng.random() < 0.05:
-                verdict = claim.verdict(over=True)
+                verdict = claim.verdict(final=True)
             if verdict is not None:
                 verdicts[claim.token] = verdict
-                if verdict is not Verdict.RUN:
+                if verdict is not ClaimVerdict.GRANTED:
                     flights += [("release", number, each, None) for each in names]
                 elif rng.random() < 0.5:
                     flights += [("settle", number, each, None) for each in names]
@@ -112,52 +114,52 @@
                 disk[name].pop("k", None)
         elif kind == "settle" and (written := there.settle(1.0, "k", claim.token, b"done")) is not None:
             disk[name]["k"] = written
-    assert sum(verdict is Verdict.RUN for verdict in verdicts.values()) <= 1, verdicts
+    assert sum(verdict is ClaimVerdict.GRANTED for verdict in verdicts.values()) <= 1, verdicts
 
 
-GRANTED, CANNOT = Answer(Word.GRANTED), Answer(Word.CANNOT)
+GRANTED, UNAVAILABLE = Vote(VoteStatus.GRANTED), Vote(VoteStatus.UNAVAILABLE)
 
 
-def taken(token: str, outcome: bytes | None = None) -> Answer:
-    return Answer(Word.TAKEN, token, outcome)
+def taken(token: str, outcome: bytes | None = None) -> Vote:
+    return Vote(VoteStatus.TAKEN, token, outcome)
 
 
 @pytest.mark.parametrize(
-    ("answers", "over", "verdict"),
+    ("votes", "final", "verdict"),
     [
-        ((GRANTED, GRANTED), False, Verdict.RUN),
+        ((GRANTED, GRANTED), False, ClaimVerdict.GRANTED),
         ((GRANTED,), False, None),
-        ((GRANTED,), True, Verdict.REFUSE),
-        ((), True, Verdict.REFUSE),
-        ((CANNOT, CANNOT), False, Verdict.REFUSE),
-        ((taken("b"), taken("b")), False, Verdict.UNKNOWN),
-        ((taken("b"), taken("c")), False, Verdict.UNKNOWN),  # the third may have granted either
-        ((taken("b"), taken("c"), taken("d")), False, Verdict.REFUSE),  # a split is nobody's
-        ((taken("b"), taken("c"), GRANTED), False, Verdict.REFUSE),
-        ((taken("b"), GRANTED), True, Verdict.UNKNOWN),
-        ((taken("b"), CANNOT, CANNOT), False, Verdict.UNKNOWN),
-        ((taken(UNKNOWN_TOKEN), taken("b"), taken("c")), False, Verdict.UNKNOWN),
-        ((taken("b", b"done"),), False, Verdict.ANSWER),
+        ((GRANTED,), True, ClaimVerdict.REJECTED),
+        ((), True, ClaimVerdict.REJECTED),
+        ((UNAVAILABLE, UNAVAILABLE), False, ClaimVerdict.REJECTED),
+        ((taken("b"), taken("b")), False, ClaimVerdict.UNKNOWN),
+        ((taken("b"), taken("c")), False, ClaimVerdict.UNKNOWN),  # the third may have granted either
+        ((taken("b"), taken("c"), taken("d")), False, ClaimVerdict.REJECTED),  # a split is nobody's
+        ((taken("b"), taken("c"), GRANTED), False, ClaimVerdict.REJECTED),
+        ((taken("b"), GRANTED), True, ClaimVerdict.UNKNOWN),
+        ((taken("b"), UNAVAILABLE, UNAVAILABLE), False, ClaimVerdict.UNKNOWN),
+        ((taken(UNKNOWN_TOKEN), taken("b"), taken("c")), False, ClaimVerdict.UNKNOWN),
+        ((taken("b", b"done"),), False, ClaimVerdict.ALREADY_RUN),
     ],
 )
-def test_a_claim_knows_what_its_holders_words_allow(
-    answers: tuple[Answer, ...], over: bool, verdict: Verdict | None
+def test_a_claims_verdict_is_what_its_replicas_votes_allow(
+    votes: tuple[Vote, ...], final: bool, verdict: ClaimVerdict | None
 ) -> None:
-    for order in permutations(range(3), len(answers)):
-        claim = Claim("k", "a", ("h0", "h1", "h2"))
-        for place, answer in zip(order, answers, strict=True):
-            claim.heard(f"h{place}", answer)
-            claim.heard(f"h{place}", GRANTED)  # a second word of the same holder counts for nothing
-        assert claim.verdict(over=over) is verdict
+    for order in permutations(range(3), len(votes)):
+        claim = ClaimQuorum("k", "a", ("h0", "h1", "h2"))
+        for place, vote in zip(order, votes, strict=True):
+            claim.record_vote(f"h{place}", vote)
+            claim.record_vote(f"h{place}", GRANTED)  # a second vote of the same replica counts for nothing
+        assert claim.verdict(final=final) is verdict
 
 
-def test_holders_are_spread_and_their_digests_tell_whether_what_they_share_is_equal() -> None:
+def test_replicas_are_spread_and_their_digests_show_whether_what_they_share_is_equal() -> None:
     members = tuple(f"h{number}" for number in range(5))
-    counts = Counter(name for number in range(1_000) for name in holders_of(f"k{number}", members))
+    counts = Counter(name for number in range(1_000) for name in replicas_of(f"k{number}", members))
     assert set(counts) == set(members)
     assert max(counts.values()) < 1.25 * min(counts.values())
-    one, other = holder("h0", members, 5_000), holder("h1", members, 5_000)
-    shared = [f"k{n}" for n in range(300) if {"h0", "h1"} <= set(holders_of(f"k{n}", members))]
+    one, other = replica("h0", members, 5_000), replica("h1", members, 5_000)
+    shared = [f"k{n}" for n in range(300) if {"h0", "h1"} <= set(replicas_of(f"k{n}", members))]
     for key in shared:
         one.settle(1.0, key, "a", b"x")
     for key in reversed(shared):
@@ -165,8 +167,8 @@
         other.settle(9.0, key, "a", b"x")
     assert one.digests["h1"] == other.digests["h0"]
     assert any(one.digests["h1"])
-    other.settle(9.0, "only-here" if "h0" in holders_of("only-here", members) else shared[0], "b", b"y")
-    other.take(shared[1], Entry("Z", 1, b"different"))
+    other.settle(9.0, "only-here" if "h0" in replicas_of("only-here", members) else shared[0], "b", b"y")
+    other.merge(shared[1], ClaimEntry("Z", 1, b"different"))
     assert one.digests["h1"] != other.digests["h0"]
     one.expire(1e9)
     assert not one.entries
@@ -174,31 +176,31 @@
     assert not len(one.ranges)
 
 
-def test_a_full_or_doubted_holder_grants_nothing_and_still_tells_what_it_knows() -> None:
-    one = holder(most=2)
+def test_a_full_or_incomplete_replica_grants_nothing_and_still_says_what_it_knows() -> None:
+    one = replica(most=2)
     for key in ("a", "b"):
-        assert one.claim(1.0, key, "t")[0].word is Word.GRANTED
-    assert one.claim(1.0, "c", "t")[0].word is Word.CANNOT
+        assert one.claim(1.0, key, "t")[0].status is VoteStatus.GRANTED
+    assert one.claim(1.0, "c", "t")[0].status is VoteStatus.UNAVAILABLE
     assert one.claim(1.0, "a", "u")[0] == taken("t")
-    two = holder()
-    two.doubted = "new"
-    assert two.claim(1.0, "a", "t")[0].word is Word.CANNOT
+    two = replica()
+    two.incomplete_reason = "new"
+    assert two.claim(1.0, "a", "t")[0].status is VoteStatus.UNAVAILABLE
     assert two.settle(1.0, "a", "t", b"x")
     assert two.claim(2.0, "a", "u")[0] == taken("t", b"x")
 
 
 def test_pages_of_a_range_are_bounded_and_leave_nothing_out() -> None:
-    one = holder(most=5_000)
+    one = replica(most=5_000)
     for number in range(800):
         one.claim(1.0, f"k{number}", "t")
         if number % 2:
             one.settle(1.0, f"k{number}", "t", b"x" * 100)
     for grants in (False, True):
         seen = list[str]()
-        for which in range(RANGES):
+        for which in range(RANGE_COUNT):
             after, more = "", True
             while more:
-                page, more = one.page(which, after, 500, grants=grants)
+                page, more = one.page(which, after, 500, include_unsettled=grants)
                 assert sum(len(entry.outcome or b"") for _, entry in page) <= 700
                 seen += [key for key, _ in page]
                 after = page[-1][0] if page else ""
@@ -255,13 +257,15 @@
     path.write_bytes(data)
     disk = opened(path)
     found = [record for record in disk.read(0.0) if isinstance(record, CorruptedRecord)]
-    assert [spoilt.key for spoilt in found] == [b"k17"]
+    assert [corrupted.key for corrupted in found] == [b"k17"]
     disk.close()
-    service = Service(Ledger("c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(path)), 1)
-    service.take_in(read(service.disk, 0.0))
-    assert service.holder.doubted
-    assert service.counts["spoilt"] >= 1
-    service.disk.close()
+    service = ReplicationService(
+        ReplicationSettings("c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(path)), 1
+    )
+    service.state.merge_loaded(load_state(service.state.file, 0.0))
+    assert service.state.claims.incomplete_reason
+    assert service.counts["records_corrupted"] >= 1
+    service.state.file.close()
 
 
 def test_a_full_disk_refuses_and_a_file_that_cannot_be_used_is_named(tmp_path: Path) -> None:
@@ -308,42 +312,44 @@
 
 def test_a_member_that_cannot_write_grants_nothing_and_says_so(tmp_path: Path) -> None:
     async def scene() -> None:
-        told = Ledger("c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(tmp_path / "store"))
-        async with running(told, 1) as service:
+        told = ReplicationSettings("c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(tmp_path / "store"))
+        async with running_service(told, 1) as service:
             with trio.fail_after(10.0):
-                while service.holder.doubted:
+                while service.state.claims.incomplete_reason:
                     await trio.sleep(0.01)
-            verdict, begun, _ = await service.begin("t|a")
-            assert verdict is Verdict.RUN
+            verdict, begun, _ = await service.claims.begin("t|a")
+            assert verdict is ClaimVerdict.GRANTED
             assert begun is not None
-            await service.settle(begun, b"done")
-            assert (await service.begin("t|a"))[::2] == (Verdict.ANSWER, b"done")
+            await service.claims.settle(begun, b"done")
+            assert (await service.claims.begin("t|a"))[::2] == (ClaimVerdict.ALREADY_RUN, b"done")
 
             def fails(records: object) -> None:
                 raise StoreError("no space left on device")
 
-            service.disk.write = fails  # type: ignore[method-assign]
-            assert (await service.begin("t|b"))[0] is Verdict.REFUSE
+            service.state.file.write = fails  # type: ignore[method-assign]
+            assert (await service.claims.begin("t|b"))[0] is ClaimVerdict.REJECTED
             assert service.counts["writes_failed"] >= 1
-            assert (await service.begin("t|a"))[0] is Verdict.ANSWER  # what is known is still told
+            assert (await service.claims.begin("t|a"))[
+                0
+            ] is ClaimVerdict.ALREADY_RUN  # what is known is still told
 
     trio.run(scene)
 
 
 def test_strangers_and_noise_end_their_connection_alone(tmp_path: Path) -> None:
     async def scene() -> None:
-        told = Ledger(
+        told = ReplicationSettings(
             "c", "m", {"m": "127.0.0.1:1", "n": "127.0.0.1:2"}, ("127.0.0.1", 0), str(tmp_path / "store")
         )
-        async with running(told, 1) as service:
+        async with running_service(told, 1) as service:
             for sent in (
                 b"GET / HTTP/1.1\r\n\r\n",
                 b"\xff" * 100,
-                encode(AskClaim(1, "k", "t")),
-                encode(Hello(0, "other", "n")),
-                encode(Hello(0, "c", "stranger")),
-                encode(Hello(0, "c", "n")) + b"\x00\x00\x00\x03\xc1\xc1\xc1",
-                encode(Hello(0, "c", "n")) + encode(Said(1, 0, "", None)),
+                encode_frame(ClaimRequest(1, "k", "t")),
+                encode_frame(Hello(0, "other", "n")),
+                encode_frame(Hello(0, "c", "stranger")),
+                encode_frame(Hello(0, "c", "n")) + b"\x00\x00\x00\x03\xc1\xc1\xc1",
+                encode_frame(Hello(0, "c", "n")) + encode_frame(VoteResponse(1, 0, "", None)),
             ):
                 async with await trio.open_tcp_stream("127.0.0.1", service.port) as stream:
                     await stream.send_all(sent)
@@ -352,27 +358,29 @@
             assert service.counts["malformed"] == 7
             assert service.counts["foreign"] == 2
             async with await trio.open_tcp_stream("127.0.0.1", service.port) as stream:
-                await stream.send_all(encode(Hello(0, "c", "n")) + encode(AskClaim(7, "k", "t")))
+                await stream.send_all(
+                    encode_frame(Hello(0, "c", "n")) + encode_frame(ClaimRequest(7, "k", "t"))
+                )
                 with trio.fail_after(5.0):
-                    (said,) = Reader().take(await stream.receive_some(1_000))
-                assert isinstance(said, Said)
-                assert said.number == 7
+                    (said,) = FrameDecoder().feed(await stream.receive_some(1_000))
+                assert isinstance(said, VoteResponse)
+                assert said.request_id == 7
 
     trio.run(scene)
 
 
 @FIXED
 @given(st.binary(max_size=100), st.integers(1, 30))
-def test_a_reader_of_noise_returns_frames_or_says_malformed(noise: bytes, step: int) -> None:
-    reader, good = Reader(), encode(AskClaim(1, "k", "t"))
+def test_a_decoder_of_noise_returns_frames_or_raises_malformed(noise: bytes, step: int) -> None:
+    decoder, good = FrameDecoder(), encode_frame(ClaimRequest(1, "k", "t"))
     data = good + noise
     got = []
     try:
         for start in range(0, len(data), step):
-            got += reader.take(data[start : start + step])
-    except Malformed:
+            got += decoder.feed(data[start : start + step])
+    except MalformedFrameError:
         pass
-    assert not got or got[0] == AskClaim(1, "k", "t")
+    assert not got or got[0] == ClaimRequest(1, "k", "t")
 
 
 # The checker
@@ -398,25 +406,25 @@
         assert word in broken[0]
 
 
-# Values that converge
+# Registers
 
-stamps = st.builds(Stamp, st.integers(1_000, 1_003), st.integers(0, 2), st.sampled_from(["a", "b"]))
+stamps = st.builds(HybridTimestamp, st.integers(1_000, 1_003), st.integers(0, 2), st.sampled_from(["a", "b"]))
 registers = st.one_of(st.none(), st.builds(Register, st.sampled_from([b"x", b"y"]), stamps))
 
 
 @FIXED
 @given(registers, registers, registers)
-def test_the_newer_value_is_a_join(a: Register | None, b: Register | None, c: Register | None) -> None:
-    assert newer(a, b) == newer(b, a)
-    assert newer(a, a) == a
-    assert newer(a, newer(b, c)) == newer(newer(a, b), c)
+def test_merging_registers_is_a_join(a: Register | None, b: Register | None, c: Register | None) -> None:
+    assert merge_registers(a, b) == merge_registers(b, a)
+    assert merge_registers(a, a) == a
+    assert merge_registers(a, merge_registers(b, c)) == merge_registers(merge_registers(a, b), c)
 
 
 @FIXED
 @given(st.integers(0, 2**32))
 def test_members_that_heard_the_same_hold_the_same_in_whatever_order(seed: int) -> None:
     rng = random.Random(seed)
-    members = [Registers(name, 1e9, 100) for name in "abc"]
+    members = [RegisterMap(name, 1e9, 100) for name in "abc"]
     written = [
         (key, done)
         for n in range(30)
@@ -427,33 +435,33 @@
     ]
     for member in members:
         for key, value in rng.sample(written * 2, 2 * len(written)):
-            member.take(1e6 + 100, key, value)
-    assert members[0].values == members[1].values == members[2].values
+            member.merge(1e6 + 100, key, value)
+    assert members[0].registers == members[1].registers == members[2].registers
     assert members[0].digests == members[1].digests == members[2].digests
     for member in members:
         member.expire(1e6 + 2e9)
-        assert not member.values
+        assert not member.registers
         assert not any(member.digests)
-        assert member.gone
+        assert member.forgotten_keys
 
 
 def test_a_hybrid_clock_goes_above_what_it_hears_and_believes_no_far_future() -> None:
-    clock = HybridClock("a")
-    first = clock.stamp(1_000.0)
-    assert clock.stamp(1_000.0) > first
-    assert clock.stamp(900.0) > first
-    assert clock.hear(Stamp(5_000, 7, "b"), 1_000.0)
-    assert clock.stamp(1_001.0) > Stamp(5_000, 7, "b")
-    assert not clock.hear(Stamp(10_000_000, 0, "b"), 1_000.0)
-    assert clock.stamp(6_000.0) == Stamp(6_000, 0, "a")
-    full = Registers("a", 1e9, 1)
+    clock = HybridLogicalClock("a")
+    first = clock.now(1_000.0)
+    assert clock.now(1_000.0) > first
+    assert clock.now(900.0) > first
+    assert clock.observe(HybridTimestamp(5_000, 7, "b"), 1_000.0)
+    assert clock.now(1_001.0) > HybridTimestamp(5_000, 7, "b")
+    assert not clock.observe(HybridTimestamp(10_000_000, 0, "b"), 1_000.0)
+    assert clock.now(6_000.0) == HybridTimestamp(6_000, 0, "a")
+    full = RegisterMap("a", 1e9, 1)
     full.set(1.0, "k", b"x")
     assert full.set(1.0, "l", b"x") is None
-    assert full.refused == 1
+    assert full.rejected == 1
 
 
-def listed(name: str, started_ms: float = 0.0) -> Kept:
-    return Kept(name, "127.0.0.1:80", "rest", 0, 0, 0, started_ms, 1.0)
+def listed(name: str, started_ms: float = 0.0) -> ReplicatedEngine:
+    return ReplicatedEngine(name, "127.0.0.1:80", "rest", 0, 0, 0, started_ms, 1.0)
 
 
 def random_sets(rng: random.Random) -> list[EngineSet]:
@@ -463,16 +471,16 @@
         member = rng.choice(members)
         if rng.random() < 0.6:
             names = rng.sample("uvwxy", rng.randint(0, 5))
-            member.follow(now, now, [listed(name, rng.randint(0, 2)) for name in names])
+            member.update_from_registry(now, now, [listed(name, rng.randint(0, 2)) for name in names])
         else:
-            member.merge(now, rng.choice(members).roster)
+            member.merge(now, rng.choice(members).state)
     return members
 
 
 def joined(*sets: EngineSet) -> EngineSet:
     whole = EngineSet("z")
     for each in sets:
-        whole.merge(2_000.0, each.roster)
+        whole.merge(2_000.0, each.state)
     return whole
 
 
@@ -483,52 +491,58 @@
     assert joined(a, b).dots == joined(b, a).dots
     assert joined(joined(a, b), c).dots == joined(a, joined(b, c)).dots == joined(c, b, a, a, c).dots
     for one, other in permutations((a, b, c), 2):
-        one.merge(2_000.0, other.roster)
+        one.merge(2_000.0, other.state)
     for one, other in permutations((a, b, c), 2):
-        one.merge(2_000.0, other.roster)
+        one.merge(2_000.0, other.state)
     assert a.digest == b.digest == c.digest
     assert a.engines == b.engines == c.engines
 
 
 def test_an_engine_that_was_removed_stays_so_and_one_added_meanwhile_stays() -> None:
     a, b = EngineSet("a"), EngineSet("b")
-    a.follow(1_000, 1_000, [listed("x"), listed("y")])
-    b.merge(1_000, a.roster)
-    b.follow(1_001, 1_001, [listed("x"), listed("y")])
-    a.follow(1_002, 1_002, [listed("y")])
-    b.merge(1_002, a.roster)
-    b.follow(1_003, 1_003, [listed("x"), listed("y")])  # its register lags: that brings nothing back
+    a.update_from_registry(1_000, 1_000, [listed("x"), listed("y")])
+    b.merge(1_000, a.state)
+    b.update_from_registry(1_001, 1_001, [listed("x"), listed("y")])
+    a.update_from_registry(1_002, 1_002, [listed("y")])
+    b.merge(1_002, a.state)
+    b.update_from_registry(
+        1_003, 1_003, [listed("x"), listed("y")]
+    )  # its register lags: that brings nothing back
     assert set(b.engines) == {"y"}
-    b.follow(1_004, 1_004, [listed("y"), listed("z")])
-    a.follow(1_004, 1_004, [listed("y"), listed("y2")])
-    b.follow(1_005, 1_005, [listed("z"), listed("x", 900)])  # y goes, and x is back under another start
-    a.merge(1_006, b.roster)
-    b.merge(1_006, a.roster)
+    b.update_from_registry(1_004, 1_004, [listed("y"), listed("z")])
+    a.update_from_registry(1_004, 1_004, [listed("y"), listed("y2")])
+    b.update_from_registry(
+        1_005, 1_005, [listed("z"), listed("x", 900)]
+    )  # y goes, and x is back under another start
+    a.merge(1_006, b.state)
+    b.merge(1_006, a.state)
     assert set(a.engines) == set(b.engines) == {"z", "x", "y2"}
     assert a.engines["x"].started_ms == 900
     before = a.digest
-    assert not a.merge(1_006, Roster([], {"b": 10**9}, 1_006))
-    assert a.refused == 1
+    assert not a.merge(1_006, EngineSetState([], {"b": 10**9}, 1_006))
+    assert a.rejected == 1
     assert a.digest == before
-    assert not a.merge(1_006, Roster([(Dot(10**9, "c"), listed("q"))], {}, 1_006))
-    assert a.refused == 2
+    assert not a.merge(1_006, EngineSetState([(Dot(10**9, "c"), listed("q"))], {}, 1_006))
+    assert a.rejected == 2
     new = EngineSet("n")
-    new.follow(1_007, 1_007, [])
-    new.merge(1_007, a.roster)
-    new.follow(1_008, 1_008, [listed("z")])  # what others add is not taken out by who never listed it
+    new.update_from_registry(1_007, 1_007, [])
+    new.merge(1_007, a.state)
+    new.update_from_registry(
+        1_008, 1_008, [listed("z")]
+    )  # what others add is not taken out by who never listed it
     assert set(new.engines) == {"z", "x", "y2"}
 
 
 def test_engines_from_the_set_count_as_cold_where_nobody_heard_the_register_lately() -> None:
-    known, restored = EngineSet("a"), Restored(slow_start_ms=5_000.0)
-    known.follow(1_000, 1_000, [listed("x", 500.0)])
+    known, restored = EngineSet("a"), EngineRestorer(slow_start_ms=5_000.0)
+    known.update_from_registry(1_000, 1_000, [listed("x", 500.0)])
     assert [each.started for each in restored.engines(2_000.0, known)] == [UnixMs(500.0)]
-    known.follow(1_000, 1_000, [listed("x", 500.0), listed("y", 500.0)])
+    known.update_from_registry(1_000, 1_000, [listed("x", 500.0), listed("y", 500.0)])
     later = {each.entry.engine: each.started for each in restored.engines(9_000.0, known)}
     assert later == {"x": UnixMs(500.0), "y": UnixMs(9_000.0)}
     again = {each.entry.engine: each.started for each in restored.engines(9_500.0, known)}
     assert again == later  # what was said once stays
-    assert restored.engines(1_000.0 + OLDEST_MS, known) == []
+    assert restored.engines(1_000.0 + MAX_AGE_MS, known) == []
 
 
 def test_costs_learned_by_one_module_serve_another_that_has_seen_nothing() -> None:
@@ -536,11 +550,11 @@
     for _ in range(20):
         request = rig.ask(0, 0.0, group=7.0)
         rig.end(request, work_ms=340.0, latency=400.0, memory_mb=50.0)
-    values = dict(learned(rig.gateway))
+    values = dict(learned_values(rig.gateway))
     assert "class|quick|mean" in values
     assert "group|quick|7" in values
     new = Rig(settings_of(instances=2))
-    assert restore(
+    assert restore_values(
         new.gateway,
         values
         | {
@@ -550,12 +564,12 @@
         },
     ) == len(values)
     assert new.gateway.cache.forecast(0, 7.0, 0.0) == pytest.approx(340.0, rel=0.02)
-    assert restore(new.gateway, values) == 0  # what it has goes first
+    assert restore_values(new.gateway, values) == 0  # what it has goes first
     request = new.ask(0, 0.0, group=7.0)
     new.end(request, work_ms=3_400.0, latency=400.0)
     assert new.gateway.cache.mean(0) > 400.0  # and what it sees counts at once
     old, other = values["class|quick|mean"], values["class|quick|memory"]
-    assert not is_news(old, old)
-    assert is_news(old, other)
-    assert is_news(None, old)
-    assert not is_news(None, b"\xc1")
+    assert not differs_enough(old, old)
+    assert differs_enough(old, other)
+    assert differs_enough(None, old)
+    assert not differs_enough(None, b"\xc1")
--- a/tests/test_ledger_processes.py
+++ b/tests/test_ledger_processes.py
@@ -12,7 +12,7 @@
 
 from fordstair.lab.history import check
 from fordstair.lab.ledger_trial import Trial, kills, partitions, stored, trial
-from fordstair.replication.service import SETTLE_S
+from fordstair.replication.claim_coordinator import SETTLE_TIMEOUT_S
 from tests.standins import config, engine, program
 from tests.test_platform import play as bounded
 
@@ -105,7 +105,7 @@
             ids = [one.new_id() for _ in range(60)]
             for id in ids:
                 assert await one.load("m0", id) == "ok"
-            await trio.sleep(SETTLE_S + 0.5)  # so that nobody tells it any more of its own accord
+            await trio.sleep(SETTLE_TIMEOUT_S + 0.5)  # so that nobody tells it any more of its own accord
             await one.start("m2")
             with trio.fail_after(20.0):
                 while not any("ledger.caught_up" in path.read_text() for path in folder.glob("m2.*.log")):
@@ -163,7 +163,7 @@
             one.relay.part({"m0"}, {"m1", "m2"})  # m1 alone could not tell it all that it may have granted
             await one.start("m2")
             # Its fronts are told before its store is read: what it found there comes with "ledger.loaded".
-            assert "store.spoilt" in await one.logged("m2", "ledger.loaded")
+            assert "store.record_corrupted" in await one.logged("m2", "ledger.loaded")
             fresh = one.new_id()
             assert await one.load("m2", fresh) != "ok"
             assert await one.load("m1", ids[4]) != "fail"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -291,7 +291,7 @@
     assert operator.fleet is not None
     assert operator.fleet.address == "10.0.0.4:7946"
     assert operator.ledger is not None
-    assert operator.ledger.holders == {"north": "10.0.0.4:7947"}
+    assert operator.ledger.members == {"north": "10.0.0.4:7947"}
     assert operator_file.operator(read({}, whole=False)).fleet is None
 
 
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -20,8 +20,8 @@
 from fordstair.decisions.events import Status
 from fordstair.decisions.settings import Idempotency
 from fordstair.lab.fault_shim import APPLIED, ENVIRONMENT_VARIABLE
-from fordstair.replication.ledger import Entry
-from fordstair.replication.records import of_entry, read
+from fordstair.replication.claim_entry import ClaimEntry
+from fordstair.replication.stored_records import claim_record, load_state
 from fordstair.runtime.clock import AnchoredClock, MonotonicMs, UnixMs, WallClock
 from fordstair.store.record_file import RecordFile
 from tests.standins import Answered, Program, RestEngine, at_once, config, connect, engine, inside, program
@@ -208,10 +208,12 @@
 def test_a_claim_is_kept_over_a_restart_whatever_the_wall_clock_says(tmp_path: Path) -> None:
     disk, granted_ms = RecordFile(str(tmp_path / "ledger")), 1_700_000_000_000
     disk.open()
-    disk.write([of_entry("key", Entry("a:1:1", granted_ms))])
+    disk.write([claim_record("key", ClaimEntry("a:1:1", granted_ms))])
     disk.close()
     later_ms = granted_ms + 10 * HOUR_MS  # a step, or a long time down: nobody can tell
-    assert read(RecordFile(disk.path), later_ms).entries == [("key", Entry("a:1:1", int(later_ms)))]
+    assert load_state(RecordFile(disk.path), later_ms).entries == [
+        ("key", ClaimEntry("a:1:1", int(later_ms)))
+    ]
 
 
 # --- the guard ------------------------------------------------------------------------------------
