--- a/tests/wires/test_replication.py
+++ b/tests/wires/test_replication.py
@@ -12,12 +12,15 @@
 import pytest
 import trio
 
-from fordstair.replication.clock import Stamp
-from fordstair.replication.engines import Dot, EngineSet, Kept, Restored, Roster, kept
-from fordstair.replication.ledger import Entry, Holder
-from fordstair.replication.messages import Reader, encode
-from fordstair.replication.registers import Register, Registers
-from fordstair.replication.service import Ledger, running
+from fordstair.replication.claim_entry import ClaimEntry
+from fordstair.replication.claim_replica import ClaimReplica
+from fordstair.replication.engine_restoration import EngineRestorer, replicated_engines
+from fordstair.replication.engine_set import Dot, EngineSet, EngineSetState, ReplicatedEngine
+from fordstair.replication.hybrid_clock import HybridTimestamp
+from fordstair.replication.messages import FrameDecoder, encode_frame
+from fordstair.replication.register_map import Register, RegisterMap
+from fordstair.replication.service import running_service
+from fordstair.replication.settings import ReplicationSettings
 from tests.test_platform import play
 from tests.wires.recordings import recorded
 
@@ -86,8 +89,10 @@
 @asynccontextmanager
 async def member(folder: str, peer: str) -> AsyncIterator[Any]:
     holders = {"m0": "127.0.0.1:1", "m1": peer}
-    told = Ledger("c", "m0", holders, ("127.0.0.1", 0), f"{folder}/store", exchange_ms=100.0)
-    async with running(told, 11) as service:
+    told = ReplicationSettings(
+        "c", "m0", holders, ("127.0.0.1", 0), f"{folder}/store", exchange_interval_ms=100.0
+    )
+    async with running_service(told, 11) as service:
         yield service
 
 
@@ -110,9 +115,9 @@
         async with member(folder, peer) as service:
             while len(asked) < 7:  # the greeting, and each question of an exchange
                 await trio.sleep(0.01)
-            await service.set_values([VALUE])
-            for number, done in enumerate((service.settle, service.release)):
-                _, begun, _ = await service.begin(f"key {number}")
+            await service.registers.set_values([VALUE])
+            for number, done in enumerate((service.claims.settle, service.claims.release)):
+                _, begun, _ = await service.claims.begin(f"key {number}")
                 await done(begun, *([b"outcome"] if number == 0 else []))
             stream = await trio.open_tcp_stream("127.0.0.1", service.port)
             await stream.send_all(frame([0, 0, "c", "m1"]))
@@ -134,15 +139,15 @@
 
 def digests() -> dict[str, str]:
     """The digests that members compare, over fixed contents."""
-    values = Registers("m0", 1e9, 10)
-    values.take(1_000.0, VALUE[0], Register(VALUE[1], Stamp(900, 1, "m1")))
-    holder = Holder("m0", ("m0", "m1"), 3, 600_000.0, 10)
-    holder.take("team|load", Entry("m1:1:a:3", 900, b"outcome"))
+    values = RegisterMap("m0", 1e9, 10)
+    values.merge(1_000.0, VALUE[0], Register(VALUE[1], HybridTimestamp(900, 1, "m1")))
+    replica = ClaimReplica("m0", ("m0", "m1"), 3, 600_000.0, 10)
+    replica.merge("team|load", ClaimEntry("m1:1:a:3", 900, b"outcome"))
     engines = EngineSet("m0")
-    engines.follow(1_000.0, 900.0, [Kept(*ENGINE)])
+    engines.update_from_registry(1_000.0, 900.0, [ReplicatedEngine(*ENGINE)])
     return {
         "digests of values": str(values.digests),
-        "digests of the ledger": str(holder.digests),
+        "digests of the ledger": str(replica.digests),
         "digest of engines": str(engines.digest),
     }
 
@@ -161,9 +166,9 @@
 def test_a_known_engine_keeps_each_field_in_its_place() -> None:
     """A field that is read from another's place leaves the bytes as they are, and means something else."""
     known = EngineSet("m0")
-    known.merge(1_000.0, Roster([(Dot(7, "m1"), Kept(*ENGINE))], {"m1": 7}, 900))
-    (engine,) = Restored(1e9).engines(1_000.0, known)
-    assert kept([engine]) == [Kept(*ENGINE)]
+    known.merge(1_000.0, EngineSetState([(Dot(7, "m1"), ReplicatedEngine(*ENGINE))], {"m1": 7}, 900))
+    (engine,) = EngineRestorer(1e9).engines(1_000.0, known)
+    assert replicated_engines([engine]) == [ReplicatedEngine(*ENGINE)]
 
 
 SENT = [frame(item) for item in [[0, 0, "c", "m1"], *QUESTIONS, *ANSWERS.values()]]
@@ -172,7 +177,7 @@
 
 @pytest.mark.parametrize("data", [*SENT, *FRAMES], ids=lambda data: data[:12].hex())
 def test_a_frame_is_read_and_written_again(data: bytes) -> None:
-    assert [encode(each) for each in Reader().take(data)] == [data]
+    assert [encode_frame(each) for each in FrameDecoder().feed(data)] == [data]
 
 
 def test_a_member_says_the_recorded_bytes() -> None:
