--- a/fordstair/replication/learned_costs.py
+++ b/fordstair/replication/learned_costs.py
@@ -12,8 +12,9 @@
 
 import msgspec
 
+from fordstair.decisions.cost_model import ClassStatistics
 from fordstair.decisions.gateway import Gateway
-from fordstair.decisions.state import Learned, Mean, RecentMeans
+from fordstair.decisions.statistics import BoundedMeans, RunningMean
 
 MIN_OUTCOMES = 5  # a mean of fewer says too little to be replicated
 MAX_WEIGHT_OUTCOMES = 30  # that a value taken over counts as: it must not outlast what is seen here
@@ -21,10 +22,10 @@
 MAX_VALUE = 1e9
 
 # The running means of a request class by their names in keys. Stored and replicated keys hold these names.
-_CLASS_MEANS: dict[str, Callable[[Learned], Mean]] = {
-    "mean": lambda learned: learned.mean,
-    "memory": lambda learned: learned.memory,
-    "pace": lambda learned: learned.pace,
+_CLASS_MEANS: dict[str, Callable[[ClassStatistics], RunningMean]] = {
+    "mean": lambda statistics: statistics.cost,
+    "memory": lambda statistics: statistics.memory_mb,
+    "pace": lambda statistics: statistics.slowness,
 }
 
 _decoder: msgspec.msgpack.Decoder[tuple[float, int]] = msgspec.msgpack.Decoder(tuple[float, int])
@@ -61,9 +62,9 @@
         if value is None:
             continue
         mean = learned.mean_of_key(key)
-        if mean is not None and mean.n < MIN_OUTCOMES:
+        if mean is not None and mean.count < MIN_OUTCOMES:
             mean.value = value[0]
-            mean.n = value[1]
+            mean.count = value[1]
             taken_over += 1
     return taken_over
 
@@ -74,10 +75,10 @@
 
     class_names: list[str]
     class_indexes: dict[str, int]
-    classes: Sequence[Learned]  # in the order of ``class_names``
-    table_groups: RecentMeans
+    classes: Sequence[ClassStatistics]  # in the order of ``class_names``
+    table_groups: BoundedMeans
 
-    def mean_of_key(self, key: str) -> Mean | None:
+    def mean_of_key(self, key: str) -> RunningMean | None:
         """Return the mean that a key names, None for an unknown key.
 
         A table group not seen yet gets a new mean where there is room for one.
@@ -93,7 +94,7 @@
         if kind == "group" and len(groups.means) < groups.size:
             group = _finite_number(figure_or_group)
             if group is not None:
-                return groups.means.setdefault((class_index, group), Mean(groups.step))
+                return groups.means.setdefault((class_index, group), RunningMean(groups.step))
         return None
 
 
@@ -101,12 +102,14 @@
     """Return the decision module's means: the only access to its parts."""
     class_names = [spec.name for spec in gateway.settings.classes]
     class_indexes = {name: index for index, name in enumerate(class_names)}
-    return _LearnedMeans(class_names, class_indexes, gateway.cache.of, gateway.cache.groups)
+    return _LearnedMeans(
+        class_names, class_indexes, gateway.cost_model.classes, gateway.cost_model.table_groups
+    )
 
 
-def _encode(key: str, mean: Mean) -> Iterator[tuple[str, bytes]]:
-    if mean.n >= MIN_OUTCOMES and math.isfinite(mean.value) and mean.value > 0.0:
-        yield key, msgspec.msgpack.encode((float(f"{mean.value:.3g}"), min(mean.n, MAX_WEIGHT_OUTCOMES)))
+def _encode(key: str, mean: RunningMean) -> Iterator[tuple[str, bytes]]:
+    if mean.count >= MIN_OUTCOMES and math.isfinite(mean.value) and mean.value > 0.0:
+        yield key, msgspec.msgpack.encode((float(f"{mean.value:.3g}"), min(mean.count, MAX_WEIGHT_OUTCOMES)))
 
 
 def _decode(value: bytes) -> tuple[float, int] | None:
--- a/fordstair/replication/messages.py
+++ b/fordstair/replication/messages.py
@@ -9,14 +9,14 @@
 import struct
 from typing import Annotated, TypeAlias
 
-import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta
 
 from fordstair.replication.claim_entry import MAX_OUTCOME_BYTES, ClaimEntry
 from fordstair.replication.engine_set import EngineSetState
 from fordstair.replication.hybrid_clock import UnixMilliseconds
 from fordstair.replication.key_ranges import DIGEST_BITS, RANGE_COUNT
 from fordstair.replication.register_map import Register
+from fordstair.runtime.message_codec import MalformedMessageError, MessageCodec, WireMessage
 
 MAX_FRAME_BYTES = 256 * 1024
 PAGE_BYTES = 64 * 1024  # after which a page of entries ends
@@ -31,7 +31,7 @@
 RangeNumber: TypeAlias = Annotated[int, Meta(ge=0, lt=RANGE_COUNT)]
 
 
-class _Frame(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+class _Frame(WireMessage, frozen=True):
     request_id: RequestId  # of a request on its connection; the response has the same
 
 
@@ -161,17 +161,12 @@
 Frame: TypeAlias = Hello | Request | Response
 
 
-class MalformedFrameError(Exception):
-    """Bytes that are no frame of this protocol, or a frame that may not come here."""
-
-
-_encoder = msgspec.msgpack.Encoder()
-_decoder: msgspec.msgpack.Decoder[Frame] = msgspec.msgpack.Decoder(Frame)
+_codec: MessageCodec[Frame] = MessageCodec(Frame, MAX_FRAME_BYTES)
 
 
 def encode_frame(frame: Frame) -> bytes:
     """Return the bytes of a frame, with their length before them."""
-    body = _encoder.encode(frame)
+    body = _codec.encode(frame)
     return _LENGTH.pack(len(body)) + body
 
 
@@ -182,23 +177,16 @@
         self._buffer = bytearray()
 
     def feed(self, chunk: bytes) -> list[Frame]:
-        """Return the frames completed by a chunk; raise MalformedFrameError for what cannot be a frame."""
+        """Return the frames completed by a chunk; raise MalformedMessageError for what cannot be a frame."""
         self._buffer += chunk
         frames = list[Frame]()
         while len(self._buffer) >= _LENGTH.size:
             length: int = _LENGTH.unpack_from(self._buffer)[0]
             if length > MAX_FRAME_BYTES:
-                raise MalformedFrameError(f"{length} bytes")
+                raise MalformedMessageError(f"{length} bytes")
             end = _LENGTH.size + length
             if len(self._buffer) < end:
                 break
-            frames.append(_decode(memoryview(self._buffer)[_LENGTH.size : end]))
+            frames.append(_codec.decode(memoryview(self._buffer)[_LENGTH.size : end]))
             del self._buffer[:end]
         return frames
-
-
-def _decode(body: memoryview) -> Frame:
-    try:
-        return _decoder.decode(body)
-    except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise MalformedFrameError(str(error)) from None
--- a/fordstair/replication/peer_connection.py
+++ b/fordstair/replication/peer_connection.py
@@ -12,11 +12,11 @@
     Frame,
     FrameDecoder,
     Hello,
-    MalformedFrameError,
     Request,
     Response,
     encode_frame,
 )
+from fordstair.runtime.message_codec import MalformedMessageError
 
 READ_CHUNK_BYTES = 65_536
 MAX_PENDING_REQUESTS = 256  # to one member
@@ -135,7 +135,7 @@
                 self._received_at_s = trio.current_time()
                 for frame in decoder.feed(chunk):
                     self._finish(frame)
-        except (trio.BrokenResourceError, trio.ClosedResourceError, MalformedFrameError):
+        except (trio.BrokenResourceError, trio.ClosedResourceError, MalformedMessageError):
             pass
         finally:
             self._disconnect(stream)
--- a/fordstair/replication/peer_server.py
+++ b/fordstair/replication/peer_server.py
@@ -8,9 +8,10 @@
 
 import trio
 
-from fordstair.replication.messages import Frame, FrameDecoder, Hello, MalformedFrameError, encode_frame
+from fordstair.replication.messages import Frame, FrameDecoder, Hello, encode_frame
 from fordstair.replication.request_handler import PendingResponse
 from fordstair.runtime.event_log import EventLog
+from fordstair.runtime.message_codec import MalformedMessageError
 
 log = EventLog(__name__)
 
@@ -47,7 +48,7 @@
             async with stream, trio.open_nursery() as nursery:
                 await self._read(stream, nursery)
                 nursery.cancel_scope.cancel()
-        except* MalformedFrameError:
+        except* MalformedMessageError:
             self.counts["malformed"] += 1
         except* (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
@@ -75,12 +76,12 @@
                 nursery.start_soon(self._respond, self.handle(member, frame), stream, send_lock, capacity)
 
     def _member_of(self, frame: Frame) -> str:
-        """Return the member that a connection's first frame names; raise MalformedFrameError for others."""
+        """Return the member that a connection's first frame names; raise MalformedMessageError for others."""
         if not isinstance(frame, Hello):
-            raise MalformedFrameError("no greeting")
+            raise MalformedMessageError("no greeting")
         if frame.cluster != self.cluster or frame.member not in self.members:
             self.counts["foreign"] += 1
-            raise MalformedFrameError("a stranger")
+            raise MalformedMessageError("a stranger")
         return frame.member
 
     async def _respond(
--- a/fordstair/replication/request_handler.py
+++ b/fordstair/replication/request_handler.py
@@ -17,7 +17,6 @@
     EngineSetRequest,
     EngineSetResponse,
     Frame,
-    MalformedFrameError,
     RegisterDigestsRequest,
     RegisterPageRequest,
     RegisterPageResponse,
@@ -29,6 +28,7 @@
 )
 from fordstair.replication.replica_state import ReplicaState
 from fordstair.replication.stored_records import CLAIM_KIND, claim_record, deletion
+from fordstair.runtime.message_codec import MalformedMessageError
 from fordstair.store.errors import StoreError
 from fordstair.store.writer import CommitBatch
 
@@ -69,7 +69,7 @@
         self._state = state
 
     def handle(self, member: str, frame: Frame) -> PendingResponse:
-        """Handle a member's request; raise MalformedFrameError for a frame that is none."""
+        """Handle a member's request; raise MalformedMessageError for a frame that is none."""
         match frame:
             case ClaimRequest():
                 return self._claim(frame)
@@ -87,7 +87,7 @@
                 return self._register_page(frame)
             case EngineSetRequest():
                 return self._engine_set(frame)
-        raise MalformedFrameError("no request")
+        raise MalformedMessageError("no request")
 
     def _claim(self, request: ClaimRequest) -> PendingResponse:
         vote, entry = self._state.claims.claim(self._state.now_ms(), request.key, request.token)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -31,7 +31,6 @@
     ClaimRequest,
     FrameDecoder,
     Hello,
-    MalformedFrameError,
     VoteResponse,
     encode_frame,
 )
@@ -41,6 +40,7 @@
 from fordstair.replication.settings import ReplicationSettings
 from fordstair.replication.stored_records import load_state
 from fordstair.runtime.clock import UnixMs
+from fordstair.runtime.message_codec import MalformedMessageError
 from fordstair.store.errors import StoreError
 from fordstair.store.record import CorruptedRecord, Record
 from fordstair.store.record_file import RecordFile
@@ -378,7 +378,7 @@
     try:
         for start in range(0, len(data), step):
             got += decoder.feed(data[start : start + step])
-    except MalformedFrameError:
+    except MalformedMessageError:
         pass
     assert not got or got[0] == ClaimRequest(1, "k", "t")
 
@@ -548,7 +548,7 @@
 def test_costs_learned_by_one_module_serve_another_that_has_seen_nothing() -> None:
     rig = Rig(settings_of(instances=2))
     for _ in range(20):
-        request = rig.ask(0, 0.0, group=7.0)
+        request = rig.ask(0, 0.0, table_group=7.0)
         rig.end(request, work_ms=340.0, latency=400.0, memory_mb=50.0)
     values = dict(learned_values(rig.gateway))
     assert "class|quick|mean" in values
@@ -563,11 +563,11 @@
             "group|quick|nan": values["class|quick|mean"],
         },
     ) == len(values)
-    assert new.gateway.cache.forecast(0, 7.0, 0.0) == pytest.approx(340.0, rel=0.02)
+    assert new.gateway.cost_model.predict(0, 7.0, 0.0) == pytest.approx(340.0, rel=0.02)
     assert restore_values(new.gateway, values) == 0  # what it has goes first
-    request = new.ask(0, 0.0, group=7.0)
+    request = new.ask(0, 0.0, table_group=7.0)
     new.end(request, work_ms=3_400.0, latency=400.0)
-    assert new.gateway.cache.mean(0) > 400.0  # and what it sees counts at once
+    assert new.gateway.cost_model.class_mean(0) > 400.0  # and what it sees counts at once
     old, other = values["class|quick|mean"], values["class|quick|memory"]
     assert not differs_enough(old, old)
     assert differs_enough(old, other)
