--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -1,9 +1,9 @@
-"""The ledger among running coordinators: kill points, partitions, claims a second, catch-up.
+"""Replication among running coordinators: kill points, partitions, claims a second, catch-up.
 
     .venv/bin/python -m benchmarks.replication [--quick] [--seed N]
 
 Members are processes of the program on loopback, behind the lab's relay; claims are measured on services in
-one process with stores of their own, so that what is timed is the ledger and not a front. The last line is
+one process with stores of their own, so that what is timed is replication and not a front. The last line is
 one JSON object; ``broken`` holds what the checker found, and must be empty.
 """
 
@@ -21,174 +21,174 @@
 import trio
 
 from benchmarks.command import run as run_command
-from fordstair.lab.history import check
-from fordstair.lab.ledger_trial import kills, partitions, trial
+from fordstair.lab.load_history import find_violations
+from fordstair.lab.replication_faults import kill_members, partition_members
+from fordstair.lab.replication_trial import running_trial
 from fordstair.replication.claim_coordinator import SETTLE_TIMEOUT_S
 from fordstair.replication.claim_quorum import ClaimVerdict
 from fordstair.replication.service import ReplicationService, running_service
 from fordstair.replication.settings import ReplicationSettings
 
-FLEETS = 3  # of the trials that run side by side
-CLAIMANTS = 32  # tasks that claim at a time
+CONCURRENT_TRIALS = 3
+CLAIMANTS = 32  # tasks that claim concurrently
+OUTCOME = b"x" * 200
+LOADS_A_PROGRAM_TRIAL = 300
+FAULTS = {"kills": kill_members, "partitions": partition_members}
 
 
-async def history(kind: str, points: int, members: int, seed: int) -> dict[str, Any]:
-    """Play a trial to its end; return what was put to the test, and what was broken."""
+async def play_history(kind: str, points: int, members: int, seed: int) -> dict[str, Any]:
+    """Run a trial to its end; return what was put to the test, and what was broken."""
     with tempfile.TemporaryDirectory(prefix="rep") as folder:
-        async with trial(Path(folder), members, seed) as one:
-            ids = await (kills if kind == "kills" else partitions)(one, points)
-            copies = await one.settle_down(ids)
-    how = [each.how for each in one.operations if not each.final]
+        async with running_trial(Path(folder), members, seed) as trial:
+            load_ids = await FAULTS[kind](trial, points)
+            outcomes = await trial.settle_and_stop(load_ids)
+    results = [operation.result for operation in trial.operations if not operation.after_faults]
     return {
         "points": points,
-        "ids": len(ids),
-        "ran": sum(one.runs[id] for id in ids),
-        "operations": len(one.operations),
-        "ok": how.count("ok"),
-        "fail": how.count("fail"),
-        "unknown": how.count("unknown"),
-        "copied": sum(len(told) > 1 for told in copies.values()),
-        "broken": check(one.operations, one.runs, copies),
+        "ids": len(load_ids),
+        "ran": sum(trial.run_counts[load_id] for load_id in load_ids),
+        "operations": len(trial.operations),
+        "ok": results.count("ok"),
+        "fail": results.count("fail"),
+        "unknown": results.count("unknown"),
+        "copied": sum(len(replicas) > 1 for replicas in outcomes.values()),
+        "broken": find_violations(trial.operations, trial.run_counts, outcomes),
     }
 
 
-async def histories(kind: str, points: int, members: int, seed: int) -> dict[str, Any]:
-    """Play trials side by side; return their sums."""
-    told = list[dict[str, Any]]()
+async def play_histories(kind: str, points: int, members: int, seed: int) -> dict[str, Any]:
+    """Run trials concurrently; return their sums."""
+    played = list[dict[str, Any]]()
 
     async def play(number: int) -> None:
-        told.append(await history(kind, points // FLEETS, members, seed + number))
+        played.append(await play_history(kind, points // CONCURRENT_TRIALS, members, seed + number))
 
     async with trio.open_nursery() as nursery:
-        for number in range(FLEETS):
+        for number in range(CONCURRENT_TRIALS):
             nursery.start_soon(play, number)
-    return {name: sum((each[name] for each in told), [] if name == "broken" else 0) for name in told[0]}
+    return {name: sum((each[name] for each in played), [] if name == "broken" else 0) for name in played[0]}
 
 
 @asynccontextmanager
-async def fleet(count: int) -> AsyncIterator[list[ReplicationService]]:
+async def running_fleet(count: int) -> AsyncIterator[list[ReplicationService]]:
     """Run that many members of a new fleet in this process, each with a store of its own."""
     listeners = [await trio.open_tcp_listeners(0, host="127.0.0.1") for _ in range(count)]
     ports = [each[0].socket.getsockname()[1] for each in listeners]
     for each in listeners:
         await each[0].aclose()
-    holders = {f"m{n}": f"127.0.0.1:{port}" for n, port in enumerate(ports)}
+    members = {f"m{number}": f"127.0.0.1:{port}" for number, port in enumerate(ports)}
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="rep")))
-        ran = [
-            await stack.enter_async_context(
-                running_service(
-                    ReplicationSettings(
-                        "bench",
-                        name,
-                        holders,
-                        ("127.0.0.1", ports[n]),
-                        str(folder / name),
-                        exchange_interval_ms=300.0,
-                        max_pull_bytes_per_s=20e6,
-                        max_entries=300_000,
-                    ),
-                    n,
-                )
+        services = list[ReplicationService]()
+        for number, name in enumerate(members):
+            settings = ReplicationSettings(
+                "bench",
+                name,
+                members,
+                ("127.0.0.1", ports[number]),
+                str(folder / name),
+                exchange_interval_ms=300.0,
+                max_pull_bytes_per_s=20e6,
+                max_entries=300_000,
             )
-            for n, name in enumerate(holders)
-        ]
-        while any(each.state.claims.incomplete_reason for each in ran):
+            services.append(await stack.enter_async_context(running_service(settings, number)))
+        while any(service.state.claims.incomplete_reason for service in services):
             await trio.sleep(0.05)
-        yield ran
-
-
-async def claims(count: int, seconds: float, claimants: int = CLAIMANTS) -> dict[str, Any]:
-    """Claim and settle as fast as it goes, through all members alike."""
-    took = list[float]()
-    async with fleet(count) as members:
-        until = trio.current_time() + seconds
-
-        async def claimant(number: int) -> None:
-            n = 0
-            while trio.current_time() < until:
-                n += 1
-                member, began = members[(number + n) % count], time.perf_counter()
-                verdict, begun, _ = await member.claims.begin(f"t|{number}-{n}")
-                took.append(time.perf_counter() - began)
-                assert verdict is ClaimVerdict.GRANTED
-                assert begun is not None
-                await member.claims.settle(begun, b"x" * 200)
+        yield services
+
+
+async def measure_claims(count: int, seconds: float, claimants: int = CLAIMANTS) -> dict[str, Any]:
+    """Claim and settle as fast as possible, through all members alike."""
+    latencies_s = list[float]()
+    async with running_fleet(count) as services:
+        end_s = trio.current_time() + seconds
+
+        async def claim_and_settle(claimant: int) -> None:
+            number = 0
+            while trio.current_time() < end_s:
+                number += 1
+                service = services[(claimant + number) % count]
+                started_s = time.perf_counter()
+                result = await service.claims.begin(f"t|{claimant}-{number}")
+                latencies_s.append(time.perf_counter() - started_s)
+                assert result.verdict is ClaimVerdict.GRANTED
+                assert result.claim is not None
+                await service.claims.settle(result.claim, OUTCOME)
 
         async with trio.open_nursery() as nursery:
-            for number in range(claimants):
-                nursery.start_soon(claimant, number)
-        written = sum(each.state.file.written_bytes for each in members)
-        commits = sum(each.state.file.commits for each in members)
-        changes = 2 * len(took) * min(3, count)
-        files = sum(each.state.file.size_bytes for each in members)
-        links = sum(each.peers.sent_bytes for each in members)
+            for claimant in range(claimants):
+                nursery.start_soon(claim_and_settle, claimant)
+        written_bytes = sum(service.state.file.written_bytes for service in services)
+        commits = sum(service.state.file.commits for service in services)
+        changes = 2 * len(latencies_s) * min(3, count)
+        file_bytes = sum(service.state.file.size_bytes for service in services)
+        sent_bytes = sum(service.peers.sent_bytes for service in services)
     return {
-        "claims_per_s": round(len(took) / seconds),
-        "p50_ms": round(1e3 * statistics.median(took), 2),
-        "p99_ms": round(1e3 * statistics.quantiles(took, n=100)[98], 2),
+        "claims_per_s": round(len(latencies_s) / seconds),
+        "p50_ms": round(1e3 * statistics.median(latencies_s), 2),
+        "p99_ms": round(1e3 * statistics.quantiles(latencies_s, n=100)[98], 2),
         "changes_per_commit": round(changes / commits, 1),
-        "record_bytes_per_change": round(written / changes),
-        "file_bytes_per_record_byte": round(files / written, 2),
-        "link_bytes_per_claim": round(links / len(took)),
+        "record_bytes_per_change": round(written_bytes / changes),
+        "file_bytes_per_record_byte": round(file_bytes / written_bytes, 2),
+        "link_bytes_per_claim": round(sent_bytes / len(latencies_s)),
     }
 
 
-async def programs(gap: int, seed: int) -> dict[str, Any]:
+async def measure_programs(gap: int, seed: int) -> dict[str, Any]:
     """On running programs: what a load has the disks write, convergence after a cut, catch-up over a gap.
 
     Times for catch-up count from the member's start to the end of its exchange, its recovery among them.
     """
-    loads = 300
+    loads = LOADS_A_PROGRAM_TRIAL
     with tempfile.TemporaryDirectory(prefix="rep") as folder:
-        more = "kilobytes_per_s = 20000\nentries_most = 300000"
-        async with trial(Path(folder), 3, seed, more) as one:
-            written = one.written_bytes()
+        more_settings = "kilobytes_per_s = 20000\nentries_most = 300000"
+        async with running_trial(Path(folder), 3, seed, more_settings) as trial:
+            written_before = trial.written_bytes()
             for _ in range(loads):
-                await one.load("m0", one.new_id())
+                await trial.send_load("m0", trial.new_load_id())
             await trio.sleep(1.0)
-            written = one.written_bytes() - written
-            one.relay.part({"m2"}, {"m0", "m1"})
+            written_bytes = trial.written_bytes() - written_before
+            trial.relay.part({"m2"}, {"m0", "m1"})
             for _ in range(loads):
-                await one.load("m0", one.new_id())
-            await trio.sleep(SETTLE_TIMEOUT_S + 0.5)  # until nobody tells it any more of its own accord
-            one.relay.heal()
-            converged = await one.alike(60.0)
-            for name in one.names:
-                one.kill(name)
+                await trial.send_load("m0", trial.new_load_id())
+            await trio.sleep(SETTLE_TIMEOUT_S + 0.5)  # until nobody sends it outcomes any more
+            trial.relay.heal()
+            converged_s = await trial.wait_until_converged(60.0)
+            for name in trial.names:
+                trial.kill(name)
             for name in ("m0", "m1"):
-                one.preload(name, gap)
-            for name in one.names:
-                await one.start(name)
+                trial.preload(name, gap)
+            for name in trial.names:
+                await trial.start(name)
             with trio.fail_after(120.0):
-                took = await one.caught_up("m2", gap)
+                caught_up_s = await trial.wait_until_caught_up("m2", gap)
     return {
         "gap": gap,
-        "catch_up_s": round(took, 2),
+        "catch_up_s": round(caught_up_s, 2),
         "cut_loads": loads,
-        "converged_s": round(converged, 2),
-        "disk_bytes_per_load": round(written / loads),
+        "converged_s": round(converged_s, 2),
+        "disk_bytes_per_load": round(written_bytes / loads),
     }
 
 
 async def measure(quick: bool, seed: int) -> dict[str, Any]:
     """Return all figures."""
-    told: dict[str, Any] = {}
+    figures: dict[str, Any] = {}
     seconds = 2.0 if quick else 8.0
-    told["claims"] = {count: await claims(count, seconds) for count in (3, 5)}
-    print(f"claims: {json.dumps(told['claims'])}", flush=True)
-    told["alone"] = {count: await claims(count, seconds, 1) for count in (3, 5)}
-    print(f"alone: {json.dumps(told['alone'])}", flush=True)
-    told["programs"] = list[Any]()
-    for n, gap in enumerate((1_000,) if quick else (1_000, 10_000, 100_000)):
-        told["programs"].append(await programs(gap, seed + n))
-        print(f"programs: {json.dumps(told['programs'][-1])}", flush=True)
+    figures["claims"] = {count: await measure_claims(count, seconds) for count in (3, 5)}
+    print(f"claims: {json.dumps(figures['claims'])}", flush=True)
+    figures["alone"] = {count: await measure_claims(count, seconds, 1) for count in (3, 5)}
+    print(f"alone: {json.dumps(figures['alone'])}", flush=True)
+    figures["programs"] = list[Any]()
+    for number, gap in enumerate((1_000,) if quick else (1_000, 10_000, 100_000)):
+        figures["programs"].append(await measure_programs(gap, seed + number))
+        print(f"programs: {json.dumps(figures['programs'][-1])}", flush=True)
     for kind, points, members in (("kills", 6 if quick else 300, 3), ("partitions", 3 if quick else 51, 5)):
-        began = time.monotonic()
-        told[kind] = await histories(kind, points, members, seed) | {"members": members}
-        told[kind]["seconds"] = round(time.monotonic() - began)
-        print(f"{kind}: {json.dumps(told[kind])}", flush=True)
-    return told
+        started_s = time.monotonic()
+        figures[kind] = await play_histories(kind, points, members, seed) | {"members": members}
+        figures[kind]["seconds"] = round(time.monotonic() - started_s)
+        print(f"{kind}: {json.dumps(figures[kind])}", flush=True)
+    return figures
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/replication/test_service.py
@@ -0,0 +1,97 @@
+"""One member alone: a store that cannot be written, and messages that are none."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import trio
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from fordstair.replication.claim_quorum import ClaimVerdict
+from fordstair.replication.messages import (
+    ClaimRequest,
+    FrameDecoder,
+    Hello,
+    VoteResponse,
+    encode_frame,
+)
+from fordstair.replication.service import running_service
+from fordstair.replication.settings import ReplicationSettings
+from fordstair.runtime.message_codec import MalformedMessageError
+from fordstair.store.errors import StoreError
+
+FIXED = settings(max_examples=150, deadline=None, derandomize=True, database=None)
+
+
+def test_a_member_that_cannot_write_grants_nothing_and_says_so(tmp_path: Path) -> None:
+    async def scene() -> None:
+        told = ReplicationSettings("c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(tmp_path / "store"))
+        async with running_service(told, 1) as service:
+            with trio.fail_after(10.0):
+                while service.state.claims.incomplete_reason:
+                    await trio.sleep(0.01)
+            verdict, begun, _ = await service.claims.begin("t|a")
+            assert verdict is ClaimVerdict.GRANTED
+            assert begun is not None
+            await service.claims.settle(begun, b"done")
+            assert (await service.claims.begin("t|a"))[::2] == (ClaimVerdict.ALREADY_RUN, b"done")
+
+            def fails(records: object) -> None:
+                raise StoreError("no space left on device")
+
+            service.state.file.write = fails  # type: ignore[method-assign]
+            assert (await service.claims.begin("t|b"))[0] is ClaimVerdict.REJECTED
+            assert service.counts["writes_failed"] >= 1
+            assert (await service.claims.begin("t|a"))[
+                0
+            ] is ClaimVerdict.ALREADY_RUN  # what is known is still told
+
+    trio.run(scene)
+
+
+def test_strangers_and_noise_end_their_connection_alone(tmp_path: Path) -> None:
+    async def scene() -> None:
+        told = ReplicationSettings(
+            "c", "m", {"m": "127.0.0.1:1", "n": "127.0.0.1:2"}, ("127.0.0.1", 0), str(tmp_path / "store")
+        )
+        async with running_service(told, 1) as service:
+            for sent in (
+                b"GET / HTTP/1.1\r\n\r\n",
+                b"\xff" * 100,
+                encode_frame(ClaimRequest(1, "k", "t")),
+                encode_frame(Hello(0, "other", "n")),
+                encode_frame(Hello(0, "c", "stranger")),
+                encode_frame(Hello(0, "c", "n")) + b"\x00\x00\x00\x03\xc1\xc1\xc1",
+                encode_frame(Hello(0, "c", "n")) + encode_frame(VoteResponse(1, 0, "", None)),
+            ):
+                async with await trio.open_tcp_stream("127.0.0.1", service.port) as stream:
+                    await stream.send_all(sent)
+                    with trio.fail_after(5.0):
+                        assert await stream.receive_some(100) == b""
+            assert service.counts["malformed"] == 7
+            assert service.counts["foreign"] == 2
+            async with await trio.open_tcp_stream("127.0.0.1", service.port) as stream:
+                await stream.send_all(
+                    encode_frame(Hello(0, "c", "n")) + encode_frame(ClaimRequest(7, "k", "t"))
+                )
+                with trio.fail_after(5.0):
+                    (said,) = FrameDecoder().feed(await stream.receive_some(1_000))
+                assert isinstance(said, VoteResponse)
+                assert said.request_id == 7
+
+    trio.run(scene)
+
+
+@FIXED
+@given(st.binary(max_size=100), st.integers(1, 30))
+def test_a_decoder_of_noise_returns_frames_or_raises_malformed(noise: bytes, step: int) -> None:
+    decoder, good = FrameDecoder(), encode_frame(ClaimRequest(1, "k", "t"))
+    data = good + noise
+    got = []
+    try:
+        for start in range(0, len(data), step):
+            got += decoder.feed(data[start : start + step])
+    except MalformedMessageError:
+        pass
+    assert not got or got[0] == ClaimRequest(1, "k", "t")
--- /dev/null
+++ b/tests/replication/test_store.py
@@ -0,0 +1,118 @@
+"""The store: kills, torn tails, flipped bits and full disks."""
+
+from __future__ import annotations
+
+import os
+import resource
+import signal
+import sqlite3
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+from fordstair.replication.service import ReplicationService
+from fordstair.replication.settings import ReplicationSettings
+from fordstair.replication.stored_records import load_state
+from fordstair.store.errors import StoreError
+from fordstair.store.record import CorruptedRecord, Record
+from fordstair.store.record_file import RecordFile
+from tests.standins import ROOT
+
+
+def opened(path: Path) -> RecordFile:
+    disk = RecordFile(str(path))
+    disk.open()
+    return disk
+
+
+def test_what_was_written_is_there_after_a_kill_and_a_torn_tail_is_cut(tmp_path: Path) -> None:
+    """A process says each number once it is on disk, and is killed; bytes are then cut off its log."""
+    path = tmp_path / "store"
+    code = (
+        "import sys\n"
+        "from fordstair.store.record import Record\n"
+        "from fordstair.store.record_file import RecordFile\n"
+        "d = RecordFile(sys.argv[1]); d.open()\n"
+        "for n in range(100000):\n"
+        " d.write([Record('claim', b'%d' % n, b'v' * 50)]); print(n, flush=True)"
+    )
+    for cut in (0, 1, 700):
+        path.unlink(missing_ok=True)
+        process = subprocess.Popen([sys.executable, "-c", code, str(path)], cwd=ROOT, stdout=subprocess.PIPE)
+        assert process.stdout is not None
+        said = [process.stdout.readline() for _ in range(40)]
+        process.send_signal(signal.SIGKILL)
+        said += process.stdout.readlines()
+        process.wait()
+        last = max(int(line) for line in said if line.endswith(b"\n"))
+        log = Path(f"{path}-wal")
+        if cut:  # as if the machine had lost its power before the last of it was on disk
+            os.truncate(log, log.stat().st_size - cut)
+        disk = opened(path)
+        kept = {int(record.key) for record in disk.read(0.0) if isinstance(record, Record)}
+        assert not disk.newly_created
+        assert kept >= set(range(last + 1 if not cut else last - 1))
+        assert kept == set(range(len(kept)))  # what was kept is a beginning, never a hole
+        disk.close()
+
+
+def test_a_flipped_bit_is_found(tmp_path: Path) -> None:
+    path = tmp_path / "store"
+    disk = opened(path)
+    disk.write([Record("claim", b"k%d" % n, b"value-%d" % n) for n in range(50)])
+    disk.close()
+    data = bytearray(path.read_bytes())
+    data[data.index(b"value-17")] ^= 0x04
+    path.write_bytes(data)
+    disk = opened(path)
+    found = [record for record in disk.read(0.0) if isinstance(record, CorruptedRecord)]
+    assert [corrupted.key for corrupted in found] == [b"k17"]
+    disk.close()
+    service = ReplicationService(
+        ReplicationSettings("c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(path)), 1
+    )
+    service.state.merge_loaded(load_state(service.state.file, 0.0))
+    assert service.state.claims.incomplete_reason
+    assert service.counts["records_corrupted"] >= 1
+    service.state.file.close()
+
+
+def test_a_full_disk_refuses_and_a_file_that_cannot_be_used_is_named(tmp_path: Path) -> None:
+    disk = opened(tmp_path / "store")
+    disk.write([Record("claim", b"first", b"v")])
+    before = resource.getrlimit(resource.RLIMIT_FSIZE)
+    ignored = signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
+    try:
+        resource.setrlimit(resource.RLIMIT_FSIZE, (disk.size_bytes + 50_000, before[1]))
+        with pytest.raises(StoreError):
+            for number in range(200):
+                disk.write([Record("claim", b"n%d" % number, b"v" * 4_000)])
+    finally:
+        resource.setrlimit(resource.RLIMIT_FSIZE, before)
+        signal.signal(signal.SIGXFSZ, ignored)
+    disk.close()
+    disk = opened(tmp_path / "store")
+    kept = [record for record in disk.read(0.0) if isinstance(record, Record)]
+    assert kept[0].key == b"first"
+    assert all(record.value for record in kept)
+    disk.close()
+    (tmp_path / "noise").write_bytes(b"no database " * 500)
+    with pytest.raises(StoreError):
+        opened(tmp_path / "noise")
+    with pytest.raises(StoreError):
+        opened(tmp_path / "missing" / "store")
+    with sqlite3.connect(tmp_path / "newer") as newer:
+        newer.execute("PRAGMA user_version=99")
+    with pytest.raises(StoreError, match="version 99"):
+        opened(tmp_path / "newer")
+
+
+def test_expired_records_are_neither_read_nor_kept(tmp_path: Path) -> None:
+    disk = opened(tmp_path / "store")
+    disk.write([Record("claim", b"old", b"v", 100), Record("claim", b"new", b"v", 10_000)])
+    assert [record.key for record in disk.read(5_000.0)] == [b"new"]
+    assert disk.delete_expired(5_000.0) == 1
+    assert len(list(disk.read(0.0))) == 1
+    disk.close()
