--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from fordstair.budgets.whole import Part, Whole
     from fordstair.membership.configuration import MembershipConfig
-    from fordstair.replication.service import Ledger
+    from fordstair.replication.settings import ReplicationSettings
 
 MAX_FILE_BYTES = 1024 * 1024
 DEFAULT_ODATA_ROOT = "/odata"
@@ -193,12 +193,12 @@
     )
 
 
-def _ledger(file: File) -> Ledger | None:
+def _ledger(file: File) -> ReplicationSettings | None:
     if file.fleet is None or (table := file.fleet.ledger) is None:
         return None
-    from fordstair.replication.service import Ledger
+    from fordstair.replication.settings import ReplicationSettings
 
-    return Ledger(
+    return ReplicationSettings(
         file.fleet.cluster,
         member_of(file),
         dict(table.replica_addresses),
