--- a/fordstair/replication/engine_restoration.py
+++ b/fordstair/replication/engine_restoration.py
@@ -49,7 +49,7 @@
         zone=engine.entry.zone,
         cell=engine.entry.cell,
         kind=engine.entry.kind,
-        started_ms=engine.started.value if engine.started is not None else 0.0,
+        started_ms=engine.started_at.value if engine.started_at is not None else 0.0,
         weight=engine.entry.weight,
     )
 
@@ -58,5 +58,5 @@
     entry = EngineEntry(
         engine.name, EngineState.READY, engine.zone, engine.cell, engine.kind, weight=engine.weight
     )
-    started = UnixMs(started_ms) if started_ms > 0.0 else None
-    return Engine(entry, engine.address, engine.protocol, started)
+    started_at = UnixMs(started_ms) if started_ms > 0.0 else None
+    return Engine(entry, engine.address, engine.protocol, started_at)
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -18,8 +18,8 @@
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import AttemptRequest, Call, Engine, Query, QueryProgress
 from fordstair.decisions.engine_list import EngineEntry, EngineState, ListUpdateKind
-from fordstair.net.clients.odata_front import Reply
-from fordstair.net.clients.rpc_connection import RpcClient
+from fordstair.net.clients.odata_statements import PendingReply
+from fordstair.net.clients.rpc_connection import RpcConnection
 from fordstair.net.clients.rpc_front import RpcFront
 from fordstair.program import Program as Coordination
 from fordstair.runtime.counters import Counters
@@ -318,10 +318,10 @@
     class Fresh:
         socket = SimpleNamespace(fileno=lambda: -1, close=lambda: None)
 
-    def client(front: RpcFront, age_ms: float, asked: bool) -> RpcClient:
-        one = RpcClient(Fresh(), front.coordinator, 1_000)  # type: ignore[arg-type]
-        one.since_ms -= age_ms
-        one.asked = asked
+    def client(front: RpcFront, age_ms: float, asked: bool) -> RpcConnection:
+        one = RpcConnection(Fresh(), front.coordinator, 1_000)  # type: ignore[arg-type]
+        one.last_activity_ms -= age_ms
+        one.has_requested = asked
         front.clients.add(one)
         return one
 
@@ -330,9 +330,9 @@
         client(front, *each) for each in ((5.0, False), (900.0, True), (100.0, True), (700.0, False))
     )
     for goes in (silent, held, used, new):
-        assert front._make_room()
+        assert front._shed_one()
         assert goes not in front.clients
-    assert not front._make_room()
+    assert not front._shed_one()
 
 
 def test_a_connection_that_has_just_closed_is_no_trouble_to_those_that_need_room() -> None:
@@ -340,8 +340,8 @@
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         ours = await trio.open_tcp_stream(*listeners[0].socket.getsockname())
         front = RpcFront(Coordinator(parse(config()).settings, 1, {}, Deadlines(), Counters()))
-        front.clients_most = 1
-        closed = RpcClient(ours, front.coordinator, 1_000)
+        front.max_clients = 1
+        closed = RpcConnection(ours, front.coordinator, 1_000)
         front.clients.add(closed)
         ours.socket.close()  # its task has not come to its end yet
         theirs = await listeners[0].accept()
@@ -349,7 +349,7 @@
         await theirs.aclose()
         with trio.move_on_after(1.0):
             await front.serve(await trio.open_tcp_stream(*listeners[0].socket.getsockname()))
-        assert not front.coordinator.counters["client.turned_away"]
+        assert not front.coordinator.counters["client.rejected"]
         assert front.coordinator.counters["client.connections"] == 1
 
     play(scene)
@@ -392,7 +392,7 @@
             await nursery.start(coordinator.run)
             nursery.start_soon(front.serve, Pieces())  # type: ignore[arg-type]
             await trio.sleep(4.0)  # twice the time for one message
-            assert coordinator.counters["client.overdue"] == 0
+            assert coordinator.counters["client.idle_timeout"] == 0
             assert coordinator.counters["taken.lookup"] > 15
             assert [client.idle for client in front.clients] == [False]
             nursery.cancel_scope.cancel()
@@ -420,7 +420,7 @@
             self.closed += 1
 
     async def scene() -> None:
-        monkeypatch.setattr("fordstair.net.clients.rpc_connection.WRITE_MS", 50.0)
+        monkeypatch.setattr("fordstair.net.clients.client_limits.RPC_WRITE_TIMEOUT_MS", 50.0)
         coordinator = Coordinator(parse(config()).settings, 1, {}, Deadlines(), Counters())
         stream, front = Full(), RpcFront(coordinator)
         async with trio.open_nursery() as nursery:
@@ -429,7 +429,7 @@
             nursery.cancel_scope.cancel()
         assert stream.closed
         assert not front.clients
-        assert coordinator.counters["client.stuck"] == 1
+        assert coordinator.counters["client.write_stalled"] == 1
 
     play(scene)
 
@@ -458,12 +458,12 @@
         coordinator = Coordinator(settings, 1, {}, deadlines, counters)
         async with trio.open_nursery() as nursery:
             await nursery.start(coordinator.run)
-            coordinator.members(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "127.0.0.1:1")])
+            coordinator.update_engines(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "127.0.0.1:1")])
             query = Query("0" * 16, "lookup", 0, 0, 3000.0, b"")
             for _ in range(50):  # before the task has begun
-                coordinator.leave(coordinator.take(query, Reply()))
+                coordinator.client_disconnected(coordinator.submit(query, PendingReply()))
             for _ in range(5):  # a fault in the transport, here that there is none, ends the attempt as well
-                coordinator.take(query, Reply())
+                coordinator.submit(query, PendingReply())
             for _ in range(5):
                 await trio.lowlevel.checkpoint()
             gateway = coordinator.gateway
@@ -480,9 +480,11 @@
     async def scene() -> None:
         coordinator = Coordinator(parse(config()).settings, 1, {"rest": Nowhere()}, Deadlines(), Counters())
         for number in range(20):
-            coordinator.members(ListUpdateKind.DELTA, [Engine(EngineEntry(f"s-{number}"), "127.0.0.1:1")])
+            coordinator.update_engines(
+                ListUpdateKind.DELTA, [Engine(EngineEntry(f"s-{number}"), "127.0.0.1:1")]
+            )
             gone = EngineEntry(f"s-{number - 1}", EngineState.GONE)
-            coordinator.members(ListUpdateKind.DELTA, [Engine(gone, "127.0.0.1:1")])
+            coordinator.update_engines(ListUpdateKind.DELTA, [Engine(gone, "127.0.0.1:1")])
         assert list(coordinator.engines) == list(coordinator.gateway.engines) == ["s-19"]
 
     play(scene)
@@ -502,14 +504,14 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(one.deadlines.run)
             await nursery.start(one.coordinator.run)
-            reply = Reply()
-            one.coordinator.members(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
+            reply = PendingReply()
+            one.coordinator.update_engines(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
             one.coordinator.transports = {"rest": Endless()}
-            one.coordinator.take(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
+            one.coordinator.submit(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
             start = clock()
             await one.drain([])
             assert least_s < clock() - start < most_s
-            assert reply.later_ms is not None
+            assert reply.retry_after_ms is not None
             nursery.cancel_scope.cancel()
 
     trio.run(scene, clock=MockClock(autojump_threshold=0.0))
--- a/tests/wires/recordings.py
+++ b/tests/wires/recordings.py
@@ -117,7 +117,7 @@
         take = node.outgoing
 
         def outgoing() -> list[tuple[str, bytes]]:
-            out = take()
+            out = list(take())
             for to, datagram in out:
                 self._note(f"{name}>{to}".encode(), datagram)
             return out
--- a/tests/wires/test_store.py
+++ b/tests/wires/test_store.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from fordstair.net.clients.odata_model import Response
+from fordstair.net.clients.odata_messages import Response
 from fordstair.net.clients.repeatable_requests import ReplicatedIdempotencyStore, decode_response
 from fordstair.replication.claim_entry import ClaimEntry
 from fordstair.replication.engine_set import Dot, EngineSetState, ReplicatedEngine
