--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -92,7 +92,7 @@
                 max_entries=300_000,
             )
             services.append(await stack.enter_async_context(running_service(settings, number)))
-        while any(service.state.claims.incomplete_reason for service in services):
+        while any(service.state.claim_replica.incomplete_reason for service in services):
             await trio.sleep(0.05)
         yield services
 
@@ -109,11 +109,11 @@
                 number += 1
                 service = services[(claimant + number) % count]
                 started_s = time.perf_counter()
-                result = await service.claims.begin(f"t|{claimant}-{number}")
+                result = await service.claim_coordinator.begin(f"t|{claimant}-{number}")
                 latencies_s.append(time.perf_counter() - started_s)
                 assert result.verdict is ClaimVerdict.GRANTED
                 assert result.claim is not None
-                await service.claims.settle(result.claim, OUTCOME)
+                await service.claim_coordinator.settle(result.claim, OUTCOME)
 
         async with trio.open_nursery() as nursery:
             for claimant in range(claimants):
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -125,7 +125,7 @@
 
             named = replace(operator.ledger, member=operator.ledger.member or config.name)
             ledger = self.ledger = ReplicationService(named, config.seed)
-            self.odata.idempotency_store = ReplicatedIdempotencyStore(ledger.claims)
+            self.odata.idempotency_store = ReplicatedIdempotencyStore(ledger.claim_coordinator)
             self.counters.include("ledger", lambda: ledger.counts)
         if operator is not None and operator.fleet is not None:
             from fordstair.membership.transport import Membership
@@ -210,7 +210,7 @@
         def take_over() -> None:
             if told or self.command_channel.heard_ms > 0.0:
                 return
-            engines = restored.engines(self.anchor.now().value, ledger.state.engines)
+            engines = restored.engines(self.anchor.now().value, ledger.state.engine_set)
             here = {(each.entry, each.address) for each in self.coordinator.engines.values()}
             if engines and {(each.entry, each.address) for each in engines} != here:
                 log.warning("engines.restored", engines=len(engines))
@@ -219,7 +219,7 @@
         await ledger.loaded.wait()
         heard_ms = self.deadlines.clock()
         told = bool(self.coordinator.engines)
-        ledger.engines.on_received = take_over
+        ledger.engine_set_sync.on_received = take_over
         take_over()
         while True:
             self.listed = trio.Event()
@@ -227,7 +227,7 @@
             if (
                 heard_ms > 0.0
                 and self.coordinator.engines
-                and not await ledger.engines.update_from_registry(
+                and not await ledger.engine_set_sync.update_from_registry(
                     self.anchor.unix(heard_ms).value, replicated_engines(self.coordinator.engines.values())
                 )
             ):
@@ -242,16 +242,16 @@
         gateway = self.coordinator.gateway
 
         def take_over() -> None:
-            if taken := restore_values(gateway, ledger.registers.values()):
+            if taken := restore_values(gateway, ledger.register_sync.values()):
                 log.info("costs.taken_over", values=taken)
 
         await ledger.loaded.wait()
-        ledger.registers.on_received = take_over
+        ledger.register_sync.on_received = take_over
         take_over()
         while True:
             await self.deadlines.sleep(SHARE_MS)
-            values, known = list(learned_values(gateway)), ledger.registers.values()
-            await ledger.registers.set_values(
+            values, known = list(learned_values(gateway)), ledger.register_sync.values()
+            await ledger.register_sync.set_values(
                 [(key, value) for key, value in values if differs_enough(known.get(key), value)]
             )
 
--- a/fordstair/replication/anti_entropy.py
+++ b/fordstair/replication/anti_entropy.py
@@ -79,9 +79,12 @@
     async def _delete_forgotten(self) -> None:
         """Delete what has expired from the disk too; what cannot be deleted is retried at the next turn."""
         now_ms = self._state.now_ms()
-        self._state.claims.expire(now_ms)
-        self._state.registers.expire(now_ms)
-        for kind, replica in ((CLAIM_KIND, self._state.claims), (REGISTER_KIND, self._state.registers)):
+        self._state.claim_replica.expire(now_ms)
+        self._state.register_map.expire(now_ms)
+        for kind, replica in (
+            (CLAIM_KIND, self._state.claim_replica),
+            (REGISTER_KIND, self._state.register_map),
+        ):
             keys = replica.forgotten_keys
             replica.forgotten_keys = []
             if keys and not await self._state.put_records([deletion(kind, key) for key in keys]):
--- a/fordstair/replication/claim_coordinator.py
+++ b/fordstair/replication/claim_coordinator.py
@@ -61,7 +61,7 @@
 
     async def begin(self, key: str) -> ClaimResult:
         """Claim a key; a claim that is not granted is released in the background."""
-        replicas = self._state.claims.replicas_of(key)
+        replicas = self._state.claim_replica.replicas_of(key)
         handle = ClaimHandle(key, f"{self._token_prefix}:{next(self._numbers)}", replicas)
         quorum = ClaimQuorum(key, handle.token, replicas)
         self._state.counts["claims"] += 1
--- a/fordstair/replication/claim_recovery.py
+++ b/fordstair/replication/claim_recovery.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import math
 import random
 
 import trio
@@ -31,7 +32,7 @@
 
     async def run(self) -> None:
         """Return once this member may grant: all were heard, or each lost grant has expired by now."""
-        claims = self._state.claims
+        claims = self._state.claim_replica
         expired_at_s = trio.current_time() + self._state.settings.retention_ms / 1000.0
         while claims.incomplete_reason:
             if await self._pull_from_all() or trio.current_time() >= expired_at_s:
@@ -54,5 +55,7 @@
             return False
         if progress.incomplete and not progress.all_new_stores:
             return False
-        self._state.treat_store_as_new_for(FIRST_START_S if progress.all_new_stores else 0.0)
+        self._state.new_store_until_s = (
+            trio.current_time() + FIRST_START_S if progress.all_new_stores else -math.inf
+        )
         return True
--- a/fordstair/replication/claim_sync.py
+++ b/fordstair/replication/claim_sync.py
@@ -48,8 +48,8 @@
     async def exchange(self, member: str, progress: PullProgress) -> None:
         """Take in what a member has settled and this one has not; raise as ``pull`` does."""
         response = await self._peers.request(member, ClaimDigestsRequest, DigestsResponse)
-        self._state.claims.expire(self._state.now_ms())
-        differing = differing_ranges(self._state.claims.digests[member], response.digests)
+        self._state.claim_replica.expire(self._state.now_ms())
+        differing = differing_ranges(self._state.claim_replica.digests[member], response.digests)
         self.differing_ranges[member] = len(differing)
         await self.pull(member, differing, progress, include_unsettled=False)
 
@@ -109,14 +109,13 @@
 
     def _merge(self, entries: Iterable[tuple[str, ClaimEntry]]) -> Iterator[tuple[str, ClaimEntry]]:
         """Merge entries of which this member is a replica; yield those that changed something."""
-        state = self._state
-        latest_ms = (
-            state.now_ms() + MAX_CLOCK_SKEW_MS
-        )  # what is dated ahead of every clock would never expire
+        replica = self._state.claim_replica
+        # What is dated ahead of every clock would never expire.
+        latest_ms = self._state.now_ms() + MAX_CLOCK_SKEW_MS
         for key, entry in entries:
-            if entry.granted_ms >= latest_ms or state.settings.member not in state.claims.replicas_of(key):
+            if entry.granted_ms >= latest_ms or replica.member not in replica.replicas_of(key):
                 continue
-            merged = state.claims.merge(key, entry)
+            merged = replica.merge(key, entry)
             if merged is not None:
                 yield key, merged
 
--- a/fordstair/replication/engine_set_sync.py
+++ b/fordstair/replication/engine_set_sync.py
@@ -23,12 +23,12 @@
         self, registry_heard_ms: float, listed: Iterable[ReplicatedEngine]
     ) -> bool:
         """Follow what the registry lists, heard at a Unix time; False where the set is not on disk."""
-        self._state.engines.update_from_registry(self._state.now_ms(), registry_heard_ms, listed)
+        self._state.engine_set.update_from_registry(self._state.now_ms(), registry_heard_ms, listed)
         return await self._store()
 
     async def exchange(self, member: str) -> None:
         """Merge a member's set; raise PeerUnreachableError."""
-        engines = self._state.engines
+        engines = self._state.engine_set
         response = await self._peers.request(
             member, lambda request_id: EngineSetRequest(request_id, engines.digest), EngineSetResponse
         )
@@ -42,4 +42,4 @@
         self.on_received()
 
     async def _store(self) -> bool:
-        return await self._state.put_records([engine_set_record(self._state.engines.state)])
+        return await self._state.put_records([engine_set_record(self._state.engine_set.state)])
--- a/fordstair/replication/register_map.py
+++ b/fordstair/replication/register_map.py
@@ -39,7 +39,7 @@
         self.clock = HybridLogicalClock(member)
         self.retention_ms = retention_ms
         self.max_registers = max_registers
-        self.registers: dict[str, Register] = {}
+        self.by_key: dict[str, Register] = {}
         self.digests = [0] * RANGE_COUNT
         self.rejected = 0  # dated too far ahead of the clock here, or over ``max_registers``
         self.forgotten_keys: list[str] = []  # expired, and still on disk
@@ -47,15 +47,15 @@
 
     def set(self, wall_ms: float, key: str, value: bytes) -> Register | None:
         """Set a value here and now; return the register to write, None where the value is set already."""
-        before = self.registers.get(key)
+        before = self.by_key.get(key)
         if before is not None and before.value == value:
             return None
         return self.merge(wall_ms, key, Register(value, self.clock.now(wall_ms)))
 
     def merge(self, wall_ms: float, key: str, register: Register) -> Register | None:
         """Merge another copy; return it where it wins and is new here."""
-        before = self.registers.get(key)
-        if before is None and len(self.registers) >= self.max_registers:
+        before = self.by_key.get(key)
+        if before is None and len(self.by_key) >= self.max_registers:
             self.rejected += 1
             return None
         if not self.clock.observe(register.timestamp, wall_ms):
@@ -64,16 +64,16 @@
         if self._is_expired(wall_ms, register) or merge_registers(before, register) == before:
             return None
         self._toggle_digest(key, before)
-        self.registers[key] = register
+        self.by_key[key] = register
         self._ranges.put(key, register)
         self._toggle_digest(key, register)
         return register
 
     def expire(self, wall_ms: float) -> None:
         """Forget registers that were last set more than ``retention_ms`` ago."""
-        expired = [key for key, register in self.registers.items() if self._is_expired(wall_ms, register)]
+        expired = [key for key, register in self.by_key.items() if self._is_expired(wall_ms, register)]
         for key in expired:
-            self._toggle_digest(key, self.registers.pop(key))
+            self._toggle_digest(key, self.by_key.pop(key))
             self._ranges.remove(key)
             self.forgotten_keys.append(key)
 
--- a/fordstair/replication/register_sync.py
+++ b/fordstair/replication/register_sync.py
@@ -28,14 +28,14 @@
 
     def values(self) -> dict[str, bytes]:
         """Return all values by key."""
-        return {key: register.value for key, register in self._state.registers.registers.items()}
+        return {key: register.value for key, register in self._state.register_map.by_key.items()}
 
     async def set_values(self, values: Iterable[tuple[str, bytes]]) -> None:
         """Set values here and now; others get them by exchange. What cannot be written stays in memory."""
         now_ms = self._state.now_ms()
         changed = list[tuple[str, Register]]()
         for key, value in values:
-            register = self._state.registers.set(now_ms, key, value)
+            register = self._state.register_map.set(now_ms, key, value)
             if register is not None:
                 changed.append((key, register))
         await self._store(changed)
@@ -44,7 +44,7 @@
         """Take in what was set later than what is known here; raise PeerUnreachableError."""
         response = await self._peers.request(member, RegisterDigestsRequest, DigestsResponse)
         received = 0
-        for range_number in differing_ranges(self._state.registers.digests, response.digests):
+        for range_number in differing_ranges(self._state.register_map.digests, response.digests):
             received += await self._pull_range(member, range_number)
         if received:
             self._state.counts["values_taken"] += received
@@ -59,7 +59,7 @@
             page = await self._peers.request(member, request, RegisterPageResponse)
             changed = list[tuple[str, Register]]()
             for key, register in page.registers:
-                merged = self._state.registers.merge(self._state.now_ms(), key, register)
+                merged = self._state.register_map.merge(self._state.now_ms(), key, register)
                 if merged is not None:
                     changed.append((key, merged))
             await self._store(changed)
--- a/fordstair/replication/replica_state.py
+++ b/fordstair/replication/replica_state.py
@@ -32,26 +32,27 @@
     """Claims, registers and engines in memory, with the file that they are written to.
 
     Its clock follows real time: a step of the wall clock lets nothing expire, and retains nothing longer.
+    ``new_store_until_s`` is the time, by trio's clock, until which ``is_new_store`` holds.
     """
 
     def __init__(self, settings: ReplicationSettings, counts: Counter[str]) -> None:
         self.settings = settings
         self.counts = counts
-        self.claims = ClaimReplica(
+        self.claim_replica = ClaimReplica(
             settings.member,
             settings.members,
             settings.replication_factor,
             settings.retention_ms,
             settings.max_entries,
         )
-        self.claims.incomplete_reason = NOT_LOADED
-        self.registers = RegisterMap(settings.member, REGISTER_RETENTION_MS, MAX_REGISTERS)
-        self.engines = EngineSet(settings.member)
+        self.claim_replica.incomplete_reason = NOT_LOADED
+        self.register_map = RegisterMap(settings.member, REGISTER_RETENTION_MS, MAX_REGISTERS)
+        self.engine_set = EngineSet(settings.member)
         self.file = RecordFile(settings.store_path)
         self.writer = GroupCommitWriter(self.file)
         self.writer.unavailable_reason = NOT_LOADED
+        self.new_store_until_s = -math.inf
         self._clock = AnchoredClock()
-        self._new_store_until_s = -math.inf
 
     def now_ms(self) -> float:
         """Return the Unix time in milliseconds."""
@@ -60,16 +61,12 @@
     @property
     def unavailable_reason(self) -> str:
         """Why this member grants no claim at the moment; empty: it does."""
-        return self.claims.incomplete_reason or self.writer.unavailable_reason
+        return self.claim_replica.incomplete_reason or self.writer.unavailable_reason
 
     @property
     def is_new_store(self) -> bool:
         """Whether the store was made by this start, and no member was there that could have known more."""
-        return self._new_store_until_s > trio.current_time()
-
-    def treat_store_as_new_for(self, span_s: float) -> None:
-        """Let ``is_new_store`` hold from now on for so many seconds; none: no longer."""
-        self._new_store_until_s = trio.current_time() + span_s if span_s > 0.0 else -math.inf
+        return self.new_store_until_s > trio.current_time()
 
     # Writing
 
@@ -99,7 +96,7 @@
             except StoreCorruptedError as error:
                 log.error("store.damaged", why=error, kept_as=self.file.quarantine())
             except StoreError as error:
-                self.claims.incomplete_reason = str(error)
+                self.claim_replica.incomplete_reason = str(error)
                 self.writer.unavailable_reason = str(error)
                 log.error("store.cannot_open", why=error)
                 await trio.sleep(REOPEN_INTERVAL_S)
@@ -109,15 +106,15 @@
 
     def merge_loaded(self, loaded: LoadedState) -> None:
         """Merge what the store held with what was received while it was read."""
-        self.claims.load(loaded.entries)
+        self.claim_replica.load(loaded.entries)
         for key, register in loaded.registers:
-            self.registers.merge(self.now_ms(), key, register)
+            self.register_map.merge(self.now_ms(), key, register)
         if loaded.engine_set is not None:
-            self.engines.merge(self.now_ms(), loaded.engine_set)
+            self.engine_set.merge(self.now_ms(), loaded.engine_set)
         self.counts["records_corrupted"] += loaded.corrupted_records
         if self.file.newly_created:
-            self._new_store_until_s = math.inf
-        self.claims.incomplete_reason = loaded.incomplete_reason
+            self.new_store_until_s = math.inf
+        self.claim_replica.incomplete_reason = loaded.incomplete_reason
         self.writer.unavailable_reason = ""
         log.info(
             "ledger.loaded",
--- a/fordstair/replication/request_handler.py
+++ b/fordstair/replication/request_handler.py
@@ -90,14 +90,14 @@
         raise MalformedMessageError("no request")
 
     def _claim(self, request: ClaimRequest) -> PendingResponse:
-        vote, entry = self._state.claims.claim(self._state.now_ms(), request.key, request.token)
-        granted = VoteResponse(request.request_id, vote.status.value, vote.token, vote.outcome)
+        vote, entry = self._state.claim_replica.claim(self._state.now_ms(), request.key, request.token)
+        voted = VoteResponse(request.request_id, vote.status.value, vote.token, vote.outcome)
         # Where the write fails nobody knows what is on disk: the key stays granted, without a vote for it.
         failed = VoteResponse(request.request_id, VoteStatus.UNAVAILABLE.value, "", None)
-        return self._when_entry_written(granted, failed, request.key, entry)
+        return self._when_entry_written(voted, failed, request.key, entry)
 
     def _release(self, request: ReleaseRequest) -> PendingResponse:
-        released = self._state.claims.release(request.key, request.token)
+        released = self._state.claim_replica.release(request.key, request.token)
         records = [deletion(CLAIM_KIND, request.key)] if released else []
         return PendingResponse(
             WrittenResponse(request.request_id, True),
@@ -106,7 +106,9 @@
         )
 
     def _settle(self, request: SettleRequest) -> PendingResponse:
-        entry = self._state.claims.settle(self._state.now_ms(), request.key, request.token, request.outcome)
+        entry = self._state.claim_replica.settle(
+            self._state.now_ms(), request.key, request.token, request.outcome
+        )
         return self._when_entry_written(
             WrittenResponse(request.request_id, True),
             WrittenResponse(request.request_id, False),
@@ -115,11 +117,13 @@
         )
 
     def _claim_digests(self, member: str, request: ClaimDigestsRequest) -> PendingResponse:
-        self._state.claims.expire(self._state.now_ms())
-        return PendingResponse(DigestsResponse(request.request_id, list(self._state.claims.digests[member])))
+        self._state.claim_replica.expire(self._state.now_ms())
+        return PendingResponse(
+            DigestsResponse(request.request_id, list(self._state.claim_replica.digests[member]))
+        )
 
     def _claim_page(self, request: ClaimPageRequest) -> PendingResponse:
-        page = self._state.claims.page(
+        page = self._state.claim_replica.page(
             request.range_number,
             request.after_key,
             PAGE_BYTES,
@@ -130,21 +134,21 @@
                 request.request_id,
                 page.items,
                 page.more,
-                incomplete=bool(self._state.claims.incomplete_reason),
+                incomplete=bool(self._state.claim_replica.incomplete_reason),
                 new_store=self._state.is_new_store,
             )
         )
 
     def _register_digests(self, request: RegisterDigestsRequest) -> PendingResponse:
-        self._state.registers.expire(self._state.now_ms())
-        return PendingResponse(DigestsResponse(request.request_id, list(self._state.registers.digests)))
+        self._state.register_map.expire(self._state.now_ms())
+        return PendingResponse(DigestsResponse(request.request_id, list(self._state.register_map.digests)))
 
     def _register_page(self, request: RegisterPageRequest) -> PendingResponse:
-        page = self._state.registers.page(request.range_number, request.after_key, PAGE_BYTES)
+        page = self._state.register_map.page(request.range_number, request.after_key, PAGE_BYTES)
         return PendingResponse(RegisterPageResponse(request.request_id, page.items, page.more))
 
     def _engine_set(self, request: EngineSetRequest) -> PendingResponse:
-        engines = self._state.engines
+        engines = self._state.engine_set
         state = engines.state if request.digest != engines.digest else None
         return PendingResponse(EngineSetResponse(request.request_id, state, engines.registry_heard_ms))
 
--- a/fordstair/replication/service.py
+++ b/fordstair/replication/service.py
@@ -42,13 +42,19 @@
         self._tasks = BackgroundTasks(self.counts)
         self._handler = RequestHandler(self.state)
         self.peers = Peers(self.state, self._handler, self._tasks)
-        self.claims = ClaimCoordinator(self.state, self.peers, self._tasks, seed)
+        self.claim_coordinator = ClaimCoordinator(self.state, self.peers, self._tasks, seed)
         self.claim_sync = ClaimSync(self.state, self.peers)
-        self.registers = RegisterSync(self.state, self.peers)
-        self.engines = EngineSetSync(self.state, self.peers)
+        self.register_sync = RegisterSync(self.state, self.peers)
+        self.engine_set_sync = EngineSetSync(self.state, self.peers)
         self._recovery = ClaimRecovery(self.state, self.peers, self.claim_sync, rng)
         self._anti_entropy = AntiEntropy(
-            self.state, self.peers, self.claim_sync, self.registers, self.engines, self._tasks, rng
+            self.state,
+            self.peers,
+            self.claim_sync,
+            self.register_sync,
+            self.engine_set_sync,
+            self._tasks,
+            rng,
         )
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -218,7 +218,7 @@
                 self._unix(self._started_ms),
                 own=True,
                 health=swim.local_health.score,
-                entries=len(shared.state.claims.entries) if shared is not None else 0,
+                entries=len(shared.state.claim_replica.entries) if shared is not None else 0,
                 store_bytes=shared.state.file.size_bytes if shared is not None else 0,
                 doubted=shared.state.unavailable_reason if shared is not None else "",
             )
--- a/tests/replication/test_registers.py
+++ b/tests/replication/test_registers.py
@@ -39,11 +39,11 @@
     for member in members:
         for key, value in rng.sample(written * 2, 2 * len(written)):
             member.merge(1e6 + 100, key, value)
-    assert members[0].registers == members[1].registers == members[2].registers
+    assert members[0].by_key == members[1].by_key == members[2].by_key
     assert members[0].digests == members[1].digests == members[2].digests
     for member in members:
         member.expire(1e6 + 2e9)
-        assert not member.registers
+        assert not member.by_key
         assert not any(member.digests)
         assert member.forgotten_keys
 
--- a/tests/replication/test_service.py
+++ b/tests/replication/test_service.py
@@ -29,21 +29,21 @@
         told = ReplicationSettings("c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(tmp_path / "store"))
         async with running_service(told, 1) as service:
             with trio.fail_after(10.0):
-                while service.state.claims.incomplete_reason:
+                while service.state.claim_replica.incomplete_reason:
                     await trio.sleep(0.01)
-            verdict, begun, _ = await service.claims.begin("t|a")
+            verdict, begun, _ = await service.claim_coordinator.begin("t|a")
             assert verdict is ClaimVerdict.GRANTED
             assert begun is not None
-            await service.claims.settle(begun, b"done")
-            assert (await service.claims.begin("t|a"))[::2] == (ClaimVerdict.ALREADY_RUN, b"done")
+            await service.claim_coordinator.settle(begun, b"done")
+            assert (await service.claim_coordinator.begin("t|a"))[::2] == (ClaimVerdict.ALREADY_RUN, b"done")
 
             def fails(records: object) -> None:
                 raise StoreError("no space left on device")
 
             service.state.file.write = fails  # type: ignore[method-assign]
-            assert (await service.claims.begin("t|b"))[0] is ClaimVerdict.REJECTED
+            assert (await service.claim_coordinator.begin("t|b"))[0] is ClaimVerdict.REJECTED
             assert service.counts["writes_failed"] >= 1
-            assert (await service.claims.begin("t|a"))[
+            assert (await service.claim_coordinator.begin("t|a"))[
                 0
             ] is ClaimVerdict.ALREADY_RUN  # what is known is still told
 
--- a/tests/replication/test_store.py
+++ b/tests/replication/test_store.py
@@ -74,7 +74,7 @@
         ReplicationSettings("c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(path)), 1
     )
     service.state.merge_loaded(load_state(service.state.file, 0.0))
-    assert service.state.claims.incomplete_reason
+    assert service.state.claim_replica.incomplete_reason
     assert service.counts["records_corrupted"] >= 1
     service.state.file.close()
 
--- a/tests/wires/test_replication.py
+++ b/tests/wires/test_replication.py
@@ -115,9 +115,11 @@
         async with member(folder, peer) as service:
             while len(asked) < 7:  # the greeting, and each question of an exchange
                 await trio.sleep(0.01)
-            await service.registers.set_values([VALUE])
-            for number, done in enumerate((service.claims.settle, service.claims.release)):
-                _, begun, _ = await service.claims.begin(f"key {number}")
+            await service.register_sync.set_values([VALUE])
+            for number, done in enumerate(
+                (service.claim_coordinator.settle, service.claim_coordinator.release)
+            ):
+                _, begun, _ = await service.claim_coordinator.begin(f"key {number}")
                 await done(begun, *([b"outcome"] if number == 0 else []))
             stream = await trio.open_tcp_stream("127.0.0.1", service.port)
             await stream.send_all(frame([0, 0, "c", "m1"]))
