--- a/tests/replication/test_claims.py
+++ b/tests/replication/test_claims.py
@@ -41,46 +41,49 @@
 def test_no_key_runs_for_two_claims_whatever_is_lost_late_doubled_or_forgotten(
     seed: int, claimants: int, count: int
 ) -> None:
-    """Messages arrive in any order, some never, some twice; holders crash to what they had written."""
+    """Messages arrive in any order, some never, some twice; replicas crash to what they had written."""
     rng = random.Random(seed)
     names = tuple(f"h{number}" for number in range(count))
     memory = {name: ClaimReplica(name, names, count, 600_000.0, 100) for name in names}
     disk: dict[str, dict[str, ClaimEntry]] = {name: {} for name in names}
     claims = [ClaimQuorum("k", f"c{number}", names) for number in range(claimants)]
     verdicts: dict[str, ClaimVerdict] = {}
-    flights: list[tuple[str, int, str, Vote | None]] = [
-        ("ask", number, name, None) for number in range(claimants) for name in names for _ in (1, 2)
+    messages: list[tuple[str, int, str, Vote | None]] = [
+        ("claim", number, name, None) for number in range(claimants) for name in names for _ in (1, 2)
     ]
-    while flights:
-        kind, number, name, answer = flights.pop(rng.randrange(len(flights)))
-        claim, there = claims[number], memory[name]
+    while messages:
+        kind, number, name, vote = messages.pop(rng.randrange(len(messages)))
+        claim = claims[number]
+        replica_there = memory[name]
         if rng.random() < 0.15:
             continue  # lost
         if rng.random() < 0.1:  # a crash: only what is on disk comes back
-            memory[name] = there = ClaimReplica(name, names, count, 600_000.0, 100)
-            there.load(disk[name].items())
-        if kind == "ask":
-            said, entry = there.claim(1.0, "k", claim.token)
+            memory[name] = replica_there = ClaimReplica(name, names, count, 600_000.0, 100)
+            replica_there.load(disk[name].items())
+        if kind == "claim":
+            answer, entry = replica_there.claim(1.0, "k", claim.token)
             if entry is not None:
-                if rng.random() < 0.1:  # the write fails: granted in memory, and not said to be
-                    said = Vote(VoteStatus.UNAVAILABLE)
+                if rng.random() < 0.1:  # the write fails: granted in memory, without a vote for it
+                    answer = Vote(VoteStatus.UNAVAILABLE)
                 else:
                     disk[name]["k"] = entry
-            flights.append(("told", number, name, said))
-        elif kind == "told" and answer is not None and claim.token not in verdicts:
-            verdict = claim.record_vote(name, answer)
+            messages.append(("vote", number, name, answer))
+        elif kind == "vote" and vote is not None and claim.token not in verdicts:
+            verdict = claim.record_vote(name, vote)
             if verdict is None and rng.random() < 0.05:
                 verdict = claim.verdict(final=True)
             if verdict is not None:
                 verdicts[claim.token] = verdict
                 if verdict is not ClaimVerdict.GRANTED:
-                    flights += [("release", number, each, None) for each in names]
+                    messages += [("release", number, each, None) for each in names]
                 elif rng.random() < 0.5:
-                    flights += [("settle", number, each, None) for each in names]
+                    messages += [("settle", number, each, None) for each in names]
         elif kind == "release":
-            if there.release("k", claim.token):
+            if replica_there.release("k", claim.token):
                 disk[name].pop("k", None)
-        elif kind == "settle" and (written := there.settle(1.0, "k", claim.token, b"done")) is not None:
+        elif (
+            kind == "settle" and (written := replica_there.settle(1.0, "k", claim.token, b"done")) is not None
+        ):
             disk[name]["k"] = written
     assert sum(verdict is ClaimVerdict.GRANTED for verdict in verdicts.values()) <= 1, verdicts
 
--- a/tests/replication/test_service.py
+++ b/tests/replication/test_service.py
@@ -5,7 +5,8 @@
 from pathlib import Path
 
 import trio
-from hypothesis import given, settings
+from hypothesis import given
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from fordstair.replication.claim_quorum import ClaimVerdict
@@ -21,41 +22,45 @@
 from fordstair.runtime.message_codec import MalformedMessageError
 from fordstair.store.errors import StoreError
 
-FIXED = settings(max_examples=150, deadline=None, derandomize=True, database=None)
+FIXED = hypothesis_settings(max_examples=150, deadline=None, derandomize=True, database=None)
 
 
 def test_a_member_that_cannot_write_grants_nothing_and_says_so(tmp_path: Path) -> None:
     async def scene() -> None:
-        told = ReplicationSettings("c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(tmp_path / "store"))
-        async with running_service(told, 1) as service:
+        settings = ReplicationSettings(
+            "c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(tmp_path / "store")
+        )
+        async with running_service(settings, 1) as service:
             with trio.fail_after(10.0):
                 while service.state.claim_replica.incomplete_reason:
                     await trio.sleep(0.01)
-            verdict, begun, _ = await service.claim_coordinator.begin("t|a")
-            assert verdict is ClaimVerdict.GRANTED
-            assert begun is not None
-            await service.claim_coordinator.settle(begun, b"done")
-            assert (await service.claim_coordinator.begin("t|a"))[::2] == (ClaimVerdict.ALREADY_RUN, b"done")
+            coordinator = service.claim_coordinator
+            result = await coordinator.begin("t|a")
+            assert result.verdict is ClaimVerdict.GRANTED
+            assert result.claim is not None
+            await coordinator.settle(result.claim, b"done")
+            repeated = await coordinator.begin("t|a")
+            assert repeated.verdict is ClaimVerdict.ALREADY_RUN
+            assert repeated.outcome == b"done"
 
             def fails(records: object) -> None:
                 raise StoreError("no space left on device")
 
             service.state.file.write = fails  # type: ignore[method-assign]
-            assert (await service.claim_coordinator.begin("t|b"))[0] is ClaimVerdict.REJECTED
+            assert (await coordinator.begin("t|b")).verdict is ClaimVerdict.REJECTED
             assert service.counts["writes_failed"] >= 1
-            assert (await service.claim_coordinator.begin("t|a"))[
-                0
-            ] is ClaimVerdict.ALREADY_RUN  # what is known is still told
+            # What is known is still answered.
+            assert (await coordinator.begin("t|a")).verdict is ClaimVerdict.ALREADY_RUN
 
     trio.run(scene)
 
 
 def test_strangers_and_noise_end_their_connection_alone(tmp_path: Path) -> None:
     async def scene() -> None:
-        told = ReplicationSettings(
+        settings = ReplicationSettings(
             "c", "m", {"m": "127.0.0.1:1", "n": "127.0.0.1:2"}, ("127.0.0.1", 0), str(tmp_path / "store")
         )
-        async with running_service(told, 1) as service:
+        async with running_service(settings, 1) as service:
             for sent in (
                 b"GET / HTTP/1.1\r\n\r\n",
                 b"\xff" * 100,
@@ -76,9 +81,9 @@
                     encode_frame(Hello(0, "c", "n")) + encode_frame(ClaimRequest(7, "k", "t"))
                 )
                 with trio.fail_after(5.0):
-                    (said,) = FrameDecoder().feed(await stream.receive_some(1_000))
-                assert isinstance(said, VoteResponse)
-                assert said.request_id == 7
+                    (response,) = FrameDecoder().feed(await stream.receive_some(1_000))
+                assert isinstance(response, VoteResponse)
+                assert response.request_id == 7
 
     trio.run(scene)
 
--- a/tests/replication/test_store.py
+++ b/tests/replication/test_store.py
@@ -22,9 +22,9 @@
 
 
 def opened(path: Path) -> RecordFile:
-    disk = RecordFile(str(path))
-    disk.open()
-    return disk
+    file = RecordFile(str(path))
+    file.open()
+    return file
 
 
 def test_what_was_written_is_there_after_a_kill_and_a_torn_tail_is_cut(tmp_path: Path) -> None:
@@ -34,9 +34,9 @@
         "import sys\n"
         "from fordstair.store.record import Record\n"
         "from fordstair.store.record_file import RecordFile\n"
-        "d = RecordFile(sys.argv[1]); d.open()\n"
+        "file = RecordFile(sys.argv[1]); file.open()\n"
         "for n in range(100000):\n"
-        " d.write([Record('claim', b'%d' % n, b'v' * 50)]); print(n, flush=True)"
+        " file.write([Record('claim', b'%d' % n, b'v' * 50)]); print(n, flush=True)"
     )
     for cut in (0, 1, 700):
         path.unlink(missing_ok=True)
@@ -50,26 +50,26 @@
         log = Path(f"{path}-wal")
         if cut:  # as if the machine had lost its power before the last of it was on disk
             os.truncate(log, log.stat().st_size - cut)
-        disk = opened(path)
-        kept = {int(record.key) for record in disk.read(0.0) if isinstance(record, Record)}
-        assert not disk.newly_created
+        file = opened(path)
+        kept = {int(record.key) for record in file.read(0.0) if isinstance(record, Record)}
+        assert not file.newly_created
         assert kept >= set(range(last + 1 if not cut else last - 1))
         assert kept == set(range(len(kept)))  # what was kept is a beginning, never a hole
-        disk.close()
+        file.close()
 
 
 def test_a_flipped_bit_is_found(tmp_path: Path) -> None:
     path = tmp_path / "store"
-    disk = opened(path)
-    disk.write([Record("claim", b"k%d" % n, b"value-%d" % n) for n in range(50)])
-    disk.close()
+    file = opened(path)
+    file.write([Record("claim", b"k%d" % n, b"value-%d" % n) for n in range(50)])
+    file.close()
     data = bytearray(path.read_bytes())
     data[data.index(b"value-17")] ^= 0x04
     path.write_bytes(data)
-    disk = opened(path)
-    found = [record for record in disk.read(0.0) if isinstance(record, CorruptedRecord)]
+    file = opened(path)
+    found = [record for record in file.read(0.0) if isinstance(record, CorruptedRecord)]
     assert [corrupted.key for corrupted in found] == [b"k17"]
-    disk.close()
+    file.close()
     service = ReplicationService(
         ReplicationSettings("c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(path)), 1
     )
@@ -80,24 +80,24 @@
 
 
 def test_a_full_disk_refuses_and_a_file_that_cannot_be_used_is_named(tmp_path: Path) -> None:
-    disk = opened(tmp_path / "store")
-    disk.write([Record("claim", b"first", b"v")])
+    file = opened(tmp_path / "store")
+    file.write([Record("claim", b"first", b"v")])
     before = resource.getrlimit(resource.RLIMIT_FSIZE)
     ignored = signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
     try:
-        resource.setrlimit(resource.RLIMIT_FSIZE, (disk.size_bytes + 50_000, before[1]))
+        resource.setrlimit(resource.RLIMIT_FSIZE, (file.size_bytes + 50_000, before[1]))
         with pytest.raises(StoreError):
             for number in range(200):
-                disk.write([Record("claim", b"n%d" % number, b"v" * 4_000)])
+                file.write([Record("claim", b"n%d" % number, b"v" * 4_000)])
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, before)
         signal.signal(signal.SIGXFSZ, ignored)
-    disk.close()
-    disk = opened(tmp_path / "store")
-    kept = [record for record in disk.read(0.0) if isinstance(record, Record)]
+    file.close()
+    file = opened(tmp_path / "store")
+    kept = [record for record in file.read(0.0) if isinstance(record, Record)]
     assert kept[0].key == b"first"
     assert all(record.value for record in kept)
-    disk.close()
+    file.close()
     (tmp_path / "noise").write_bytes(b"no database " * 500)
     with pytest.raises(StoreError):
         opened(tmp_path / "noise")
@@ -110,9 +110,9 @@
 
 
 def test_expired_records_are_neither_read_nor_kept(tmp_path: Path) -> None:
-    disk = opened(tmp_path / "store")
-    disk.write([Record("claim", b"old", b"v", 100), Record("claim", b"new", b"v", 10_000)])
-    assert [record.key for record in disk.read(5_000.0)] == [b"new"]
-    assert disk.delete_expired(5_000.0) == 1
-    assert len(list(disk.read(0.0))) == 1
-    disk.close()
+    file = opened(tmp_path / "store")
+    file.write([Record("claim", b"old", b"v", 100), Record("claim", b"new", b"v", 10_000)])
+    assert [record.key for record in file.read(5_000.0)] == [b"new"]
+    assert file.delete_expired(5_000.0) == 1
+    assert len(list(file.read(0.0))) == 1
+    file.close()
