--- a/fordstair/replication/engine_restoration.py
+++ b/fordstair/replication/engine_restoration.py
@@ -58,5 +58,5 @@
     entry = EngineEntry(
         engine.name, EngineState.READY, engine.zone, engine.cell, engine.kind, weight=engine.weight
     )
-    started = UnixMs(started_ms) if started_ms > 0.0 else None
-    return Engine(entry, engine.address, engine.protocol, started)
+    started_at = UnixMs(started_ms) if started_ms > 0.0 else None
+    return Engine(entry, engine.address, engine.protocol, started_at)
