--- a/fordstair/cli/tables.py
+++ b/fordstair/cli/tables.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from fordstair.console.panes import PANES, Pane, Rows
-from fordstair.snapshots.snapshot import TABLES, Picture
+from fordstair.snapshots.snapshot import TABLES, Snapshot
 
 
 def shown(pane: Pane, lines: Rows) -> Table:
@@ -29,8 +29,8 @@
     """Print a table's rows, as the pane of that name shows them."""
     pane = next(each for each in PANES if each.name == name)
     views = {str(number): msgspec.convert(row, TABLES[name]) for number, row in enumerate(told)}
-    empty = Picture()
-    picture = Picture(1, at_ms, empty.site, empty.tables.set(name, empty.table(name).update(views)))
+    empty = Snapshot()
+    picture = Snapshot(1, at_ms, empty.site, empty.tables.set(name, empty.table(name).update(views)))
     Console().print(shown(pane, pane.rows(picture, time.time() * 1000.0, False)))
 
 
--- a/fordstair/console/app.py
+++ b/fordstair/console/app.py
@@ -28,7 +28,7 @@
     headline,
 )
 from fordstair.snapshots.publishing import Freshness
-from fordstair.snapshots.snapshot import Picture
+from fordstair.snapshots.snapshot import Snapshot
 
 AGAIN_S = 0.5  # between two tries to reach the program
 REFRESH_S = 0.25  # ages grow, and a lost feed is noticed, without a frame
@@ -69,7 +69,7 @@
         for name in self.pane.columns:
             self.add_column(name, key=name)
 
-    def show(self, picture: Picture, now_ms: float, stale: bool) -> None:
+    def show(self, picture: Snapshot, now_ms: float, stale: bool) -> None:
         """Bring the rows up to date; only cells that differ are touched."""
         rows = self.pane.rows(picture, now_ms, stale)
         keys = [key for key, _ in rows]
@@ -187,7 +187,7 @@
     def __init__(self, path: str, clock: Callable[[], tuple[float, float]] = clocks) -> None:
         super().__init__()
         self.path, self.clock = path, clock
-        self.picture, self.freshness = Picture(), Freshness()
+        self.picture, self.freshness = Snapshot(), Freshness()
         self.shown = ""  # the headline as it stands
 
     def compose(self) -> ComposeResult:
@@ -217,17 +217,17 @@
             try:
                 async for picture in pictures(self.path):
                     self.picture = picture
-                    self.freshness.heard(self.clock()[0], picture.at_ms)
+                    self.freshness.delta_received(self.clock()[0], picture.at_ms)
                     self.refresh_panes()
             except LinkError as error:
-                self.freshness.broken(str(error))
+                self.freshness.disconnected(str(error))
             self.refresh_panes()
             await asyncio.sleep(AGAIN_S)
 
     def refresh_panes(self) -> None:
         """Show the picture as it stands now."""
         mono, wall = self.clock()
-        stale = self.freshness.stale(mono, wall)
+        stale = self.freshness.staleness(mono, wall)
         line = self.query_one("#headline", Static)
         self.shown = headline(self.picture, wall, stale)
         line.update(self.shown)
@@ -266,7 +266,7 @@
         """Limit the marked class."""
         if not (class_name := self.query_one("#classes", Table).marked):
             return
-        limit = self.picture.table("classes")[class_name].limit
+        limit = self.picture.table("classes")[class_name].concurrency_limit
         text = await self.push_screen_wait(LimitBox(class_name, "no limit" if limit is None else str(limit)))
         if text is not None:
             threads = int(text) if text else None
--- a/fordstair/console/link.py
+++ b/fordstair/console/link.py
@@ -10,7 +10,7 @@
 
 import ujson
 
-from fordstair.snapshots.snapshot import Frame, Gap, Picture, decode, follow
+from fordstair.snapshots.snapshot import Snapshot, SnapshotDelta, SnapshotDeltaError, apply_delta, decode
 
 ANSWER_S = 5.0
 FRAME_BYTES = 16 * 1024 * 1024
@@ -55,12 +55,12 @@
             raise LinkError(f"{self.path}: {answer['error']}")
         return answer
 
-    def first_picture(self) -> Picture:
+    def first_picture(self) -> Snapshot:
         """Return the full picture, and read no further."""
         try:
             self._sock.sendall(FOLLOW)
-            return follow(Picture(), _frame(self._file.readline(FRAME_BYTES)))
-        except (OSError, Gap) as error:
+            return apply_delta(Snapshot(), _frame(self._file.readline(FRAME_BYTES)))
+        except (OSError, SnapshotDeltaError) as error:
             raise LinkError(f"{self.path}: {error}") from None
 
     def close(self) -> None:
@@ -81,7 +81,7 @@
         return link.ask(command, **fields)
 
 
-async def pictures(path: str) -> AsyncIterator[Picture]:
+async def pictures(path: str) -> AsyncIterator[Snapshot]:
     """Yield picture after picture; raise LinkError once the feed has ended."""
     try:
         reader, writer = await asyncio.open_unix_connection(path, limit=FRAME_BYTES)
@@ -89,21 +89,21 @@
         raise LinkError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
     try:
         writer.write(FOLLOW)
-        picture = Picture()
+        picture = Snapshot()
         while line := await reader.readline():
-            picture = follow(picture, _frame(line))
+            picture = apply_delta(picture, _frame(line))
             writer.write(TAKEN)
             yield picture
-    except (OSError, ValueError, Gap) as error:
+    except (OSError, ValueError, SnapshotDeltaError) as error:
         raise LinkError(f"{path}: {error}") from None
     finally:
         writer.close()
     raise LinkError(f"{path}: the feed has ended")
 
 
-def _frame(line: bytes) -> Frame:
+def _frame(line: bytes) -> SnapshotDelta:
     if line.startswith(b'{"error"'):
-        raise Gap(str(ujson.loads(line)["error"]))
+        raise SnapshotDeltaError(str(ujson.loads(line)["error"]))
     return decode(line)
 
 
--- a/fordstair/console/panes.py
+++ b/fordstair/console/panes.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from fordstair.snapshots.snapshot import EngineView, MemberView, Picture
+from fordstair.snapshots.snapshot import EngineView, MemberView, Snapshot
 
 Rows = list[tuple[str, tuple[str, ...]]]  # key and cells
 
@@ -21,7 +21,7 @@
     name: str
     title: str
     columns: tuple[str, ...]
-    rows: Callable[[Picture, float, bool], Rows]
+    rows: Callable[[Snapshot, float, bool], Rows]
     right: frozenset[str] = frozenset()
 
 
@@ -47,14 +47,14 @@
 def state_of(view: EngineView, now_ms: float, stale: bool) -> str:
     """Name an engine's state, with what belongs to it."""
     text = {
-        "silent": f"silent {age(view.heard_ms, now_ms)}",
-        "warming": f"warming {view.warmth:.0%}",
+        "silent": f"silent {age(view.last_response_ms, now_ms)}",
+        "warming": f"warming {view.warm_up_factor:.0%}",
         "aside": "set aside",
     }.get(view.state, view.state)
     return f"{text}?" if stale else text
 
 
-def _engines(picture: Picture, now_ms: float, stale: bool) -> Rows:
+def _engines(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
     views: list[EngineView] = picture.rows("engines")
     return [
         (
@@ -62,33 +62,33 @@
             (
                 view.id,
                 state_of(view, now_ms, stale),
-                age(view.changed_ms, now_ms),
-                str(view.out),
-                f"{view.threads}/{view.cores:g}",
+                age(view.state_since_ms, now_ms),
+                str(view.in_flight),
+                f"{view.threads_in_flight}/{view.cores:g}",
                 f"{view.load:.2f}",
-                age(view.report_ms, now_ms),
-                f"{view.trust:.0%}",
-                age(view.heard_ms, now_ms),
-                "" if view.priorities else "no priorities",
+                age(view.last_report_ms, now_ms),
+                f"{view.health_score:.0%}",
+                age(view.last_response_ms, now_ms),
+                "" if view.supports_priorities else "no priorities",
             ),
         )
         for view in views
     ]
 
 
-def _classes(picture: Picture, now_ms: float, stale: bool) -> Rows:
+def _classes(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             view.name,
             (
                 view.name,
-                str(view.open),
-                str(view.out),
-                str(view.threads),
-                "-" if view.limit is None else str(view.limit),
-                age(view.oldest_ms, now_ms) if view.open else "-",
+                str(view.open_requests),
+                str(view.in_flight),
+                str(view.threads_in_flight),
+                "-" if view.concurrency_limit is None else str(view.concurrency_limit),
+                age(view.oldest_received_ms, now_ms) if view.open_requests else "-",
                 str(view.served),
-                str(view.refused),
+                str(view.rejected),
                 str(view.failed),
             ),
         )
@@ -96,35 +96,35 @@
     ]
 
 
-def _teams(picture: Picture, now_ms: float, stale: bool) -> Rows:
+def _teams(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             view.name,
             (
                 view.name,
-                str(view.open),
-                str(view.out),
-                str(view.threads),
-                age(view.oldest_ms, now_ms) if view.open else "-",
-                "-" if view.wait_ms is None else span(view.wait_ms),
+                str(view.open_requests),
+                str(view.in_flight),
+                str(view.threads_in_flight),
+                age(view.oldest_received_ms, now_ms) if view.open_requests else "-",
+                "-" if view.expected_wait_ms is None else span(view.expected_wait_ms),
             ),
         )
         for view in picture.rows("teams")
     ]
 
 
-def _requests(picture: Picture, now_ms: float, stale: bool) -> Rows:
+def _requests(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
     views = picture.rows("requests")
     return [
         (
             str(view.id),
             (
-                view.txn,
+                view.transaction_id,
                 view.class_name,
                 view.team,
-                age(view.taken_ms, now_ms),
+                age(view.received_ms, now_ms),
                 span(view.deadline_ms - now_ms),
-                str(view.attempts),
+                str(view.attempt_count),
                 view.engine or "waits",
             ),
         )
@@ -132,7 +132,7 @@
     ]
 
 
-def _refusals(picture: Picture, now_ms: float, stale: bool) -> Rows:
+def _refusals(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
     views = picture.rows("refusals")
     return [
         (
@@ -143,25 +143,27 @@
     ]
 
 
-def _adjustments(picture: Picture, now_ms: float, stale: bool) -> Rows:
+def _adjustments(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
     views = picture.rows("adjustments")
     return [
-        (view.target, (view.target, view.what, view.who, age(view.at_ms, now_ms), "until restart"))
+        (view.target, (view.target, view.effect, view.author, age(view.applied_ms, now_ms), "until restart"))
         for view in views
     ]
 
 
-def _members(picture: Picture, now_ms: float, stale: bool) -> Rows:
+def _members(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             view.name,
             (
-                f"{view.name} (here)" if view.own else view.name,
+                f"{view.name} (here)" if view.is_self else view.name,
                 f"{view.state}?" if stale else view.state,
                 age(view.since_ms, now_ms),
                 str(view.incarnation),
-                f"{view.accusers} for {span(view.until_ms - now_ms)}" if view.until_ms else "-",
-                view.by if not view.own else "-",
+                f"{view.accusers} for {span(view.suspicion_ends_ms - now_ms)}"
+                if view.suspicion_ends_ms
+                else "-",
+                view.reported_by if not view.is_self else "-",
                 view.address,
                 _member_note(view),
             ),
@@ -171,28 +173,30 @@
 
 
 def _member_note(view: MemberView) -> str:
-    if not view.own:
-        notes = ["only through others"] if view.cut_off else []
-        return ", ".join(notes + ([f"ledger differs in {view.behind} ranges"] if view.behind else []))
-    notes = [f"health {view.health}"]
+    if not view.is_self:
+        notes = ["only through others"] if view.reachable_only_indirectly else []
+        return ", ".join(
+            notes + ([f"ledger differs in {view.ranges_behind} ranges"] if view.ranges_behind else [])
+        )
+    notes = [f"health {view.awareness_score}"]
     if view.store_bytes:
-        notes.append(f"ledger {view.entries} loads, {view.store_bytes / 1e6:.1f} MB")
-    return ", ".join(notes + ([f"grants nothing: {view.doubted}"] if view.doubted else []))
+        notes.append(f"ledger {view.ledger_entries} loads, {view.store_bytes / 1e6:.1f} MB")
+    return ", ".join(notes + ([f"grants nothing: {view.ledger_fault}"] if view.ledger_fault else []))
 
 
-def _shares(picture: Picture, now_ms: float, stale: bool) -> Rows:
+def _shares(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             f"{view.member}|{view.budget}",
             (
                 view.budget,
-                f"{view.member} (here)" if view.own else view.member,
-                f"{view.share:g}",
-                f"{view.out:g}" if view.own else "-",
-                f"{view.wants:g}",
-                f"{view.floor:g}" if view.own else "-",
-                f"{view.whole:g}",
-                span(view.until_ms - now_ms) if view.until_ms > now_ms else "floor alone",
+                f"{view.member} (here)" if view.is_self else view.member,
+                f"{view.quota:g}",
+                f"{view.in_use:g}" if view.is_self else "-",
+                f"{view.demand:g}",
+                f"{view.guaranteed_quota:g}" if view.is_self else "-",
+                f"{view.total:g}",
+                span(view.lease_expires_ms - now_ms) if view.lease_expires_ms > now_ms else "floor alone",
                 view.leader or "nobody known",
             ),
         )
@@ -200,7 +204,7 @@
     ]
 
 
-def _notes(picture: Picture, now_ms: float, stale: bool) -> Rows:
+def _notes(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (str(note.number), (age(note.at_ms, now_ms), note.level, note.text))
         for note in reversed(picture.notes)
@@ -261,14 +265,14 @@
 PANES = (ENGINES, CLASSES, TEAMS, REQUESTS, REFUSALS, ADJUSTMENTS, MEMBERS, SHARES, LOG)
 
 
-def headline(picture: Picture, now_ms: float, stale: str) -> str:
+def headline(picture: Snapshot, now_ms: float, stale: str) -> str:
     """Return the line at the top; STALE comes first, so that it is seen on the narrowest terminal."""
     site = picture.site
     if not picture.number:
         return f"STALE {stale}"
-    waits = site.open - site.out
+    waits = site.open_requests - site.in_flight
     text = (
-        f"{site.name}  up {age(site.started_ms, now_ms)}  open {site.open}  waiting {waits}"
+        f"{site.name}  up {age(site.started_ms, now_ms)}  open {site.open_requests}  waiting {waits}"
         f"  picture {picture.number}, {age(picture.at_ms, now_ms)} old"
     )
     if site.draining:
--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -1,4 +1,4 @@
-"""Requests wait here for their turn, before the module hears of them; the order is the scheduler's."""
+"""Requests wait here until the scheduler releases them to the decision module."""
 
 from __future__ import annotations
 
@@ -7,22 +7,30 @@
 import trio
 
 from fordstair.core.live_request import LiveRequest
+from fordstair.core.preemption_control import PreemptionControl
 from fordstair.scheduling.later import Places
-from fordstair.scheduling.preemption import Preemption, Runs
 from fordstair.scheduling.queues import Item
 from fordstair.scheduling.scheduler import Refused, Room, Scheduler, Told, last_start
+from fordstair.scheduling.waits import Cap, Meter
 
 if TYPE_CHECKING:
     from fordstair.budgets.caps import Caps
     from fordstair.core.coordinator import Coordinator
 
-PREEMPT_MS = 200.0  # between two looks at who runs beyond a budget
-TICK_MS = 20.0  # between two looks while something waits: room also comes without an end, as pressure falls
-LATER_LEAST_MS = 100.0
+CHECK_INTERVAL_MS = 20.0  # while something waits: capacity also returns without an end, as pressure falls
+SHORTEST_RETRY_AFTER_MS = 100.0
 
 
 class AdmissionQueue:
-    """Puts a scheduler before one coordinator's module."""
+    """Puts a scheduler before one coordinator's decision module.
+
+    Args:
+        coordinator: whose requests wait here.
+        scheduler: decides on the order, and on what is shed.
+        threads_a_core: threads that engines are given at a time, for each of their cores.
+        caps: this coordinator's quotas of the fleet's budgets; None where there are none.
+        seed: of the random spread of Retry-After times.
+    """
 
     def __init__(
         self,
@@ -32,171 +40,155 @@
         caps: Caps | None = None,
         seed: int = 1,
     ) -> None:
-        self.coordinator, self.scheduler, self.threads_a_core = coordinator, scheduler, threads_a_core
-        self.caps, self.places = caps, Places(seed)  # this coordinator's part of a fleet's budgets, if any
-        self._lives: dict[int, LiveRequest] = {}
-        self._ticking = False
-        self.preemption, self._preempted_ms = Preemption(), 0.0
+        self.coordinator = coordinator
+        self.scheduler = scheduler
+        self.threads_a_core = threads_a_core
+        self.caps = caps
+        self._retry_after = Places(seed)
+        self._waiting: dict[int, LiveRequest] = {}
+        self._check_scheduled = False
+        self._preemption = PreemptionControl(coordinator, scheduler)
 
     def __len__(self) -> int:
-        return len(self._lives)
+        return len(self._waiting)
 
     async def wait(self, live: LiveRequest) -> None:
-        """Wait until the module has been told of the request, or it is over."""
-        told, now = self.coordinator.arrival_event(live), self.coordinator.deadlines.clock()
-        gateway, spec = self.coordinator.gateway, self.coordinator.settings.classes[told.class_index]
-        work_ms = gateway.cache.forecast(told.class_index, told.group, told.cost_ms)
+        """Wait until the decision module has been told of the request, or it is finished."""
+        now = self._now()
+        request = self._described(live, now)
         self._resize()
-        caps = () if self.caps is None else self.caps.binding(now, told.tenant, told.class_index)
-        admission = self.scheduler.arrive(
-            Told(
-                live.id,
-                told.tenant,
-                told.class_index,
-                spec.threads,
-                work_ms,
-                last_start(spec, work_ms, now, live.deadline_ms),
-                caps,
-            ),
-            now,
-        )
+        admission = self.scheduler.arrive(request, now)
         if self.caps is not None:
-            self.caps.arrives(now, told.tenant, told.class_index, spec.threads)
+            self.caps.arrives(now, request.team, request.class_index, request.threads)
         if admission.refused is not None:
-            self._gives_up(live)
-            return self._refuse(live, admission.refused, admission.wait.likely_ms)
-        if (gone := admission.evicted) is not None and (victim := self._lives.pop(gone.id, None)) is not None:
-            self._gives_up(victim)
-            self._refuse(victim, Refused.MADE_ROOM, self.scheduler.wait_for_room().likely_ms)
-        self._lives[live.id] = live
+            self._withdraw_demand(live)
+            return self._reject(live, admission.refused, admission.wait.likely_ms)
+        if (evicted := admission.evicted) is not None:
+            self._reject_waiting(evicted.id, Refused.MADE_ROOM)
+        self._waiting[live.id] = live
         self.release()
-        while live.id in self._lives:
+        while live.id in self._waiting:
             live.wakeup = trio.Event()
-            self._tick()
+            self._schedule_check()
             await live.wakeup.wait()
 
     def remove(self, live: LiveRequest) -> bool:
-        """Take a request out, in the table and in the queue alike; whether it waited here."""
-        if self._lives.pop(live.id, None) is None:
+        """Take a request out, here and at the scheduler alike; return whether it waited here."""
+        if self._waiting.pop(live.id, None) is None:
             return False
         self.scheduler.leave(live.id)
-        self._gives_up(live)
+        self._withdraw_demand(live)
         return True
 
     def release(self) -> None:
-        """Hand to the module what has its turn and fits, one by one: each takes room from the next."""
-        now = self.coordinator.deadlines.clock()
+        """Hand what has its turn and fits to the decision module, one by one: each takes capacity."""
+        now = self._now()
         for item in self.scheduler.overdue(now):
-            if (live := self._lives.pop(item.id, None)) is not None:
-                self._gives_up(live)
-                self._refuse(live, Refused.TOO_LATE, self.scheduler.wait_for_room().likely_ms)
+            self._reject_waiting(item.id, Refused.TOO_LATE)
         while (released := self.scheduler.release(now, self._room)) is not None:
-            live = self._lives.pop(released.id)
+            live = self._waiting.pop(released.id)
             if self.caps is not None:
                 self.caps.starts(now, released.id, released.team, released.class_index, released.threads)
-            self.coordinator.counters.add("turns.released")
+            self.coordinator.counters.add("admission_queue.released")
             self.coordinator.dispatch(self.coordinator.arrival_event(live))
             live.wakeup.set()
 
     def request_finished(self, live: LiveRequest) -> None:
-        """A request is over: what it held is settled, and others may have their turn."""
+        """A request's task has ended: settle what it used, and release others."""
         self.remove(live)
+        now = self._now()
         if self.caps is not None:
-            self.caps.ends(self.coordinator.deadlines.clock(), live.id)
-        self.scheduler.ended(live.id, self.coordinator.deadlines.clock(), live.used_thread_ms)
+            self.caps.ends(now, live.id)
+        self.scheduler.ended(live.id, now, live.used_thread_ms)
         self.release()
 
     def withdraw(self, live: LiveRequest) -> bool:
-        """The program ends: whether the request was waiting here, and is answered."""
+        """The program ends: reject the request if it waits here; return whether it did."""
         if not self.remove(live):
             return False
-        self._refuse(live, Refused.ENDING, 0.0)
+        self._reject(live, Refused.ENDING, 0.0)
         return True
 
-    def _gives_up(self, live: LiveRequest) -> None:
+    def expected_wait(self, team: int) -> tuple[int, float]:
+        """Return how many requests of a team wait, and how long in ms one of the first class would."""
+        threads = self.coordinator.settings.classes[0].threads
+        waiting = sum(live.query.tenant_index == team for live in self._waiting.values())
+        return waiting, self.scheduler.outlook(team, 0, threads, self._now()).likely_ms
+
+    def _now(self) -> float:
+        return self.coordinator.deadlines.clock()
+
+    def _described(self, live: LiveRequest, now: float) -> Told:
+        """Return a request as the scheduler is told of it."""
+        arrival = self.coordinator.arrival_event(live)
+        spec = self.coordinator.settings.classes[arrival.class_index]
+        work_ms = self.coordinator.gateway.cache.forecast(arrival.class_index, arrival.group, arrival.cost_ms)
+        caps: tuple[Cap | Meter, ...] = ()
         if self.caps is not None:
-            threads = self.coordinator.settings.classes[live.query.class_index].threads
-            self.caps.gives_up(live.query.tenant_index, live.query.class_index, threads)
+            caps = self.caps.binding(now, arrival.tenant, arrival.class_index)
+        return Told(
+            live.id,
+            arrival.tenant,
+            arrival.class_index,
+            spec.threads,
+            work_ms,
+            last_start(spec, work_ms, now, live.deadline_ms),
+            caps,
+        )
 
     def _room(self, item: Item) -> Room:
-        gateway = self.coordinator.gateway
+        """Return whether a request could go now: to the fleet's budgets first, then to the engines."""
         if self.caps is not None and not self.caps.fits(
-            self.coordinator.deadlines.clock(), item.team, item.class_index, item.threads
+            self._now(), item.team, item.class_index, item.threads
         ):
             return Room.BUDGET_FULL
-        if gateway.has_room(self.coordinator.arrival_event(self._lives[item.id])):
+        gateway = self.coordinator.gateway
+        if gateway.has_room(self.coordinator.arrival_event(self._waiting[item.id])):
             return Room.FITS
         return Room.CLASS_FULL if item.class_index in gateway.limits else Room.FULL
 
-    def _refuse(self, live: LiveRequest, why: Refused, later_ms: float) -> None:
-        """Answer at once, with the time from which there is room: nothing of it ever ran."""
+    def _reject_waiting(self, request: int, reason: Refused) -> None:
+        """Reject a request that the scheduler has taken out already."""
+        if (live := self._waiting.pop(request, None)) is not None:
+            self._withdraw_demand(live)
+            self._reject(live, reason, self.scheduler.wait_for_room().likely_ms)
+
+    def _reject(self, live: LiveRequest, reason: Refused, wait_ms: float) -> None:
+        """Answer at once, with the time after which there is capacity: nothing of it ever ran."""
         settings = self.coordinator.settings
-        later = self.places.next(
-            self.coordinator.deadlines.clock(),
-            max(LATER_LEAST_MS, later_ms),
+        retry_after_ms = self._retry_after.next(
+            self._now(),
+            max(SHORTEST_RETRY_AFTER_MS, wait_ms),
             self.scheduler.turns_a_ms,
             settings.max_retry_after_ms,
         )
-        self.coordinator.reject(live, later if settings.sends_retry_after else 0.0, why.value)
+        self.coordinator.requests.reject(
+            live, retry_after_ms if settings.sends_retry_after else 0.0, reason.value
+        )
+
+    def _withdraw_demand(self, live: LiveRequest) -> None:
+        """Take a request that will not run off what this coordinator asks of the fleet's budgets."""
+        if self.caps is not None:
+            query = live.query
+            threads = self.coordinator.settings.classes[query.class_index].threads
+            self.caps.gives_up(query.tenant_index, query.class_index, threads)
 
     def _resize(self) -> None:
-        """Follow the engines that take new work."""
-        cores = sum(e.cores for e in self.coordinator.gateway.open_to(0))
-        capacity = max(1.0, cores * self.threads_a_core / self.coordinator.settings.instances)
-        if capacity != self.scheduler.budgets.capacity:
-            self.scheduler.budgets.resize(capacity)
-
-    def _tick(self) -> None:
-        if not self._ticking and self._lives:
-            self._ticking = True
-            self.coordinator.deadlines.after(TICK_MS, self._look)
-
-    def _look(self) -> None:
-        self._ticking = False
+        """Follow the capacity of the engines that take new work."""
+        coordinator = self.coordinator
+        cores = sum(engine.cores for engine in coordinator.gateway.open_to(0))
+        threads = max(1.0, cores * self.threads_a_core / coordinator.settings.instances)
+        if threads != self.scheduler.budgets.capacity:
+            self.scheduler.budgets.resize(threads)
+
+    def _schedule_check(self) -> None:
+        if not self._check_scheduled and self._waiting:
+            self._check_scheduled = True
+            self.coordinator.deadlines.after(CHECK_INTERVAL_MS, self._check)
+
+    def _check(self) -> None:
+        self._check_scheduled = False
         self._resize()
         self.release()
-        if (now := self.coordinator.deadlines.clock()) - self._preempted_ms >= PREEMPT_MS:
-            self._preempted_ms = now
-            self._preempt(now)
-        self._tick()
-
-    def _preempt(self, now: float) -> None:
-        """Lower and raise what runs, as budgets and those that wait want it."""
-        if not self.coordinator.settings.priorities:
-            return
-        live = {
-            each.id: each
-            for each in self.coordinator.live.values()
-            if each.call is not None and not each.finished
-        }
-        waiting, groups = set[int](), dict[float, set[int]]()
-        for each in self._lives.values():
-            waiting.add(each.query.tenant_index)
-            groups.setdefault(each.query.table_group, set()).add(each.query.tenant_index)
-        accounts = self.scheduler.budgets.accounts
-        within = {team for team in accounts if self.scheduler.budgets.within(team)}
-        for id, lowered in self.preemption.decide(
-            now, [self._runs(each, now) for each in live.values()], within, waiting, groups
-        ):
-            self.coordinator.set_deprioritized(live[id], lowered)
-
-    def _runs(self, live: LiveRequest, now: float) -> Runs:
-        """Return one attempt as pre-emption sees it."""
-        coordinator, query = self.coordinator, live.query
-        attempt = coordinator.gateway.attempts.get((live.id, live.attempt_count - 1))
-        left_ms = attempt.sent + attempt.expected - now if attempt is not None else 0.0
-        engine = coordinator.engines.get(live.engine)
-        return Runs(
-            live.id,
-            query.tenant_index,
-            query.table_group,
-            coordinator.settings.classes[query.class_index].is_load,
-            left_ms,
-            engine is not None and engine.protocol != "odata",
-        )
-
-    def expected_wait(self, team: int) -> tuple[int, float]:
-        """Return how many requests of a team wait, and how long one of the first class would, in ms."""
-        spec, now = self.coordinator.settings.classes[0], self.coordinator.deadlines.clock()
-        waiting = sum(each.query.tenant_index == team for each in self._lives.values())
-        return waiting, self.scheduler.outlook(team, 0, spec.threads, now).likely_ms
+        self._preemption.check(self._waiting.values())
+        self._schedule_check()
--- /dev/null
+++ b/fordstair/core/attempt_executor.py
@@ -0,0 +1,229 @@
+"""One attempt, from the guard before its first byte to the outcome that the decision module is told."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from functools import partial
+
+from fordstair.core.engine_registry import EngineRegistry
+from fordstair.core.extensions import Extensions
+from fordstair.core.invariants import Invariants
+from fordstair.core.live_request import AttemptOutcome, LiveRequest
+from fordstair.core.ports import AttemptFailedError, AttemptRequest, Call, Engine, Transport
+from fordstair.core.request_table import RequestTable
+from fordstair.core.send_guard import Denial
+from fordstair.decisions.actions import SendAttempt
+from fordstair.decisions.events import AttemptEnded, AttemptNote, Event, Status
+from fordstair.decisions.settings import Settings
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+from fordstair.runtime.event_log import EventLog
+
+log = EventLog(__name__)
+
+LARGEST_RESULT_BYTES = 1024 * 1024
+
+
+@dataclass(slots=True, frozen=True)
+class Attempt:
+    """One attempt of a request at an engine; ``number`` counts from 0 within the request."""
+
+    live: LiveRequest
+    engine: Engine
+    send: SendAttempt
+    number: int
+
+    @property
+    def engine_id(self) -> str:
+        """The engine's id, also after its process has been retired."""
+        return self.send.engine
+
+
+class AttemptExecutor:
+    """Carries attempts out, one at a time for each request."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        transports: Mapping[str, Transport],
+        deadlines: Deadlines,
+        counters: Counters,
+        invariants: Invariants,
+        requests: RequestTable,
+        engines: EngineRegistry,
+        extensions: Extensions,
+        dispatch: Callable[[Event], None],
+    ) -> None:
+        self._settings = settings
+        self._transports = transports
+        self._deadlines = deadlines
+        self._counters = counters
+        self._invariants = invariants
+        self._requests = requests
+        self._engines = engines
+        self._extensions = extensions
+        self._dispatch = dispatch
+
+    async def execute(self, live: LiveRequest, send: SendAttempt) -> AttemptEnded:
+        """Carry one attempt out; return its end, of which the decision module must hear whatever it was."""
+        number = live.attempt_count
+        live.attempt_count += 1
+        live.engine = send.engine
+        live.deprioritized = False
+        engine = self._engines.get(send.engine)
+        denial = Denial.ENGINE_CLOSED if engine is None else self._denial(live, engine, send)
+        if engine is None or denial is not None:
+            # Its client left, or the engine went, before the attempt's turn came: nothing is sent, but the
+            # decision module counts it as in flight until it is notified of an end.
+            self._record_denial(live, send, denial or Denial.ENGINE_CLOSED)
+            return AttemptEnded(live.id, number, send.engine, Status.MOOT, 0.0, complete=live.finished)
+        return await self._run(Attempt(live, engine, send, number))
+
+    async def _run(self, attempt: Attempt) -> AttemptEnded:
+        live = attempt.live
+        self._record_sent(attempt)
+        sent_ms = self._deadlines.clock()
+        until_ms = self._until_ms(attempt, sent_ms)
+        call = live.call = self._prepare(attempt, until_ms - sent_ms)
+        outcome = AttemptOutcome()
+        with self._deadlines.limit(until_ms) as live.attempt_scope:
+            await self._follow(attempt, call, outcome)
+        if live.attempt_scope.cancelled_caught and self._deadlines.clock() >= until_ms:
+            outcome.status = Status.TIMEOUT
+        if outcome.status is not Status.OK:  # what may still run must be given up before the next attempt
+            outcome.may_still_run = not await call.abandon()
+        live.send_guard.end(outcome.status, may_still_run=outcome.may_still_run)
+        live.attempt_scope = None
+        live.call = None
+        took_ms = self._deadlines.clock() - sent_ms
+        self._record_end(attempt, outcome, took_ms)
+        if outcome.status is Status.OK:
+            self._requests.serve(live, outcome.pages)
+        return AttemptEnded(
+            live.id,
+            attempt.number,
+            attempt.engine_id,
+            outcome.status,
+            took_ms,
+            complete=live.finished,
+            report=outcome.load_report,
+            may_still_run=outcome.may_still_run,
+            late=outcome.may_connect_late,
+        )
+
+    def _until_ms(self, attempt: Attempt, sent_ms: float) -> float:
+        """Return when an attempt is given up: at the request's deadline, or at its own limit before that."""
+        if attempt.send.limit_ms > 0.0:
+            return min(attempt.live.deadline_ms, sent_ms + attempt.send.limit_ms)
+        return attempt.live.deadline_ms
+
+    def _prepare(self, attempt: Attempt, timeout_ms: float) -> Call:
+        # The transport asks the guard right before bytes go out: an engine may have begun to drain while a
+        # connection came up, and the request may have been given up meanwhile.
+        live = attempt.live
+        return self._transports[attempt.engine.protocol].call(
+            AttemptRequest(
+                live.query, attempt.engine, live.priority, timeout_ms, partial(self._may_send, attempt)
+            )
+        )
+
+    async def _may_send(self, attempt: Attempt) -> bool:
+        """Whether bytes may go out now; nothing runs between the check and them."""
+        live = attempt.live
+        await live.reply.drain_input()
+        if (denial := self._denial(live, attempt.engine, attempt.send)) is not None:
+            self._record_denial(live, attempt.send, denial)
+            return False
+        live.send_guard.begin(self._deadlines.clock())
+        return True
+
+    def _denial(self, live: LiveRequest, engine: Engine, send: SendAttempt) -> Denial | None:
+        """Return why an attempt must not begin now; None where it may."""
+        if live.finished:
+            return Denial.REQUEST_OVER
+        if not engine.ready or not self._engines.is_current(engine):
+            return Denial.ENGINE_CLOSED
+        now = self._deadlines.clock()
+        return Denial.WINDOW_OVER if now > send.begin_by else live.send_guard.denial(now)
+
+    async def _follow(self, attempt: Attempt, call: Call, outcome: AttemptOutcome) -> None:
+        """Poll an attempt until it has ended, and record how in ``outcome``."""
+        watch = self._extensions.zone_watch
+        try:
+            progress = await call.start()
+            while progress.running:
+                if watch is not None:
+                    watch.engine_responded(attempt.live.id, attempt.engine_id)
+                if progress.note is not None:
+                    self._dispatch(
+                        AttemptNote(attempt.live.id, attempt.number, attempt.engine_id, *progress.note)
+                    )
+                progress = await call.poll()
+            outcome.load_report = progress.load_report
+            outcome.pages = [progress.rows]
+            while (rows := await call.next_page()) is not None:
+                outcome.pages.append(rows)
+                _check_size(outcome.pages)
+            outcome.status = Status.OK  # only now: a page that is lost is an error that may have run
+        except AttemptFailedError as failure:
+            outcome.status = failure.status
+            outcome.load_report = failure.load_report
+            outcome.may_connect_late = failure.may_connect_late
+            outcome.reason = str(failure)
+            if watch is not None and not failure.reachable:
+                watch.connect_failed(attempt.engine_id)
+
+    def _record_denial(self, live: LiveRequest, send: SendAttempt, denial: Denial) -> None:
+        """Count an attempt that was not begun; ordering one that no rule allows is a fault."""
+        self._counters.add(f"denied.{denial.name.lower()}")
+        if (rule := denial.violates) is None:
+            return
+        self._invariants.violated(
+            rule, txn=live.query.transaction_id, engine=send.engine, attempt=live.attempt_count - 1
+        )
+        self._requests.fail(live, denial.value)
+
+    def _record_sent(self, attempt: Attempt) -> None:
+        query = attempt.live.query
+        self._counters.add(f"sent.{query.class_name}")
+        if (watch := self._extensions.zone_watch) is not None:
+            watch.attempt_sent(attempt.live.id)
+        if attempt.number:
+            self._counters.add(f"retried.{query.class_name}")
+            log.info(
+                "attempt.retried",
+                txn=query.transaction_id,
+                class_name=query.class_name,
+                attempt=attempt.number,
+                engine=attempt.engine_id,
+                left_ms=round(attempt.live.deadline_ms - self._deadlines.clock()),
+            )
+
+    def _record_end(self, attempt: Attempt, outcome: AttemptOutcome, took_ms: float) -> None:
+        query, status = attempt.live.query, outcome.status
+        attempt.live.used_thread_ms += took_ms * self._settings.classes[query.class_index].threads
+        self._counters.add(f"outcome.{status.value}")
+        if (watch := self._extensions.zone_watch) is not None:
+            watch.attempt_ended(attempt.live.id)
+            if status is Status.OK:
+                watch.engine_responded(attempt.live.id, attempt.engine_id)
+        if status is not Status.OK:
+            log.info(
+                "attempt.ended",
+                txn=query.transaction_id,
+                class_name=query.class_name,
+                attempt=attempt.number,
+                engine=attempt.engine_id,
+                status=status.value,
+                not_run=status.proves_not_run,
+                may_still_run=outcome.may_still_run,
+                after_ms=round(took_ms),
+                why=outcome.reason,
+            )
+
+
+def _check_size(pages: list[bytes]) -> None:
+    """Raise AttemptFailedError for a result that is too large, so that none fills the memory."""
+    if sum(map(len, pages)) > LARGEST_RESULT_BYTES:
+        raise AttemptFailedError(Status.ERROR, "the result is too large")
--- a/fordstair/core/ports.py
+++ b/fordstair/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of the fronts before it and of the engine transports behind it."""
+"""The interfaces of the core: the fronts before it and the engine transports behind it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """One request of a client, in no wire's form."""
+    """One request of a client, in the form of no wire."""
 
     transaction_id: str
     class_name: str  # the class, by name
@@ -21,22 +21,22 @@
     tenant_index: int
     timeout_ms: float  # how long the client waits, from its send
     statement: bytes
-    table_group: float = 0.0
-    cost_ms: float = 0.0
-    memory_mb: float = 0.0
-    read_delay_ms: float = 0.0  # of its limit, before it was read here
+    table_group: float = 0.0  # 0: none
+    cost_ms: float = 0.0  # estimated thread-milliseconds; 0: no estimate
+    memory_mb: float = 0.0  # estimated; 0: no estimate
+    read_delay_ms: float = 0.0  # part of the timeout that passed before the request was read here
 
 
 @dataclass(slots=True)
 class Engine:
-    """One engine as the membership last told of it."""
+    """One engine as discovery last listed it."""
 
     entry: EngineEntry
     address: str  # host:port
     protocol: str = "rest"
-    started_at: UnixMs | None = None  # its process, as discovery tells it; None: long past
-    cordoned: bool = False  # an operator has set it aside
-    zone_ejected: bool = False  # its hall is out of reach
+    started_at: UnixMs | None = None  # start of its process, by discovery; None: long past
+    cordoned: bool = False  # by an operator
+    zone_ejected: bool = False  # its zone is out of reach
 
     @property
     def ready(self) -> bool:
@@ -45,7 +45,7 @@
 
     @property
     def notified_entry(self) -> EngineEntry:
-        """The entry as the module is told it: what is set aside takes nothing new, as if it drained."""
+        """The entry as the decision module is told of it: one that takes nothing new counts as draining."""
         if self.ready or self.entry.state is not EngineState.READY:
             return self.entry
         return replace(self.entry, state=EngineState.DRAINING)
@@ -55,21 +55,21 @@
     """The way back to a client: takes the one final answer of its request, at once, and raises nothing."""
 
     async def drain_input(self) -> None:
-        """Wait until what the client has said by now is read: that it goes, perhaps."""
+        """Wait until what the client has sent by now is read: it may cancel the request."""
 
     def served(self, pages: Sequence[bytes]) -> None:
-        """All rows, in order, as text with tabs and line feeds."""
+        """Answer with all rows, in order, as text with tabs and line feeds."""
 
     def rejected(self, retry_after_ms: float) -> None:
-        """A retry is harmless, best after that long."""
+        """Answer that a retry is harmless, best after that long; 0: no advice."""
 
     def failed(self, reason: str) -> None:
-        """Nothing is promised about the effect."""
+        """Answer that it failed; nothing is promised about the effect."""
 
 
 @dataclass(slots=True, frozen=True)
 class QueryProgress:
-    """An engine's word on a query: still running, with a note perhaps, or its first page."""
+    """An engine's answer on a query: still running, perhaps with a note, or its first page."""
 
     running: bool
     rows: bytes = b""
@@ -78,7 +78,14 @@
 
 
 class AttemptFailedError(Exception):
-    """An attempt has ended without its result; the status says what that proves."""
+    """An attempt has ended without its result; the status says what that proves.
+
+    Attributes:
+        status: how it ended.
+        load_report: the engine's load report, empty where its answer had none.
+        reachable: whether anything at the engine's address has answered at all.
+        may_connect_late: whether its connection may come up yet.
+    """
 
     def __init__(
         self,
@@ -90,9 +97,10 @@
         may_connect_late: bool = False,
     ) -> None:
         super().__init__(reason)
-        self.status, self.load_report = status, load_report
-        self.reachable = reachable  # whether anything there has answered at all
-        self.may_connect_late = may_connect_late  # its connection may come up yet
+        self.status = status
+        self.load_report = load_report
+        self.reachable = reachable
+        self.may_connect_late = may_connect_late
 
 
 class Call(Protocol):
@@ -102,20 +110,20 @@
         """Send the query; raise AttemptFailedError when it ends badly."""
 
     async def poll(self) -> QueryProgress:
-        """Ask how it stands, again and again without a long gap."""
+        """Ask for its state; to be called again and again without a long gap. Errors as in ``start``."""
 
     async def next_page(self) -> bytes | None:
-        """Fetch the next page of the result; None when there are no more."""
+        """Fetch the next page of the result; None when there are no more. Errors as in ``start``."""
 
     async def abandon(self) -> bool:
         """Give the query up at the engine, if it may have got there; never takes long.
 
-        False where it may begin yet, or still run: it left whole, but nothing shows that the engine has read
-        it, or that the engine has taken it back.
+        Return False where it may begin yet, or still run: it was sent completely, but nothing shows that the
+        engine has read it, or has cancelled it.
         """
 
     async def set_priority(self, priority: int) -> None:
-        """Tell a new priority of running work."""
+        """Set a new priority, 0 to 3, of running work."""
 
 
 async def _always() -> bool:
@@ -124,13 +132,13 @@
 
 @dataclass(slots=True)
 class AttemptRequest:
-    """What a transport is told of one attempt."""
+    """What a transport needs for one attempt; it may take ``timeout_ms`` in all."""
 
     query: Query
     engine: Engine
     priority: int
     timeout_ms: float
-    may_send: Callable[[], Awaitable[bool]] = _always  # asked right before bytes go out
+    may_send: Callable[[], Awaitable[bool]] = _always  # called right before bytes go out
 
 
 class Transport(Protocol):
@@ -140,4 +148,4 @@
         """Prepare one attempt; nothing is sent yet."""
 
     def forget(self, engine: Engine) -> None:
-        """Close what is kept open to an engine that has gone or started anew."""
+        """Close the connections to an engine that has gone or started anew."""
--- /dev/null
+++ b/fordstair/core/preemption_control.py
@@ -0,0 +1,67 @@
+"""Lowers and raises the priority of running queries, as quotas and those that wait require."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
+
+from fordstair.core.live_request import LiveRequest
+from fordstair.scheduling.preemption import Preemption, Runs
+from fordstair.scheduling.scheduler import Scheduler
+
+if TYPE_CHECKING:
+    from fordstair.core.coordinator import Coordinator
+
+PREEMPTION_INTERVAL_MS = 200.0
+
+
+class PreemptionControl:
+    """Carries out for one coordinator what the preemption rule decides."""
+
+    def __init__(self, coordinator: Coordinator, scheduler: Scheduler) -> None:
+        self._coordinator = coordinator
+        self._scheduler = scheduler
+        self._rule = Preemption()
+        self._checked_ms = 0.0
+
+    def check(self, waiting: Iterable[LiveRequest]) -> None:
+        """Change priorities where the rule asks for it, given what waits; seldom enough to cost little."""
+        now = self._coordinator.deadlines.clock()
+        if now - self._checked_ms < PREEMPTION_INTERVAL_MS:
+            return
+        self._checked_ms = now
+        if self._coordinator.settings.priorities:
+            self._preempt(now, waiting)
+
+    def _preempt(self, now: float, waiting: Iterable[LiveRequest]) -> None:
+        running = {
+            live.id: live
+            for live in self._coordinator.live.values()
+            if live.call is not None and not live.finished
+        }
+        waiting_teams: set[int] = set()
+        waiting_for_group: dict[float, set[int]] = {}
+        for live in waiting:
+            team = live.query.tenant_index
+            waiting_teams.add(team)
+            waiting_for_group.setdefault(live.query.table_group, set()).add(team)
+        accounts = self._scheduler.budgets.accounts
+        within = {team for team in accounts if self._scheduler.budgets.within(team)}
+        queries = [self._described(live, now) for live in running.values()]
+        for request, lowered in self._rule.decide(now, queries, within, waiting_teams, waiting_for_group):
+            self._coordinator.priorities.set_deprioritized(running[request], lowered)
+
+    def _described(self, live: LiveRequest, now: float) -> Runs:
+        """Return one attempt as the rule sees it."""
+        coordinator, query = self._coordinator, live.query
+        attempt = coordinator.gateway.attempts.get((live.id, live.attempt_count - 1))
+        left_ms = attempt.sent + attempt.expected - now if attempt is not None else 0.0
+        engine = coordinator.engines.get(live.engine)
+        return Runs(
+            live.id,
+            query.tenant_index,
+            query.table_group,
+            coordinator.settings.classes[query.class_index].is_load,
+            left_ms,
+            engine is not None and engine.protocol != "odata",
+        )
--- /dev/null
+++ b/fordstair/core/request_table.py
@@ -0,0 +1,111 @@
+"""The requests in progress, and the one final answer that each of them gets."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable, Iterator, Sequence
+from enum import Enum
+from functools import partial
+
+from fordstair.core.invariants import Invariant, Invariants
+from fordstair.core.live_request import LiveRequest
+from fordstair.core.ports import Query, Reply
+from fordstair.core.send_guard import SendGuard
+from fordstair.decisions.settings import RequestClass
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.event_log import EventLog
+
+log = EventLog(__name__)
+
+# A client's timeout runs from its send, before the request was read here, and the answer has a way to go
+# as well: what both take, with a busy turn of this program, comes off the timeout.
+TRANSIT_MS = 15.0
+
+
+class Answer(Enum):
+    """The kinds of a final answer; the value is part of a counter's name."""
+
+    SERVED = "served"
+    REJECTED = "rejected"
+    FAILED = "failed"
+
+
+class RequestTable:
+    """All requests that are worked on. Every final answer is given here, and a second one never."""
+
+    def __init__(self, counters: Counters, invariants: Invariants) -> None:
+        self.live: dict[int, LiveRequest] = {}
+        self.rejections: Counter[tuple[str, str]] = Counter()  # by class and reason
+        self._counters = counters
+        self._invariants = invariants
+        self._transaction_ids: set[str] = set()
+        self._last_id = 0
+
+    def add(self, query: Query, reply: Reply, spec: RequestClass, now_ms: float) -> LiveRequest:
+        """Take a request of a class in; its deadline is what the client's timeout leaves."""
+        self._last_id += 1
+        left_ms = max(0.0, query.timeout_ms - TRANSIT_MS - query.read_delay_ms)
+        live = LiveRequest(
+            self._last_id,
+            query,
+            reply,
+            now_ms,
+            now_ms + left_ms,
+            SendGuard(spec.idempotency, spec.deduplication_window_ms),
+        )
+        self.live[live.id] = live
+        self._transaction_ids.add(query.transaction_id.lower())
+        self._counters.add(f"taken.{query.class_name}")
+        return live
+
+    def remove(self, live: LiveRequest) -> None:
+        """Drop a request whose task has ended."""
+        self.live.pop(live.id, None)
+        self._transaction_ids.discard(live.query.transaction_id.lower())
+
+    def get(self, request: int) -> LiveRequest | None:
+        """Return a request by its number; None where its task has ended."""
+        return self.live.get(request)
+
+    def is_in_progress(self, transaction_id: str) -> bool:
+        """Whether a request under this id is being worked on."""
+        return transaction_id.lower() in self._transaction_ids
+
+    def unanswered(self) -> Iterator[LiveRequest]:
+        """Yield the requests that still wait for their answer, the oldest first."""
+        return (live for live in self.live.values() if not live.finished)
+
+    def serve(self, live: LiveRequest, pages: Sequence[bytes]) -> None:
+        """Give the result as the final answer."""
+        self._answer(live, Answer.SERVED, partial(live.reply.served, pages))
+
+    def reject(self, live: LiveRequest, retry_after_ms: float, reason: str) -> None:
+        """Give the final answer that a retry is harmless, and count why."""
+        self.rejections[live.query.class_name, reason] += not live.finished
+        log.debug(
+            "request.rejected",
+            txn=live.query.transaction_id,
+            class_name=live.query.class_name,
+            why=reason,
+            attempts=live.attempt_count,
+        )
+        self._answer(live, Answer.REJECTED, partial(live.reply.rejected, retry_after_ms))
+
+    def fail(self, live: LiveRequest, reason: str) -> None:
+        """Give the final answer that promises nothing about the effect."""
+        self._answer(live, Answer.FAILED, partial(live.reply.failed, reason))
+
+    def fail_unanswered(self, live: LiveRequest) -> None:
+        """Answer a request whose task ended without an answer: a violation, unless the program stops."""
+        self._invariants.violated(
+            Invariant.EVERY_ANSWER, txn=live.query.transaction_id, attempts=live.attempt_count
+        )
+        self.fail(live, "internal error")
+
+    def _answer(self, live: LiveRequest, answer: Answer, send: Callable[[], None]) -> None:
+        if live.finished:
+            return
+        self._counters.add(f"answered.{answer.value}.{live.query.class_name}")
+        send()
+        live.finished = True
+        live.wakeup.set()
--- a/fordstair/core/zone_watch.py
+++ b/fordstair/core/zone_watch.py
@@ -87,11 +87,11 @@
         for zone in {engine.entry.zone for engine in turned}:
             avoided = any(engine.zone_ejected for engine in turned if engine.entry.zone == zone)
             log.warning(
-                "hall.avoided" if avoided else "hall.tried",
-                hall=zone,
+                "zone.ejected" if avoided else "zone.readmitted",
+                zone=zone,
                 engines=sum(engine.entry.zone == zone for engine in turned),
             )
-            self.coordinator.counters.add("halls.avoided" if avoided else "halls.tried")
+            self.coordinator.counters.add("zones.ejected" if avoided else "zones.readmitted")
         if turned:
             self.coordinator.dispatch(
                 EngineListChanged(ListUpdateKind.DELTA, tuple(engine.notified_entry for engine in turned))
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -276,13 +276,13 @@
         self.work_ms: dict[str, float] = {}  # by the client's id: the true work of each query
         self.admission_queue: AdmissionQueue | None = None
         if site.halls:
-            self.coordinator.zone_watch = ZoneWatch(self.coordinator)
+            self.coordinator.extensions.zone_watch = ZoneWatch(self.coordinator)
         if site.queueing is not None:
             told = site.queueing
             scheduler = Watched(dict(told.shares), 1.0, burst_ms=told.burst_ms, debt_ms=told.debt_ms)
             scheduler.records = self.records
             self.admission_queue = AdmissionQueue(self.coordinator, scheduler, told.threads_a_core, seed=seed)
-            self.coordinator.admission_queue = self.admission_queue
+            self.coordinator.extensions.admission_queue = self.admission_queue
 
     def share(self, fleet: Fleet) -> Caps:
         """Take part in the fleet's budgets, as the program does where the operator's file says so."""
--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -24,21 +24,21 @@
 from fordstair.configuration.platform import ConfigError
 from fordstair.core.coordinator import Coordinator
 from fordstair.overrides.register import (
-    BringBack,
-    Change,
+    Cordon,
     Drain,
-    Ledger,
-    Limit,
-    Ruling,
-    SetAside,
-    Standing,
+    Override,
+    OverrideRegister,
+    ProgramState,
+    ProposalResult,
+    SetConcurrencyLimit,
+    Uncordon,
     Verdict,
 )
 from fordstair.runtime.clock import WallClock
 from fordstair.runtime.event_log import EventLog
-from fordstair.snapshots.collector import Observer
-from fordstair.snapshots.publishing import CUT_MS, Pace
-from fordstair.snapshots.snapshot import TABLES, NoteView, Picture, encode, step
+from fordstair.snapshots.collector import SnapshotCollector
+from fordstair.snapshots.publishing import CUT_MS, SnapshotSchedule
+from fordstair.snapshots.snapshot import TABLES, LogLineView, Snapshot, delta_between, encode
 
 if TYPE_CHECKING:
     from fordstair.budgets.transport import FleetBudgets
@@ -91,13 +91,15 @@
     ) -> None:
         self.coordinator, self.deadlines, self.drain = coordinator, coordinator.deadlines, drain
         self.watchers_most, self.connections = watchers_most, 0
-        self.ledger = Ledger()
+        self.ledger = OverrideRegister()
         self.wall_clock = wall_clock
-        self.observer = Observer(name, coordinator, self.ledger, wall_clock, membership, shared, budgets)
+        self.observer = SnapshotCollector(
+            name, coordinator, self.ledger, wall_clock, membership, shared, budgets
+        )
         if membership is not None:
             membership.listeners.append(lambda _: self.change())
-        self.pace, self._changed, self._news = Pace(), True, trio.Event()
-        self._frame: tuple[Picture, Picture, bytes] | None = None  # the last one encoded
+        self.pace, self._changed, self._news = SnapshotSchedule(), True, trio.Event()
+        self._frame: tuple[Snapshot, Snapshot, bytes] | None = None  # the last one encoded
         self._last_note = 0
 
     async def run(self, path: str, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -132,7 +134,9 @@
     def note(self, at_ms: float, level: str, text: str) -> None:
         """Take a line of the log for the pane."""
         self._last_note += 1
-        self.observer.notes.append(NoteView(self._last_note, self.wall_clock.unix(at_ms).value, level, text))
+        self.observer.log_lines.append(
+            LogLineView(self._last_note, self.wall_clock.unix(at_ms).value, level, text)
+        )
         self.change()
 
     async def serve(self, stream: trio.SocketStream) -> None:
@@ -191,12 +195,12 @@
 
     async def _feed(self, stream: trio.SocketStream) -> None:
         """Send the full picture and then changes; what happens while one is on its way waits as one."""
-        if self.observer.watchers >= self.watchers_most:
+        if self.observer.followers >= self.watchers_most:
             self.coordinator.counters.add("console.turned_away")
             answer = {"error": f"{self.watchers_most} consoles follow already"}
             await self._send(stream, ujson.dumps(answer).encode() + b"\n")
             return
-        self.observer.watchers += 1
+        self.observer.followers += 1
         taken = Taken()
         try:
             async with trio.open_nursery() as nursery:
@@ -206,11 +210,11 @@
                         taken.add(chunk.count(b"\n"))
                 nursery.cancel_scope.cancel()  # a console that leaves frees its place
         finally:
-            self.observer.watchers -= 1
+            self.observer.followers -= 1
 
     async def _send_pictures(self, stream: trio.SocketStream, taken: Taken, ended: trio.CancelScope) -> None:
         """Send frame after frame, each once the one before was taken, whatever the kernel would hold."""
-        sent, sent_ms, frames = Picture(), 0.0, 0
+        sent, sent_ms, frames = Snapshot(), 0.0, 0
         with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             while True:
                 picture = self.look()
@@ -223,15 +227,15 @@
                 await self._next_look(sent, sent_ms)
         ended.cancel()
 
-    async def _next_look(self, sent: Picture, sent_ms: float) -> None:
+    async def _next_look(self, sent: Snapshot, sent_ms: float) -> None:
         """Wait until the next picture is due, or another console has had it made."""
         while True:
             now = self.deadlines.clock()
-            own_ms = sent_ms + self.pace.every_ms - now  # no console is told more often than that
-            wait_ms = self.pace.due(now, self._changed)
-            if self.observer.picture.number > sent.number:
+            own_ms = sent_ms + self.pace.interval_ms - now  # no console is told more often than that
+            wait_ms = self.pace.due_in_ms(now, self._changed)
+            if self.observer.latest.number > sent.number:
                 wait_ms = min(wait_ms, own_ms)
-            if (wait_ms <= 0.0 and own_ms <= 0.0) or own_ms > 2.0 * self.pace.every_ms:
+            if (wait_ms <= 0.0 and own_ms <= 0.0) or own_ms > 2.0 * self.pace.interval_ms:
                 return
             self._news = self._news if not self._news.is_set() else trio.Event()
             with self.deadlines.limit(now + max(wait_ms, own_ms)):
@@ -239,20 +243,20 @@
                     await trio.sleep_forever()
                 await self._news.wait()
 
-    def look(self) -> Picture:
+    def look(self) -> Snapshot:
         """Return the latest picture, made anew where that is due; all who follow share it."""
         now = self.deadlines.clock()
-        if self.pace.due(now, self._changed) <= 0.0:
+        if self.pace.due_in_ms(now, self._changed) <= 0.0:
             self._changed = False
-            picture = self.observer.look(now)
-            self.pace.made(now, self.deadlines.clock() - now)
+            picture = self.observer.collect(now)
+            self.pace.record_collection(now, self.deadlines.clock() - now)
             return picture
-        return self.observer.picture
+        return self.observer.latest
 
-    def _encoded(self, sent: Picture, picture: Picture) -> bytes:
+    def _encoded(self, sent: Snapshot, picture: Snapshot) -> bytes:
         """Return the frame between two pictures; consoles that keep pace share one."""
         if self._frame is None or self._frame[0] is not sent or self._frame[1] is not picture:
-            self._frame = (sent, picture, encode(step(sent, picture)) + b"\n")
+            self._frame = (sent, picture, encode(delta_between(sent, picture)) + b"\n")
         return self._frame[2]
 
     def answer(self, told: dict[str, Any], who: str) -> dict[str, Any]:
@@ -261,14 +265,14 @@
         if command == "counters":
             return {"counters": self.coordinator.counters.snapshot()}
         if command == "status" or command in TABLES:
-            picture = self.observer.look(self.deadlines.clock())
+            picture = self.observer.collect(self.deadlines.clock())
             if command == "status":
                 return {"at_ms": picture.at_ms, "status": msgspec.to_builtins(picture.site)}
             rows = [msgspec.to_builtins(row) for row in picture.rows(command)]
             return {"at_ms": picture.at_ms, command: rows}
         return self._adjust(read_change(told), told, who)
 
-    def _adjust(self, change: Change, told: dict[str, Any], who: str) -> dict[str, Any]:
+    def _adjust(self, change: Override, told: dict[str, Any], who: str) -> dict[str, Any]:
         seen = told.get("seen")
         ruling = self.ledger.propose(
             change,
@@ -284,7 +288,7 @@
             verdict=ruling.verdict.value,
             who=who,
             **{name: getattr(change, name) for name in change.__slots__},
-            why=ruling.why,
+            why=ruling.reason,
         )
         if ruling.verdict is Verdict.DONE:
             self.coordinator.counters.add("adjustments")
@@ -292,21 +296,21 @@
             self.change()
         return ruled(ruling, self.ledger.revision)
 
-    def _carry_out(self, change: Change) -> None:
+    def _carry_out(self, change: Override) -> None:
         match change:
-            case SetAside(engine):
+            case Cordon(engine):
                 self.coordinator.set_cordoned(engine, True)
-            case BringBack(engine):
+            case Uncordon(engine):
                 self.coordinator.set_cordoned(engine, False)
-            case Limit(class_name, threads):
+            case SetConcurrencyLimit(class_name, threads):
                 self.coordinator.set_concurrency_limit(self.coordinator.classes[class_name], threads)
             case Drain():
                 self.drain()
 
-    def standing(self) -> Standing:
+    def standing(self) -> ProgramState:
         """Return what the ledger must know to judge."""
         coordinator = self.coordinator
-        return Standing(
+        return ProgramState(
             frozenset(name for name, engine in coordinator.engines.items() if engine.ready),
             frozenset(coordinator.engines),
             {spec.name: spec.threads for spec in coordinator.settings.classes},
@@ -326,7 +330,7 @@
     return told
 
 
-def read_change(told: dict[str, Any]) -> Change:
+def read_change(told: dict[str, Any]) -> Override:
     """Read an adjustment; raise BadCommand, naming what cannot be used."""
 
     def text(field: str) -> str:
@@ -337,25 +341,25 @@
 
     match told["command"]:
         case "set-aside":
-            return SetAside(text("engine"))
+            return Cordon(text("engine"))
         case "bring-back":
-            return BringBack(text("engine"))
+            return Uncordon(text("engine"))
         case "limit":
             threads = told.get("threads")
             if threads is not None and (isinstance(threads, bool) or not isinstance(threads, int)):
                 raise BadCommand("threads: a whole number, or null to lift the limit")
-            return Limit(text("class"), threads)
+            return SetConcurrencyLimit(text("class"), threads)
         case "drain":
             return Drain()
     raise BadCommand(f"unknown command {told['command'][:40]!r}")
 
 
-def ruled(ruling: Ruling, revision: int) -> dict[str, Any]:
+def ruled(ruling: ProposalResult, revision: int) -> dict[str, Any]:
     """Return a ruling as an answer."""
-    made = ruling.adjustment
-    answer: dict[str, Any] = {"verdict": ruling.verdict.value, "why": ruling.why, "revision": revision}
+    made = ruling.override
+    answer: dict[str, Any] = {"verdict": ruling.verdict.value, "why": ruling.reason, "revision": revision}
     if made is not None:
-        answer |= {"target": made.target, "what": made.what, "who": made.who, "at_ms": made.at_ms}
+        answer |= {"target": made.target, "what": made.effect, "who": made.author, "at_ms": made.applied_ms}
     return answer
 
 
--- a/fordstair/overrides/register.py
+++ b/fordstair/overrides/register.py
@@ -14,7 +14,7 @@
 
 import immutables
 
-IN_FORCE_MOST = 1_024
+ACTIVE_LIMIT = 1_024
 SITE = "site"
 
 
@@ -30,21 +30,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetAside:
+class Cordon:
     """Send an engine nothing new."""
 
     engine: str
 
 
 @dataclass(frozen=True, slots=True)
-class BringBack:
+class Uncordon:
     """Send an engine work again."""
 
     engine: str
 
 
 @dataclass(frozen=True, slots=True)
-class Limit:
+class SetConcurrencyLimit:
     """Bound the threads that a class may have out; None lifts the bound."""
 
     class_name: str
@@ -56,149 +56,160 @@
     """Answer what is open, take nothing more, and end."""
 
 
-Change: TypeAlias = SetAside | BringBack | Limit | Drain
+Override: TypeAlias = Cordon | Uncordon | SetConcurrencyLimit | Drain
 
 
 @dataclass(frozen=True, slots=True)
-class Adjustment:
+class AppliedOverride:
     """One accepted change."""
 
     target: str
-    what: str
-    who: str
-    at_ms: float
+    effect: str
+    author: str
+    applied_ms: float
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ruling:
+class ProposalResult:
     """What became of a proposal, and why; with the adjustment where it was accepted."""
 
     verdict: Verdict
-    why: str = ""
-    adjustment: Adjustment | None = None
+    reason: str = ""
+    override: AppliedOverride | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class ProgramState:
     """What the ledger must know of the program to judge a proposal."""
 
-    ready: frozenset[str]  # engines that take new work
-    listed: frozenset[str]  # engines that are known
-    classes: dict[str, int]  # threads that one request of the class takes, by name
-    open: int = 0  # requests that wait for an answer
+    ready_engines: frozenset[str]  # engines that take new work
+    known_engines: frozenset[str]  # engines that are known
+    class_threads: dict[str, int]  # threads that one request of the class takes, by name
+    open_requests: int = 0  # requests that wait for an answer
     draining: bool = False
 
 
-class Ledger:
+class OverrideRegister:
     """The adjustments in force."""
 
     def __init__(self) -> None:
         self.revision = 0
-        self.in_force: immutables.Map[str, Adjustment] = immutables.Map()
+        self.active: immutables.Map[str, AppliedOverride] = immutables.Map()
         self._touched: dict[str, int] = {}  # by target: the revision that changed it last
 
     def propose(
         self,
-        change: Change,
-        who: str,
+        change: Override,
+        author: str,
         now_ms: float,
-        standing: Standing,
+        program: ProgramState,
         *,
         seen: int | None = None,
         confirmed: bool = False,
-    ) -> Ruling:
+    ) -> ProposalResult:
         """Judge a change, and take it in where it is accepted; the caller then carries it out.
 
         ``seen`` is the revision of the picture that the author acted on; None asks for no such check.
         """
         target = _target(change)
-        if standing.draining:
-            return Ruling(
+        if program.draining:
+            return ProposalResult(
                 Verdict.ALREADY if isinstance(change, Drain) else Verdict.REFUSED, "the program is draining"
             )
         if (
-            isinstance(change, SetAside | BringBack)
-            and change.engine not in standing.listed
-            and not (isinstance(change, BringBack) and target in self.in_force)
+            isinstance(change, Cordon | Uncordon)
+            and change.engine not in program.known_engines
+            and not (isinstance(change, Uncordon) and target in self.active)
         ):
-            return Ruling(Verdict.UNKNOWN, f"no engine {change.engine!r}")
-        if isinstance(change, Limit) and change.class_name not in standing.classes:
-            return Ruling(Verdict.UNKNOWN, f"no class {change.class_name!r}")
-        if isinstance(change, Limit) and change.threads is not None and not 0 <= change.threads <= 1_000_000:
-            return Ruling(Verdict.REFUSED, "a limit is 0 to 1000000 threads")
+            return ProposalResult(Verdict.UNKNOWN, f"no engine {change.engine!r}")
+        if isinstance(change, SetConcurrencyLimit) and change.class_name not in program.class_threads:
+            return ProposalResult(Verdict.UNKNOWN, f"no class {change.class_name!r}")
+        if (
+            isinstance(change, SetConcurrencyLimit)
+            and change.threads is not None
+            and not 0 <= change.threads <= 1_000_000
+        ):
+            return ProposalResult(Verdict.REFUSED, "a limit is 0 to 1000000 threads")
         if self._is_so(change):
-            return Ruling(Verdict.ALREADY, "it is so already", self.in_force.get(target))
+            return ProposalResult(Verdict.ALREADY, "it is so already", self.active.get(target))
         if seen is not None and self._touched.get(target, 0) > seen:
-            last = self.in_force.get(target)
-            by = f"{last.who} has it at {last.what}" if last is not None else "it was lifted meanwhile"
-            return Ruling(Verdict.CONFLICT, f"another operator was first: {by}", last)
-        if target not in self.in_force and len(self.in_force) >= IN_FORCE_MOST:
-            return Ruling(Verdict.REFUSED, f"{IN_FORCE_MOST} adjustments are in force; lift some first")
-        if not confirmed and (disturbs := disturbance(change, standing)):
-            return Ruling(Verdict.CONFIRM, disturbs)
-        return Ruling(Verdict.DONE, "", self._take(change, target, who, now_ms))
-
-    def _take(self, change: Change, target: str, who: str, now_ms: float) -> Adjustment:
+            last = self.active.get(target)
+            by = f"{last.author} has it at {last.effect}" if last is not None else "it was lifted meanwhile"
+            return ProposalResult(Verdict.CONFLICT, f"another operator was first: {by}", last)
+        if target not in self.active and len(self.active) >= ACTIVE_LIMIT:
+            return ProposalResult(
+                Verdict.REFUSED, f"{ACTIVE_LIMIT} adjustments are in force; lift some first"
+            )
+        if not confirmed and (disturbs := service_impact(change, program)):
+            return ProposalResult(Verdict.CONFIRM, disturbs)
+        return ProposalResult(Verdict.DONE, "", self._take(change, target, author, now_ms))
+
+    def _take(self, change: Override, target: str, author: str, now_ms: float) -> AppliedOverride:
         self.revision += 1
         self._touched[target] = self.revision
-        made = Adjustment(target, describe(change), who, now_ms, self.revision)
-        lifted = isinstance(change, BringBack) or (isinstance(change, Limit) and change.threads is None)
-        self.in_force = (
-            self.in_force.delete(target)
-            if lifted and target in self.in_force
-            else (self.in_force if lifted else self.in_force.set(target, made))
+        made = AppliedOverride(target, describe(change), author, now_ms, self.revision)
+        lifted = isinstance(change, Uncordon) or (
+            isinstance(change, SetConcurrencyLimit) and change.threads is None
         )
-        if len(self._touched) > 2 * IN_FORCE_MOST:  # what is long past conflicts with nobody
-            kept = sorted(self._touched.items(), key=lambda item: item[1])[-IN_FORCE_MOST:]
+        self.active = (
+            self.active.delete(target)
+            if lifted and target in self.active
+            else (self.active if lifted else self.active.set(target, made))
+        )
+        if len(self._touched) > 2 * ACTIVE_LIMIT:  # what is long past conflicts with nobody
+            kept = sorted(self._touched.items(), key=lambda item: item[1])[-ACTIVE_LIMIT:]
             self._touched = dict(kept)
         return made
 
-    def _is_so(self, change: Change) -> bool:
-        held = self.in_force.get(_target(change))
-        if isinstance(change, BringBack) or (isinstance(change, Limit) and change.threads is None):
+    def _is_so(self, change: Override) -> bool:
+        held = self.active.get(_target(change))
+        if isinstance(change, Uncordon) or (
+            isinstance(change, SetConcurrencyLimit) and change.threads is None
+        ):
             return held is None
-        return held is not None and held.what == describe(change)
+        return held is not None and held.effect == describe(change)
 
 
-def describe(change: Change) -> str:
+def describe(change: Override) -> str:
     """Return what a change does, as it is shown while it is in force."""
     match change:
-        case SetAside():
+        case Cordon():
             return "set aside"
-        case BringBack():
+        case Uncordon():
             return "brought back"
-        case Limit(_, threads):
+        case SetConcurrencyLimit(_, threads):
             return "no limit" if threads is None else f"at most {threads} threads"
         case Drain():
             return "draining"
 
 
-def disturbance(change: Change, standing: Standing) -> str:
+def service_impact(change: Override, program: ProgramState) -> str:
     """Return how a change disturbs service; empty where it does not to speak of."""
     match change:
         case Drain():
             return (
-                f"the program ends; {standing.open} requests are open"
-                if standing.open
+                f"the program ends; {program.open_requests} requests are open"
+                if program.open_requests
                 else "the program ends"
             )
-        case SetAside(engine) if standing.ready <= {engine}:
+        case Cordon(engine) if program.ready_engines <= {engine}:
             return "no other engine is ready: all new requests will be refused"
-        case SetAside(engine) if engine in standing.ready and len(standing.ready) <= 2:
+        case Cordon(engine) if engine in program.ready_engines and len(program.ready_engines) <= 2:
             return "one engine alone is left ready"
-        case Limit(class_name, threads) if threads is not None and threads < standing.classes[class_name]:
-            return (
-                f"one {class_name} takes {standing.classes[class_name]} threads: all of them will be refused"
-            )
+        case SetConcurrencyLimit(
+            class_name, threads
+        ) if threads is not None and threads < program.class_threads[class_name]:
+            needed = program.class_threads[class_name]
+            return f"one {class_name} takes {needed} threads: all of them will be refused"
     return ""
 
 
-def _target(change: Change) -> str:
+def _target(change: Override) -> str:
     match change:
-        case SetAside(engine) | BringBack(engine):
+        case Cordon(engine) | Uncordon(engine):
             return f"engine:{engine}"
-        case Limit(class_name, _):
+        case SetConcurrencyLimit(class_name, _):
             return f"class:{class_name}"
         case Drain():
             return SITE
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -81,13 +81,13 @@
             accept=self.identity.check_engine if self.identity else lambda *_: None,
         )
         transport = (self.pool, self.deadlines, config.settings.load_report_fields)
-        transports: dict[str, Transport] = {"rest": RestTransport(*transport)}
+        self.transports: dict[str, Transport] = {"rest": RestTransport(*transport)}
         if operator is not None:
             from fordstair.net.engines.odata import ODataTransport
 
-            transports["odata"] = ODataTransport(*transport)
+            self.transports["odata"] = ODataTransport(*transport)
         self.coordinator = Coordinator(
-            config.settings, config.seed, transports, self.deadlines, self.counters
+            config.settings, config.seed, self.transports, self.deadlines, self.counters
         )
         self.pool.unreached = self.coordinator.engine_unreachable
         if config.budgets is not None:
@@ -103,11 +103,11 @@
                 debt_ms=told.debt_ms,
             )
             self.admission_queue = AdmissionQueue(self.coordinator, scheduler, told.threads_a_core)
-            self.coordinator.admission_queue = self.admission_queue
+            self.coordinator.extensions.admission_queue = self.admission_queue
         if operator is not None and operator.eject_silent_zones:
             from fordstair.core.zone_watch import ZoneWatch
 
-            self.coordinator.zone_watch = ZoneWatch(self.coordinator)
+            self.coordinator.extensions.zone_watch = ZoneWatch(self.coordinator)
         if operator is not None and operator.shares is not None:
             self.share_budgets(operator.shares)
         self.poll_watch = PollWatch()
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -12,25 +12,26 @@
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.live_request import LiveRequest
 from fordstair.core.ports import Engine
+from fordstair.core.request_table import Answer
 from fordstair.decisions.engine_list import EngineState
 from fordstair.decisions.gateway import SOUND
 from fordstair.decisions.state import Engine as Believed
-from fordstair.overrides.register import Ledger
+from fordstair.overrides.register import OverrideRegister
 from fordstair.runtime.clock import WallClock
 from fordstair.snapshots.snapshot import (
-    AdjustmentView,
     ClassView,
     EngineView,
+    LogLineView,
     MemberView,
-    NoteView,
-    Picture,
-    RefusalView,
+    OverrideView,
+    QuotaView,
+    RejectionView,
     RequestView,
-    ShareView,
     SiteView,
+    Snapshot,
     State,
     TeamView,
-    renewed,
+    updated_table,
 )
 
 if TYPE_CHECKING:
@@ -43,32 +44,32 @@
 SILENT_MS = 1_000.0  # an engine that worked within that time is not called silent
 
 
-class Observer:
+class SnapshotCollector:
     """Keeps the latest picture, and makes the next one from it."""
 
     def __init__(
         self,
         name: str,
         coordinator: Coordinator,
-        ledger: Ledger,
+        overrides: OverrideRegister,
         wall_clock: WallClock,
         membership: Membership | None = None,
         shared: Service | None = None,
         budgets: FleetBudgets | None = None,
     ) -> None:
         self.membership, self.shared, self.budgets = membership, shared, budgets
-        self.name, self.coordinator, self.ledger = name, coordinator, ledger
-        self.wall_clock, self.watchers = wall_clock, 0
+        self.name, self.coordinator, self.overrides = name, coordinator, overrides
+        self.wall_clock, self.followers = wall_clock, 0
         self._started_ms = coordinator.deadlines.clock()
         self._changes: dict[str, tuple[State, float]] = {}  # by engine: its state, and since when
-        self.picture = Picture()
-        self.notes: deque[NoteView] = deque(maxlen=NOTES_MOST)
+        self.latest = Snapshot()
+        self.log_lines: deque[LogLineView] = deque(maxlen=NOTES_MOST)
 
     def _unix(self, moment_ms: float) -> float:
         """Return a moment of the monotonic clock as people read it; 0 where there was none."""
         return self.wall_clock.unix(moment_ms).value if moment_ms > 0.0 else 0.0
 
-    def look(self, now: float) -> Picture:
+    def collect(self, now: float) -> Snapshot:
         """Make the picture of this moment of the monotonic clock, numbered after the one before."""
         live = [each for each in self.coordinator.live.values() if not each.finished]
         rows: dict[str, dict[str, Any]] = {
@@ -81,9 +82,9 @@
             "members": self._members(),
             "shares": self._shares(now),
         }
-        tables = self.picture.tables
+        tables = self.latest.tables
         for name, table in rows.items():
-            kept = renewed(tables[name], table)
+            kept = updated_table(tables[name], table)
             if kept is not tables[name]:
                 tables = tables.set(name, kept)
         site = SiteView(
@@ -92,11 +93,11 @@
             self.coordinator.draining,
             len(live),
             sum(each.call is not None for each in live),
-            self.ledger.revision,
-            self.watchers,
+            self.overrides.revision,
+            self.followers,
         )
-        self.picture = Picture(self.picture.number + 1, self._unix(now), site, tables, tuple(self.notes))
-        return self.picture
+        self.latest = Snapshot(self.latest.number + 1, self._unix(now), site, tables, tuple(self.log_lines))
+        return self.latest
 
     def _engines(self, now: float) -> dict[str, EngineView]:
         views, changes = dict[str, EngineView](), dict[str, tuple[State, float]]()
@@ -104,7 +105,7 @@
             view = self._engine(name, engine, self.coordinator.gateway.engines.get(name), now)
             before = self._changes.get(name)
             changes[name] = before if before is not None and before[0] == view.state else (view.state, now)
-            views[name] = msgspec.structs.replace(view, changed_ms=self._unix(changes[name][1]))
+            views[name] = msgspec.structs.replace(view, state_since_ms=self._unix(changes[name][1]))
         self._changes = changes
         return views
 
@@ -132,7 +133,7 @@
             round(seen.strikes, 2),
             self._unix(seen.heard_at),
             self._unix(seen.report_at),
-            priorities=engine.protocol != "odata",
+            supports_priorities=engine.protocol != "odata",
         )
 
     def _classes(self, live: list[LiveRequest]) -> dict[str, ClassView]:
@@ -141,8 +142,9 @@
         for k, spec in enumerate(self.coordinator.settings.classes):
             mine = [each for each in live if each.query.class_index == k]
             out = sum(each.call is not None for each in mine)
-            served, refused, failed = (
-                counters[f"answered.{how}.{spec.name}"] for how in ("served", "refused", "failed")
+            served, rejected, failed = (
+                counters[f"answered.{answer.value}.{spec.name}"]
+                for answer in (Answer.SERVED, Answer.REJECTED, Answer.FAILED)
             )
             views[spec.name] = ClassView(
                 spec.name,
@@ -153,7 +155,7 @@
                 gateway.limits.get(k),
                 counters[f"taken.{spec.name}"],
                 served,
-                refused,
+                rejected,
                 failed,
                 self._oldest(mine),
             )
@@ -181,7 +183,7 @@
         return round(self._unix(live[0].received_ms), 1) if live else 0.0
 
     def _outlook(self, team: int) -> tuple[int, float | None]:
-        if (queue := self.coordinator.admission_queue) is None:
+        if (queue := self.coordinator.extensions.admission_queue) is None:
             return 0, None
         queued, wait_ms = queue.expected_wait(team)
         return queued, round(wait_ms)
@@ -202,10 +204,10 @@
             for each in islice(live, REQUESTS_MOST)
         }
 
-    def _refusals(self) -> dict[str, RefusalView]:
+    def _refusals(self) -> dict[str, RejectionView]:
         return {
-            f"{class_name}|{reason}": RefusalView(class_name, reason, count)
-            for (class_name, reason), count in self.coordinator.rejections.items()
+            f"{class_name}|{reason}": RejectionView(class_name, reason, count)
+            for (class_name, reason), count in self.coordinator.requests.rejections.items()
         }
 
     def _members(self) -> dict[str, MemberView]:
@@ -221,11 +223,11 @@
                 "mute" if swim.mute else STATES[me.state],
                 me.incarnation,
                 self._unix(self._started_ms),
-                own=True,
-                health=swim.awareness.score,
-                entries=len(shared.holder.entries) if shared is not None else 0,
+                is_self=True,
+                awareness_score=swim.awareness.score,
+                ledger_entries=len(shared.holder.entries) if shared is not None else 0,
                 store_bytes=shared.disk.size_bytes if shared is not None else 0,
-                doubted=shared.holder.doubted or shared.writer.broken if shared is not None else "",
+                ledger_fault=shared.holder.doubted or shared.writer.broken if shared is not None else "",
             )
         }
         for each in swim.members.values():
@@ -240,20 +242,20 @@
                 len(doubt.accusers) if doubt is not None else 0,
                 self._unix(doubt.until) if doubt is not None else 0.0,
                 each.cut_off,
-                behind=shared.behind.get(each.name) if shared is not None else None,
+                ranges_behind=shared.behind.get(each.name) if shared is not None else None,
             )
         return views
 
-    def _shares(self, now: float) -> dict[str, ShareView]:
+    def _shares(self, now: float) -> dict[str, QuotaView]:
         if self.budgets is None:
             return {}
         rows = self.budgets.rows(self._unix(now))
-        return {f"{each.member}|{each.budget}": ShareView(**each._asdict()) for each in rows}
+        return {f"{row.member}|{row.budget}": QuotaView(*row) for row in rows}
 
-    def _adjustments(self) -> dict[str, AdjustmentView]:
+    def _adjustments(self) -> dict[str, OverrideView]:
         return {
-            target: AdjustmentView(target, each.what, each.who, each.at_ms, each.revision)
-            for target, each in self.ledger.in_force.items()
+            target: OverrideView(target, each.effect, each.author, each.applied_ms, each.revision)
+            for target, each in self.overrides.active.items()
         }
 
 
--- a/fordstair/snapshots/publishing.py
+++ b/fordstair/snapshots/publishing.py
@@ -12,53 +12,57 @@
 
 
 @dataclass(slots=True)
-class Pace:
+class SnapshotSchedule:
     """When the next picture is made; all who follow share it."""
 
-    every_ms: float = EVERY_MS
-    beat_ms: float = BEAT_MS
-    made_ms: float = float("-inf")
-    cost_ms: float = 0.0  # what the last picture took to make
+    interval_ms: float = EVERY_MS
+    heartbeat_ms: float = BEAT_MS
+    collected_ms: float = float("-inf")
+    collection_ms: float = 0.0  # what the last picture took to make
 
-    def made(self, now: float, cost_ms: float) -> None:
+    def record_collection(self, now: float, collection_ms: float) -> None:
         """Note that a picture was made."""
-        self.made_ms, self.cost_ms = now, max(0.0, cost_ms)
+        self.collected_ms, self.collection_ms = now, max(0.0, collection_ms)
 
-    def due(self, now: float, changed: bool) -> float:
+    def due_in_ms(self, now: float, changed: bool) -> float:
         """Return how long to wait for the next picture; 0 where it is due."""
-        if self.made_ms > now:  # the clock that is handed in has gone back
-            self.made_ms = now - self.every_ms
-        gap = max(self.every_ms, min(self.beat_ms, self.cost_ms / FAST_PART))
-        return max(0.0, self.made_ms + (gap if changed else self.beat_ms) - now)
+        if self.collected_ms > now:  # the clock that is handed in has gone back
+            self.collected_ms = now - self.interval_ms
+        gap = max(self.interval_ms, min(self.heartbeat_ms, self.collection_ms / FAST_PART))
+        return max(0.0, self.collected_ms + (gap if changed else self.heartbeat_ms) - now)
 
 
 @dataclass(slots=True)
 class Freshness:
-    """What a follower knows of the age of what it shows. ``wall`` is Unix time, ``mono`` never steps."""
+    """What a follower knows of the age of the snapshot that it shows."""
 
     stale_ms: float = STALE_MS
-    heard_mono: float = float("-inf")
-    made_wall: float = 0.0
-    lost: str = "not connected yet"
+    received_monotonic_ms: float = float("-inf")
+    collected_unix_ms: float = 0.0
+    disconnect_reason: str = "not connected yet"
 
-    def heard(self, mono: float, made_wall: float) -> None:
+    def delta_received(self, monotonic_ms: float, collected_unix_ms: float) -> None:
         """A frame has come."""
-        self.heard_mono, self.made_wall, self.lost = mono, made_wall, ""
+        self.received_monotonic_ms, self.collected_unix_ms, self.disconnect_reason = (
+            monotonic_ms,
+            collected_unix_ms,
+            "",
+        )
 
-    def broken(self, why: str) -> None:
+    def disconnected(self, why: str) -> None:
         """The connection has ended."""
-        self.lost = why or "the feed has ended"
+        self.disconnect_reason = why or "the feed has ended"
 
-    def stale(self, mono: float, wall: float) -> str:
+    def staleness(self, monotonic_ms: float, unix_ms: float) -> str:
         """Return why what is shown must not be taken as current; empty where it may.
 
         Both ends are on one machine, so a frame's stamp is compared with the follower's own clock: a frame
         that comes late through a full buffer is old although it has just come.
         """
-        if self.lost:
-            return self.lost
-        if mono - self.heard_mono > self.stale_ms:
-            return f"no word for {(mono - self.heard_mono) / 1000.0:.1f} s"
-        if wall - self.made_wall > self.stale_ms:
-            return f"the feed is {(wall - self.made_wall) / 1000.0:.1f} s behind"
+        if self.disconnect_reason:
+            return self.disconnect_reason
+        if monotonic_ms - self.received_monotonic_ms > self.stale_ms:
+            return f"no word for {(monotonic_ms - self.received_monotonic_ms) / 1000.0:.1f} s"
+        if unix_ms - self.collected_unix_ms > self.stale_ms:
+            return f"the feed is {(unix_ms - self.collected_unix_ms) / 1000.0:.1f} s behind"
         return ""
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -25,7 +25,7 @@
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
 from fordstair.lab.traffic import Kind, Tally, Traffic
-from fordstair.snapshots.snapshot import Picture, decode, follow
+from fordstair.snapshots.snapshot import Snapshot, apply_delta, decode
 from tests.standins import ROOT, config, engine, program
 from tests.test_odata import OPERATOR
 from tests.test_platform import play
@@ -128,7 +128,7 @@
             assert sum(each.counts["second_attempts"] for each in one.engines) == 0
             log = (tmp_path / "log").read_text()
             assert "adjustment" in log
-            assert "SetAside" in log
+            assert "Cordon" in log
             assert "verdict=done" in log
 
     play(scene)
@@ -220,15 +220,15 @@
         async with site(tmp_path, engines=2) as one, trio.open_nursery() as nursery:
             traffic = Traffic("127.0.0.1", one.ports["listens"], [LOOKUPS], seed=5)
             nursery.start_soon(traffic.run, 8.0)
-            pictures, told = [Picture()] * 7, [0] * 7
+            pictures, told = [Snapshot()] * 7, [0] * 7
 
             async def reads(number: int) -> None:
                 stream, buffer = await trio.open_unix_socket(one.door), b""
                 await stream.send_all(b'{"command":"follow"}\n')
                 async for chunk in stream:
                     *lines, buffer = (buffer + chunk).split(b"\n")
-                    for line in lines:  # each frame continues the one before, or follow raises
-                        pictures[number] = follow(pictures[number], decode(line))
+                    for line in lines:  # each frame continues the one before, or apply_delta raises
+                        pictures[number] = apply_delta(pictures[number], decode(line))
                         told[number] += 1
                         await stream.send_all(b"\n")
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -126,7 +126,7 @@
             await until(lambda: one.calls["connections"])
             await wait_all_tasks_blocked(0.05)
             assert not one.posts
-            assert node.counters["client.left"] == 1
+            assert node.counters["client.disconnected"] == 1
             asks = await connect(node)  # what was begun for it serves another
             assert await asks.answer(await asks.ask(txn="00000000000000aa")) == (None, ROWS)
             assert one.calls["connections"] == 1
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -27,31 +27,31 @@
 from fordstair.logs.setup import Log
 from fordstair.logs.sink import Sink
 from fordstair.overrides.register import (
-    BringBack,
-    Change,
+    Cordon,
     Drain,
-    Ledger,
-    Limit,
-    SetAside,
-    Standing,
+    Override,
+    OverrideRegister,
+    ProgramState,
+    SetConcurrencyLimit,
+    Uncordon,
     Verdict,
 )
 from fordstair.runtime.clock import WallClock
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.runtime.event_log import EventLog
-from fordstair.snapshots.collector import Observer, engine_state
-from fordstair.snapshots.publishing import BEAT_MS, EVERY_MS, Freshness, Pace
+from fordstair.snapshots.collector import SnapshotCollector, engine_state
+from fordstair.snapshots.publishing import BEAT_MS, EVERY_MS, Freshness, SnapshotSchedule
 from fordstair.snapshots.snapshot import (
     TABLES,
-    Gap,
-    NoteView,
-    Picture,
+    LogLineView,
+    Snapshot,
+    SnapshotDeltaError,
     TeamView,
+    apply_delta,
     decode,
+    delta_between,
     encode,
-    follow,
-    step,
 )
 from tests.helpers import CLASSES, Rig, entry
 from tests.test_settings import APPLIANCE
@@ -66,26 +66,26 @@
     rows: list[dict[str, int]], data: st.DataObject
 ) -> None:
     """A slow console is sent the step between what it has and the latest picture, whatever lay between."""
-    now, seen, log = Picture(), Picture(), list[NoteView]()
+    now, seen, log = Snapshot(), Snapshot(), list[LogLineView]()
     for number, row in enumerate(rows, 1):
-        log.append(NoteView(number, 0.0, "info", str(number)))
+        log.append(LogLineView(number, 0.0, "info", str(number)))
         teams = now.table("teams")
         for name in list(teams):
             teams = teams.delete(name)
-        teams = teams.update({name: TeamView(name, open=value) for name, value in row.items()})
-        now = Picture(number, float(number), tables=now.tables.set("teams", teams), notes=tuple(log))
+        teams = teams.update({name: TeamView(name, open_requests=value) for name, value in row.items()})
+        now = Snapshot(number, float(number), tables=now.tables.set("teams", teams), notes=tuple(log))
         if data.draw(st.booleans()):
-            seen = follow(seen, decode(encode(step(seen, now))))
+            seen = apply_delta(seen, decode(encode(delta_between(seen, now))))
             assert seen == now
-    frame = encode(step(Picture(), now))
-    assert follow(seen, decode(frame)).tables == now.tables  # a full picture goes over anything
+    frame = encode(delta_between(Snapshot(), now))
+    assert apply_delta(seen, decode(frame)).tables == now.tables  # a full picture goes over anything
 
 
 def test_a_frame_that_continues_another_picture_is_a_gap() -> None:
-    one = Picture(1)
-    for frame in (step(Picture(2), Picture(3)), step(Picture(1), Picture(1))):
-        with pytest.raises(Gap):
-            follow(one, frame)
+    one = Snapshot(1)
+    for frame in (delta_between(Snapshot(2), Snapshot(3)), delta_between(Snapshot(1), Snapshot(1))):
+        with pytest.raises(SnapshotDeltaError):
+            apply_delta(one, frame)
 
 
 @many
@@ -101,42 +101,44 @@
     ).map(lambda value: ujson.dumps(value).encode())
 )
 def test_what_is_no_frame_is_a_gap_and_nothing_worse(data: bytes) -> None:
-    with suppress(Gap):
-        assert follow(Picture(), decode(data)).number >= 0
+    with suppress(SnapshotDeltaError):
+        assert apply_delta(Snapshot(), decode(data)).number >= 0
 
 
 @many
 @given(st.lists(st.tuples(st.floats(0.0, 900.0), st.booleans(), st.floats(0.0, 50.0)), max_size=60))
 def test_the_pace_is_five_a_second_at_most_and_never_stops(steps: list[tuple[float, bool, float]]) -> None:
-    pace, now, made = Pace(), 1e6, list[float]()
+    pace, now, made = SnapshotSchedule(), 1e6, list[float]()
     for ahead, changed, cost in steps:
         now += ahead
-        if pace.due(now, changed) <= 0.0:
+        if pace.due_in_ms(now, changed) <= 0.0:
             made.append(now)
-            pace.made(now, cost)
-        assert pace.due(now + BEAT_MS, False) <= 0.0
+            pace.record_collection(now, cost)
+        assert pace.due_in_ms(now + BEAT_MS, False) <= 0.0
     assert all(later - earlier >= EVERY_MS - 1e-6 for earlier, later in itertools.pairwise(made))
-    pace.made_ms = now + 1e9  # the clock went back a long way: the feed goes on
-    assert pace.due(now, True) <= EVERY_MS
+    pace.collected_ms = now + 1e9  # the clock went back a long way: the feed goes on
+    assert pace.due_in_ms(now, True) <= EVERY_MS
 
 
 def test_a_picture_is_stale_by_silence_by_lag_and_by_loss() -> None:
     fresh = Freshness()
-    assert fresh.stale(0.0, 0.0) == "not connected yet"
-    fresh.heard(mono=5_000.0, made_wall=90_000.0)
-    assert not fresh.stale(5_900.0, 90_900.0)
-    assert "no word for 1.1 s" in fresh.stale(6_100.0, 90_100.0)
-    fresh.heard(mono=8_000.0, made_wall=91_000.0)  # it came just now, through a buffer that was full
-    assert "2.0 s behind" in fresh.stale(8_000.0, 93_000.0)
-    fresh.broken("gone")
-    assert fresh.stale(8_000.0, 91_000.0) == "gone"
+    assert fresh.staleness(0.0, 0.0) == "not connected yet"
+    fresh.delta_received(monotonic_ms=5_000.0, collected_unix_ms=90_000.0)
+    assert not fresh.staleness(5_900.0, 90_900.0)
+    assert "no word for 1.1 s" in fresh.staleness(6_100.0, 90_100.0)
+    fresh.delta_received(
+        monotonic_ms=8_000.0, collected_unix_ms=91_000.0
+    )  # it came just now, through a buffer that was full
+    assert "2.0 s behind" in fresh.staleness(8_000.0, 93_000.0)
+    fresh.disconnected("gone")
+    assert fresh.staleness(8_000.0, 91_000.0) == "gone"
 
 
 def test_what_the_module_avoids_is_never_called_ready_and_looking_changes_nothing() -> None:
     """Two modules of the same seed, one of them looked at all the time: they decide alike."""
     told = site_settings(load_file(str(APPLIANCE), whole=True))
     plain, watched = (Coordinator(told, 7, {}, Deadlines(lambda: 0.0), Counters()) for _ in range(2))
-    observer = Observer("x", watched, Ledger(), WallClock())
+    observer = SnapshotCollector("x", watched, OverrideRegister(), WallClock())
     named = set()
     for one in (plain, watched):
         one.update_engines(ListUpdateKind.FULL, [Engine(entry(n), f"127.0.0.1:{n}") for n in range(1, 4)])
@@ -156,8 +158,8 @@
                 [gateway.health(e) * gateway.warmth(e) for e in gateway.engines.values()],
             )[0]
             sent[number].append(drawn)
-        observer.look(now)
-        for view in observer.picture.table("engines").values():
+        observer.collect(now)
+        for view in observer.latest.table("engines").values():
             believed = watched.gateway.engines[view.id]
             named.add(view.state)
             if view.state == "ready":
@@ -199,65 +201,72 @@
     assert rig.sends(rig.ask(1))
 
 
-STANDING = Standing(frozenset({"a", "b", "c"}), frozenset({"a", "b", "c", "d"}), {"lookup": 1, "load": 2}, 5)
+STANDING = ProgramState(
+    frozenset({"a", "b", "c"}), frozenset({"a", "b", "c", "d"}), {"lookup": 1, "load": 2}, 5
+)
 
 
 def test_two_operators_at_once_and_what_disturbs_service() -> None:
-    ledger = Ledger()
+    ledger = OverrideRegister()
     seen = ledger.revision
-    assert ledger.propose(SetAside("a"), "ann", 1.0, STANDING, seen=seen).verdict is Verdict.DONE
-    assert ledger.propose(SetAside("a"), "bob", 2.0, STANDING, seen=seen).verdict is Verdict.ALREADY
-    late = ledger.propose(BringBack("a"), "bob", 2.0, STANDING, seen=seen)
+    assert ledger.propose(Cordon("a"), "ann", 1.0, STANDING, seen=seen).verdict is Verdict.DONE
+    assert ledger.propose(Cordon("a"), "bob", 2.0, STANDING, seen=seen).verdict is Verdict.ALREADY
+    late = ledger.propose(Uncordon("a"), "bob", 2.0, STANDING, seen=seen)
     assert late.verdict is Verdict.CONFLICT
-    assert "ann" in late.why
-    assert ledger.propose(BringBack("a"), "bob", 3.0, STANDING, seen=ledger.revision).verdict is Verdict.DONE
-    assert ledger.propose(SetAside("a"), "ann", 4.0, STANDING, seen=seen).verdict is Verdict.CONFLICT
+    assert "ann" in late.reason
+    assert ledger.propose(Uncordon("a"), "bob", 3.0, STANDING, seen=ledger.revision).verdict is Verdict.DONE
+    assert ledger.propose(Cordon("a"), "ann", 4.0, STANDING, seen=seen).verdict is Verdict.CONFLICT
     # another target is no conflict
-    assert ledger.propose(Limit("load", 4), "ann", 4.0, STANDING, seen=seen).verdict is Verdict.DONE
-    assert ledger.propose(SetAside("z"), "ann", 4.0, STANDING).verdict is Verdict.UNKNOWN
-    assert ledger.propose(Limit("z", 4), "ann", 4.0, STANDING).verdict is Verdict.UNKNOWN
-    assert ledger.propose(Limit("load", -1), "ann", 4.0, STANDING).verdict is Verdict.REFUSED
-    two = Standing(frozenset({"a", "b"}), STANDING.listed, STANDING.classes, 5)
-    one = Standing(frozenset({"a"}), STANDING.listed, STANDING.classes, 5)
+    assert (
+        ledger.propose(SetConcurrencyLimit("load", 4), "ann", 4.0, STANDING, seen=seen).verdict
+        is Verdict.DONE
+    )
+    assert ledger.propose(Cordon("z"), "ann", 4.0, STANDING).verdict is Verdict.UNKNOWN
+    assert ledger.propose(SetConcurrencyLimit("z", 4), "ann", 4.0, STANDING).verdict is Verdict.UNKNOWN
+    assert ledger.propose(SetConcurrencyLimit("load", -1), "ann", 4.0, STANDING).verdict is Verdict.REFUSED
+    two = ProgramState(frozenset({"a", "b"}), STANDING.known_engines, STANDING.class_threads, 5)
+    one = ProgramState(frozenset({"a"}), STANDING.known_engines, STANDING.class_threads, 5)
     for change, standing in (
-        (SetAside("a"), two),
-        (SetAside("a"), one),
-        (Limit("load", 1), STANDING),
+        (Cordon("a"), two),
+        (Cordon("a"), one),
+        (SetConcurrencyLimit("load", 1), STANDING),
         (Drain(), STANDING),
     ):
         before = ledger.revision
         assert ledger.propose(change, "ann", 5.0, standing).verdict is Verdict.CONFIRM
         assert ledger.revision == before
     assert ledger.propose(Drain(), "ann", 6.0, STANDING, confirmed=True).verdict is Verdict.DONE
-    over = Standing(STANDING.ready, STANDING.listed, STANDING.classes, 5, draining=True)
-    assert ledger.propose(SetAside("b"), "bob", 7.0, over).verdict is Verdict.REFUSED
+    over = ProgramState(
+        STANDING.ready_engines, STANDING.known_engines, STANDING.class_threads, 5, draining=True
+    )
+    assert ledger.propose(Cordon("b"), "bob", 7.0, over).verdict is Verdict.REFUSED
     assert ledger.propose(Drain(), "bob", 7.0, over).verdict is Verdict.ALREADY
 
 
-changes: st.SearchStrategy[Change] = (
-    st.sampled_from(["a", "b", "d"]).map(SetAside)
-    | st.sampled_from(["a", "b", "d"]).map(BringBack)
-    | st.builds(Limit, st.just("load"), st.none() | st.integers(0, 4))
+changes: st.SearchStrategy[Override] = (
+    st.sampled_from(["a", "b", "d"]).map(Cordon)
+    | st.sampled_from(["a", "b", "d"]).map(Uncordon)
+    | st.builds(SetConcurrencyLimit, st.just("load"), st.none() | st.integers(0, 4))
 )
 
 
 @many
 @given(st.lists(st.tuples(changes, st.integers(0, 3)), max_size=30))
-def test_the_ledger_is_what_its_accepted_changes_make_it(proposals: list[tuple[Change, int]]) -> None:
-    ledger, model = Ledger(), dict[str, str]()
+def test_the_ledger_is_what_its_accepted_changes_make_it(proposals: list[tuple[Override, int]]) -> None:
+    ledger, model = OverrideRegister(), dict[str, str]()
     for change, behind in proposals:
         seen = max(0, ledger.revision - behind)
         ruling = ledger.propose(change, "x", 0.0, STANDING, seen=seen, confirmed=True)
         if ruling.verdict is Verdict.DONE:
-            made = ruling.adjustment
+            made = ruling.override
             assert made is not None
             assert made.revision == ledger.revision
             model.pop(made.target, None)
-            if made.what not in ("brought back", "no limit"):
-                model[made.target] = made.what
+            if made.effect not in ("brought back", "no limit"):
+                model[made.target] = made.effect
         if ruling.verdict is Verdict.CONFLICT:
             assert behind > 0
-        assert {target: each.what for target, each in ledger.in_force.items()} == model
+        assert {target: each.effect for target, each in ledger.active.items()} == model
 
 
 @many
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -7,7 +7,6 @@
 ROOT = Path(__file__).parent.parent
 LINES_MOST = 400
 STILL_LARGER = {
-    "fordstair/core/coordinator.py",
     "fordstair/decisions/gateway.py",
     "fordstair/lab/site.py",
     "fordstair/membership/swim.py",
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -506,7 +506,7 @@
             await nursery.start(one.coordinator.run)
             reply = Reply()
             one.coordinator.update_engines(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
-            one.coordinator.transports = {"rest": Endless()}
+            one.transports["rest"] = Endless()
             one.coordinator.submit(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
             start = clock()
             await one.drain([])
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -369,7 +369,7 @@
     replies = [Reply(), Reply()]
     for number, reply in enumerate(replies):
         query = Query(f"{number:016x}", "lookup", 0, 0, 6_000.0, b"", cost_ms=10.0)
-        live = one.live[number] = queue._lives[number] = LiveRequest(
+        live = one.live[number] = queue._waiting[number] = LiveRequest(
             number, query, reply, 1e6, 1e6 + 6_000.0, SendGuard(Idempotency.IDEMPOTENT, 0.0)
         )
         assert queue.scheduler.arrive(Told(number, 0, 0, 1, 10.0, math.inf), 1e6).refused is None
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -126,7 +126,7 @@
 def test_a_list_that_comes_anew_gives_no_avoided_hall_back() -> None:
     clock = [1_000.0]
     coordinator = Coordinator(told_settings(), 1, {"rest": NoWire()}, Deadlines(lambda: clock[0]), Counters())
-    watch = coordinator.zone_watch = ZoneWatch(coordinator)
+    watch = coordinator.extensions.zone_watch = ZoneWatch(coordinator)
 
     def listed(**starts: float) -> None:
         coordinator.update_engines(
@@ -154,7 +154,7 @@
     watch.engine_responded(1, "a3")
     assert states() == {EngineState.READY}
     assert coordinator.engines["a0"].ready
-    assert coordinator.counters["halls.avoided"] == coordinator.counters["halls.tried"] == 1
+    assert coordinator.counters["zones.ejected"] == coordinator.counters["zones.readmitted"] == 1
     clock[0] += 1_000.0
     watch.engine_responded(1, "b0")
     for engine in ("a0", "a1", "a2"):
@@ -198,7 +198,7 @@
                     engine.go_silent()
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(ask, 4.0, 2)
-                    await logged("hall.avoided")
+                    await logged("zone.ejected")
                     before = sum(engine.counts["read.POST"] for engine in lost)
                     await trio.sleep(0.8)  # within the hold nothing new goes there
                     assert sum(engine.counts["read.POST"] for engine in lost) == before
@@ -207,6 +207,6 @@
                 await trio.sleep(HOLD_MOST_MS / 1e3)
                 assert await ask(4.0, 3) > 0.9
                 assert sum(engine.counts["read.POST"] for engine in lost) > before
-                await logged("hall.tried")
+                await logged("zone.readmitted")
 
     bounded(scene, 60.0)
