--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -122,7 +122,7 @@
         """Return a request as the scheduler is told of it."""
         arrival = self.coordinator.arrival_event(live)
         spec = self.coordinator.settings.classes[arrival.class_index]
-        work_ms = self.coordinator.gateway.cache.forecast(arrival.class_index, arrival.group, arrival.cost_ms)
+        work_ms = self.coordinator.gateway.predicted_cost(arrival)
         caps: tuple[Cap | Meter, ...] = ()
         if self.caps is not None:
             caps = self.caps.binding(now, arrival.tenant, arrival.class_index)
@@ -143,9 +143,9 @@
         ):
             return Room.BUDGET_FULL
         gateway = self.coordinator.gateway
-        if gateway.has_room(self.coordinator.arrival_event(self._waiting[item.id])):
+        if gateway.has_capacity(self.coordinator.arrival_event(self._waiting[item.id])):
             return Room.FITS
-        return Room.CLASS_FULL if item.class_index in gateway.limits else Room.FULL
+        return Room.CLASS_FULL if item.class_index in gateway.admission.concurrency_limits else Room.FULL
 
     def _reject_waiting(self, request: int, reason: Refused) -> None:
         """Reject a request that the scheduler has taken out already."""
@@ -176,7 +176,7 @@
     def _resize(self) -> None:
         """Follow the capacity of the engines that take new work."""
         coordinator = self.coordinator
-        cores = sum(engine.cores for engine in coordinator.gateway.open_to(0))
+        cores = sum(engine.cores for engine in coordinator.gateway.selector.eligible(0))
         threads = max(1.0, cores * self.threads_a_core / coordinator.settings.instances)
         if threads != self.scheduler.budgets.capacity:
             self.scheduler.budgets.resize(threads)
--- a/fordstair/core/preemption_control.py
+++ b/fordstair/core/preemption_control.py
@@ -55,7 +55,7 @@
         """Return one attempt as the rule sees it."""
         coordinator, query = self._coordinator, live.query
         attempt = coordinator.gateway.attempts.get((live.id, live.attempt_count - 1))
-        left_ms = attempt.sent + attempt.expected - now if attempt is not None else 0.0
+        left_ms = attempt.sent_at + attempt.expected_latency_ms - now if attempt is not None else 0.0
         engine = coordinator.engines.get(live.engine)
         return Runs(
             live.id,
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -7,10 +7,7 @@
 ROOT = Path(__file__).parent.parent
 LINES_MOST = 400
 STILL_LARGER = {
-    "fordstair/decisions/gateway.py",
     "fordstair/lab/site.py",
-    "fordstair/membership/swim.py",
-    "fordstair/net/clients/odata_front.py",
     "fordstair/net/console_server.py",
     "fordstair/program.py",
     "fordstair/replication/service.py",
