--- a/tests/wires/test_console.py
+++ b/tests/wires/test_console.py
@@ -11,7 +11,7 @@
 import trio
 import ujson
 
-from fordstair.snapshots.snapshot import Picture, decode, encode, follow, step
+from fordstair.snapshots.snapshot import Snapshot, apply_delta, decode, delta_between, encode
 from tests.standins import config, engine, program
 from tests.test_platform import play
 from tests.wires.recordings import recorded
@@ -100,8 +100,8 @@
 
 
 def test_steps_between_pictures_are_the_recorded_frames() -> None:
-    picture = Picture()
+    picture = Snapshot()
     for data in FRAMES.values():
-        after = follow(picture, decode(data))
-        assert in_order(encode(step(picture, after))) == in_order(data)
+        after = apply_delta(picture, decode(data))
+        assert in_order(encode(delta_between(picture, after))) == in_order(data)
         picture = after
