--- a/fordstair/decisions/actions.py
+++ b/fordstair/decisions/actions.py
@@ -4,28 +4,44 @@
 
 import math
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import TypeAlias
 
 from fordstair.decisions.engine_list import EngineId
 
 
+class RejectionReason(StrEnum):
+    """Why a request got its final answer without being served; the texts are shown to operators."""
+
+    OVER_QUOTA = "over the team's share"
+    OVER_CONCURRENCY_LIMIT = "over the limit set here"
+    NO_CAPACITY = "threads are full"
+    TOO_COSTLY = "too costly under pressure"
+    ORDERING_QUEUE_TOO_LONG = "its key's line is too long"
+    NO_ELIGIBLE_ENGINE = "no engine is open"
+    NO_FURTHER_ATTEMPT = "no further attempt"
+    ATTEMPT_MAY_STILL_RUN = "an attempt may begin yet"
+    TOO_LATE = "too late"
+    SHUTTING_DOWN = "the program ends"
+
+
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Send the request's next attempt; a limit of 0 lets it run until the client leaves."""
+    """Send the request's next attempt."""
 
     request: int
     engine: EngineId
-    limit_ms: float = 0.0
-    begin_by: float = math.inf  # from then on it must not begin: what ran before may be forgotten there
+    limit_ms: float = 0.0  # 0: it may run until the client leaves
+    begin_by: float = math.inf  # after that it must not begin: engines may have forgotten an earlier run
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: no, and a retry does no harm."""
+    """Final answer: rejected; a retry does no harm."""
 
     request: int
     retry_after_ms: float = 0.0
-    reason: str = ""  # one of a few fixed texts, for those who look on
+    reason: RejectionReason | str = ""
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,7 +49,7 @@
     """Final answer: failed; nothing is promised about the effect."""
 
     request: int
-    reason: str = ""
+    reason: RejectionReason | str = ""
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetQueryResources:
-    """Memory for the next attempts (0: the engine's choice) and priority, 0 to 3."""
+    """Set memory (0: the engine's choice) and priority (0 to 3) of the next attempt, and of running ones."""
 
     request: int
     memory_mb: float = 0.0
@@ -63,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Ask an engine for its state."""
+    """Check the health of an engine."""
 
     engine: EngineId
 
@@ -77,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPeerMessage:
-    """Tell a sibling, or all where peer is None."""
+    """Send a message to another coordinator, or to all of them where peer is None."""
 
     peer: int | None
     payload: bytes
@@ -92,14 +108,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEngineList:
-    """Start or stop the subscription to discovery."""
+    """Start or stop watching the engine list."""
 
     on: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class FetchEngineList:
-    """Ask discovery for the whole list once."""
+    """Fetch the full engine list once."""
 
 
 Action: TypeAlias = (
