--- a/fordstair/net/clients/odata_statements.py
+++ b/fordstair/net/clients/odata_statements.py
@@ -30,7 +30,7 @@
     retry_after_ms: float | None = None  # of a request that was rejected
     reason: str = ""
 
-    async def caught_up(self) -> None:
+    async def drain_input(self) -> None:
         """Its connection reads all the while."""
         await trio.lowlevel.checkpoint()
 
@@ -39,9 +39,9 @@
         self.pages = pages
         self.done.set()
 
-    def refused(self, later_ms: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         """A retry is harmless."""
-        self.retry_after_ms = later_ms
+        self.retry_after_ms = retry_after_ms
         self.done.set()
 
     def failed(self, reason: str) -> None:
@@ -75,7 +75,7 @@
         """The client has left: what runs is given up, and nothing more is begun."""
         self.disconnected = True
         if self._live is not None:
-            self.coordinator.leave(self._live)
+            self.coordinator.client_disconnected(self._live)
             self._reply.done.set()
 
     @contextmanager
@@ -97,11 +97,11 @@
         if self.disconnected:
             raise ClientDisconnectedError
         self._reply = PendingReply()
-        self._live = live = coordinator.take(self._query(statement), self._reply)
+        self._live = live = coordinator.submit(self._query(statement), self._reply)
         try:
             await self._reply.done.wait()
         finally:
-            coordinator.leave(live)  # no harm where it is over
+            coordinator.client_disconnected(live)  # no harm where it is over
             self._live = None
         if self._reply.pages is not None:
             return self._reply.pages
--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -100,7 +100,7 @@
         self.closing = True
         self._writer.wake()
 
-    async def caught_up(self) -> None:
+    async def drain_input(self) -> None:
         """Wait until all that has come by now is read: behind other messages may be a cancel, or the end.
 
         A client that is not read from, since it does not read itself, has nothing begun for it either.
@@ -266,7 +266,7 @@
     def _abandon_requests(self) -> None:
         """Give up all that is open: its client has gone, or can no longer be understood."""
         for live in list(self.open_requests.values()):
-            self.coordinator.leave(live)
+            self.coordinator.client_disconnected(live)
         self.open_requests.clear()
 
     def _reject_rest(self, view: memoryview, why: str) -> None:
@@ -292,7 +292,7 @@
                 self._reject(number, "not a request")
             case rpc_wire.CancelMessage(number):
                 if (live := self.open_requests.pop(number, None)) is not None:
-                    self.coordinator.leave(live)
+                    self.coordinator.client_disconnected(live)
             case rpc_wire.UnknownNotification():
                 pass
 
@@ -319,7 +319,7 @@
         self.has_requested = True
         self._invalid_in_a_row = 0
         self.last_activity_ms = self.deadlines.clock()
-        self.open_requests[number] = self.coordinator.take(query, RpcReply(self, number))
+        self.open_requests[number] = self.coordinator.submit(query, RpcReply(self, number))
 
     def _reject(self, number: int, why: str) -> None:
         self.coordinator.counters.add("client.invalid")
--- a/fordstair/net/clients/rpc_query.py
+++ b/fordstair/net/clients/rpc_query.py
@@ -57,7 +57,7 @@
     transaction_id = _text(fields, _TRANSACTION_ID)
     if not _TRANSACTION_ID_FORM.fullmatch(transaction_id):
         raise InvalidRequestError("txn must be 16 hex digits")
-    if coordinator.knows(transaction_id):  # an engine could not tell the two queries apart
+    if coordinator.is_in_progress(transaction_id):  # an engine could not tell the two queries apart
         raise InvalidRequestError("a request with this txn is open")
     return transaction_id
 
@@ -65,7 +65,7 @@
 def _read_tenant(fields: dict[Any, Any], coordinator: Coordinator) -> int:
     """Return the tenant's index; at a site without teams the field says nothing."""
     team = _text(fields, _TEAM) if coordinator.tenants else ""
-    tenant = coordinator.tenant_of(team)
+    tenant = coordinator.tenant_index(team)
     if tenant is None:
         raise InvalidRequestError(f"unknown team {team[:40]!r}")
     return tenant
--- a/fordstair/net/clients/rpc_reply.py
+++ b/fordstair/net/clients/rpc_reply.py
@@ -18,17 +18,17 @@
         self._connection = connection
         self._number = number
 
-    async def caught_up(self) -> None:
+    async def drain_input(self) -> None:
         """Wait until what the client has written by now is read."""
-        await self._connection.caught_up()
+        await self._connection.drain_input()
 
     def served(self, pages: Sequence[bytes]) -> None:
         """Answer with all rows."""
         self._connection.finish(self._number, rpc_wire.result_response(self._number, pages))
 
-    def refused(self, later_ms: float) -> None:
+    def rejected(self, retry_after_ms: float) -> None:
         """Answer that a retry is harmless, and when to make it."""
-        self._connection.finish(self._number, rpc_wire.overloaded_response(self._number, later_ms))
+        self._connection.finish(self._number, rpc_wire.overloaded_response(self._number, retry_after_ms))
 
     def failed(self, reason: str) -> None:
         """Answer with an error that promises nothing."""
--- a/fordstair/net/engines/call.py
+++ b/fordstair/net/engines/call.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from fordstair.core.ports import AttemptFailed, AttemptRequest, Engine, QueryProgress
+from fordstair.core.ports import AttemptFailedError, AttemptRequest, Engine, QueryProgress
 from fordstair.decisions.events import Status
 from fordstair.net.engines.delivery import Delivery
 from fordstair.net.engines.errors import (
@@ -88,8 +88,8 @@
         return self.path
 
     async def start(self) -> QueryProgress:
-        """POST the query, once; where no response follows, poll. Raise AttemptFailed."""
-        until_ms = self.deadlines.clock() + self.attempt_request.limit_ms
+        """POST the query, once; where no response follows, poll. Raise AttemptFailedError."""
+        until_ms = self.deadlines.clock() + self.attempt_request.timeout_ms
         connection = await self._connect()
         failure = "silence"
         try:
@@ -178,24 +178,24 @@
                 broken_responses += 1
                 self.pool.counters.add("engine.broken_responses")
                 if broken_responses >= MAX_BROKEN_RESPONSES:
-                    raise AttemptFailed(Status.RESET, str(error)) from error
+                    raise AttemptFailedError(Status.RESET, str(error)) from error
             finally:
                 if connection is not None and connection is not self._awaiting_response:
                     self.pool.release(connection)
             fresh = True
 
-    def end(self, status: Status, why: str, report: tuple[float, ...] = ()) -> AttemptFailed:
+    def end(self, status: Status, why: str, report: tuple[float, ...] = ()) -> AttemptFailedError:
         """Note that nothing runs any more; return the error to raise."""
         self.delivery.ended = True
-        return AttemptFailed(status, why, report)
+        return AttemptFailedError(status, why, report)
 
     async def _connect(self) -> PooledConnection:
         try:
             return await self.pool.acquire(self.address)
         except ConnectError as error:
             failure = self.end(Status.CONNECT_FAILED, str(error))
-            failure.reached = isinstance(error, ConnectRefusedError)
-            failure.late = isinstance(error, ConnectTimeoutError)
+            failure.reachable = isinstance(error, ConnectRefusedError)
+            failure.may_connect_late = isinstance(error, ConnectTimeoutError)
             raise failure from error
 
     def _note_sent(self, connection: PooledConnection) -> None:
@@ -213,12 +213,12 @@
         if not self.delivery.sent:  # nothing runs; for a load that is no proof yet
             raise self.end(Status.RESET, f"the engine does not read: {failure}")
         if not self.path:
-            raise AttemptFailed(Status.RESET, f"the engine did not say where to poll: {failure}")
+            raise AttemptFailedError(Status.RESET, f"the engine did not say where to poll: {failure}")
         self.pool.counters.add("engine.polled_after_reset")
         await self.deadlines.sleep(OVERTAKE_MARGIN_MS)
         try:
             return await self.get(self.poll_path, self.read_progress)
-        except AttemptFailed as error:
+        except AttemptFailedError as error:
             if not self.delivery.poll_again_after(error.status):
                 raise
         self.delivery.ended = False
--- a/fordstair/net/engines/odata.py
+++ b/fordstair/net/engines/odata.py
@@ -58,14 +58,14 @@
         report = rest_wire.load_report(response, self.load_report_fields)
         if response.status == odata_wire.STATUS_RUNNING:
             self._note_monitor(response)
-            return QueryProgress(True, report=report)
+            return QueryProgress(True, load_report=report)
         if not odata_wire.result_succeeded(response):
             http_status = odata_wire.result_status(response)
             status = rest_wire.failure_status(response, http_status)
             raise self.end(status, f"status {http_status}", report)
         rows = self._read_rows(response)
         self.delivery.ended = True
-        return QueryProgress(False, rows, report=report)
+        return QueryProgress(False, rows, load_report=report)
 
     def _note_monitor(self, response: HttpResponse) -> None:
         try:
--- a/fordstair/net/engines/odata_wire.py
+++ b/fordstair/net/engines/odata_wire.py
@@ -48,7 +48,7 @@
 def start_request(query: Query, limit_ms: int, priority: int) -> HttpRequest:
     """Return the POST of the action; id, class and statement go out as they came."""
     parameters = {
-        _REQUEST_ID: query.txn,
+        _REQUEST_ID: query.transaction_id,
         _REQUEST_CLASS: query.class_name,
         _TIME_LIMIT_MS: limit_ms,
         _PRIORITY: priority,
--- a/fordstair/net/engines/rest.py
+++ b/fordstair/net/engines/rest.py
@@ -28,12 +28,12 @@
     @property
     def path(self) -> str:
         """The query's own resource."""
-        return rest_wire.query_path(self.attempt_request.query.txn)
+        return rest_wire.query_path(self.attempt_request.query.transaction_id)
 
     @property
     def poll_path(self) -> str:
         """Page 0: the end, a note, or 250 ms of nothing."""
-        return rest_wire.page_path(self.attempt_request.query.txn, 0)
+        return rest_wire.page_path(self.attempt_request.query.transaction_id, 0)
 
     def start_request(self, limit_ms: int) -> HttpRequest:
         """Return the POST of the query."""
@@ -44,7 +44,7 @@
         self._page += 1
         if self._page >= self._pages:
             return None
-        path = rest_wire.page_path(self.attempt_request.query.txn, self._page)
+        path = rest_wire.page_path(self.attempt_request.query.transaction_id, self._page)
         return await self.get(path, self._read_page)
 
     async def set_priority(self, priority: int) -> None:
@@ -57,14 +57,14 @@
         """Read progress: 202 still runs, 200 is page 0, any other status has ended."""
         report = rest_wire.load_report(response, self.load_report_fields)
         if response.status == rest_wire.STATUS_RUNNING:
-            return QueryProgress(True, note=rest_wire.note(response), report=report)
+            return QueryProgress(True, note=rest_wire.note(response), load_report=report)
         if response.status != rest_wire.STATUS_OK:
             status = rest_wire.failure_status(response, response.status)
             raise self.end(status, f"status {response.status}", report)
         rows = rest_wire.complete_rows(response.body)
         self._pages = rest_wire.page_count(response)
         self.delivery.ended = True
-        return QueryProgress(False, rows, report=report)
+        return QueryProgress(False, rows, load_report=report)
 
     def _read_page(self, response: HttpResponse) -> bytes:
         if response.status != rest_wire.STATUS_OK:
--- a/fordstair/net/engines/rest_wire.py
+++ b/fordstair/net/engines/rest_wire.py
@@ -43,7 +43,7 @@
 def start_request(query: Query, limit_ms: int, priority: int) -> HttpRequest:
     """Return the POST that starts a query; id, class and statement go out as they came."""
     headers = [
-        (_REQUEST_ID, query.txn),
+        (_REQUEST_ID, query.transaction_id),
         (_REQUEST_CLASS, query.class_name),
         (_TIME_LIMIT_MS, str(limit_ms)),
         (_PRIORITY, str(priority)),
