--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -10,7 +10,8 @@
 
 import trio
 
-from fordstair.configuration.platform import Config, ConfigError
+from fordstair.configuration.errors import ConfigError
+from fordstair.configuration.platform import Config
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import Engine, Transport
 from fordstair.core.start_times import StartTimes
@@ -307,7 +308,7 @@
         """Log and count steps of the wall clock, for whoever reads times in logs."""
         while True:
             await self.deadlines.sleep(CLOCK_WATCH_MS)
-            if step_ms := self.wall_clock.look():
+            if step_ms := self.wall_clock.follow_step():
                 self.counters.add("clock.steps")
                 log.warning("clock.stepped", by_ms=round(step_ms))
 
