--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -16,6 +16,7 @@
 from fordstair.decisions.engine_list import EngineEntry, ListUpdateKind
 from fordstair.decisions.settings import Idempotency, RequestClass, Settings, Tenant
 from fordstair.net.clients.odata_model import EntitySet, Operator
+from fordstair.net.engine_list_wire import EngineListEvent
 
 if TYPE_CHECKING:
     from fordstair.budgets.whole import Part, Whole
@@ -100,7 +101,7 @@
         memory_mb=file.limits.memory_mb,
         channel="",
         cursor=1,
-        known=((1, ListUpdateKind.FULL, engines),),
+        known=(EngineListEvent(1, ListUpdateKind.FULL, engines),),
         settings=decision_settings(file),
         connect_timeout_ms=file.limits.connect_timeout_ms,
         idle_ms=file.limits.idle_timeout_ms,
--- a/fordstair/configuration/platform.py
+++ b/fordstair/configuration/platform.py
@@ -12,10 +12,8 @@
 
 from fordstair.configuration.errors import ConfigError, SettingsDocumentError
 from fordstair.configuration.settings_document import parse_settings
-from fordstair.core.ports import Engine
-from fordstair.decisions.engine_list import ListUpdateKind
 from fordstair.decisions.settings import Settings
-from fordstair.net.command_channel import read_command
+from fordstair.net.engine_list_wire import EngineListEvent, read_known_event
 
 DEFAULT_SOCKETS = 1_024
 MIN_SOCKETS = 64
@@ -36,7 +34,7 @@
     memory_mb: float
     channel: str
     cursor: int
-    known: tuple[tuple[int, ListUpdateKind, list[Engine]], ...]  # events: number, kind, engines
+    known: tuple[EngineListEvent, ...]  # events: number, kind, engines
     settings: Settings
     connect_timeout_ms: float
     idle_ms: float
@@ -127,13 +125,11 @@
         raise ConfigError(str(error)) from None
 
 
-def _known_events(
-    known: Mapping[str, Any], settings: Mapping[str, Any]
-) -> tuple[tuple[int, ListUpdateKind, list[Engine]], ...]:
+def _known_events(known: Mapping[str, Any], settings: Mapping[str, Any]) -> tuple[EngineListEvent, ...]:
     zones = settings.get("areas") or []
     kinds = settings.get("hostTypes") or []
     try:
-        return tuple(read_command(command, zones, kinds) for command in known.get("cmds", []))
+        return tuple(read_known_event(command, zones, kinds) for command in known.get("cmds", []))
     except (KeyError, ValueError, TypeError, AttributeError) as error:
         raise ConfigError(f"known.cmds: {type(error).__name__}: {error}") from None
 
--- a/fordstair/lab/soak/discovery.py
+++ b/fordstair/lab/soak/discovery.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from fordstair.net.command_channel import HEADER, RECORD
+from fordstair.net.engine_list_wire import HEADER, RECORD
 
 BEAT_S = 1.0
 NOTHING, WHOLE_LIST, CHANGES = 0, 1, 2
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -21,7 +21,7 @@
 from fordstair.net.clients.listener import ClientListener, Serve, open_listeners
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.net.clients.rpc_front import RpcFront
-from fordstair.net.command_channel import CommandChannel
+from fordstair.net.engine_list_watch import EngineListWatch
 from fordstair.net.engines.pool import ConnectionPool
 from fordstair.net.engines.rest import RestTransport
 from fordstair.runtime.clock import AnchoredClock, WallClock
@@ -147,7 +147,7 @@
                 self.budgets,
             )
         self.bound()
-        self.command_channel = CommandChannel(
+        self.command_channel = EngineListWatch(
             config.channel, config.cursor, self.announced, self.deadlines, self.counters
         )
 
@@ -208,7 +208,7 @@
         restored = Restored(self.config.settings.slow_start_ms)
 
         def take_over() -> None:
-            if told or self.command_channel.heard_ms > 0.0:
+            if told or self.command_channel.last_received_ms > 0.0:
                 return
             engines = restored.engines(self.anchor.now().value, ledger.engines)
             here = {(each.entry, each.address) for each in self.coordinator.engines.values()}
@@ -223,7 +223,7 @@
         take_over()
         while True:
             self.listed = trio.Event()
-            heard_ms = max(heard_ms if told else 0.0, self.command_channel.heard_ms)
+            heard_ms = max(heard_ms if told else 0.0, self.command_channel.last_received_ms)
             if (
                 heard_ms > 0.0
                 and self.coordinator.engines
@@ -349,8 +349,8 @@
         self.config = replace(config, **{name: getattr(self.config, name) for name in fixed})
         self.bound()
         for event in config.known:
-            self.command_channel.take(*event)
-        self.command_channel.move(config.channel)
+            self.command_channel.apply(event)
+        self.command_channel.reconnect(config.channel)
         if self.admission_queue is not None and config.budgets is not None:
             shares = dict(config.budgets.shares)
             self.admission_queue.scheduler.set_shares(shares, self.deadlines.clock())
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -18,7 +18,7 @@
 from fordstair.net.clients.odata_errors import ODataError
 from fordstair.net.clients.odata_model import EntitySet
 from fordstair.net.clients.odata_sql import parse_read
-from fordstair.net.command_channel import FrameError, read_frame, read_records
+from fordstair.net.engine_list_wire import FrameError, read_frame, read_records
 from fordstair.net.engines.rest_wire import parse_note, parse_report
 from fordstair.runtime.clock import UnixMs
 from tests.standins import SETTINGS, config
@@ -155,7 +155,7 @@
     told = parse(config("127.0.0.1:1"))
     assert [spec.threads for spec in told.settings.classes] == [1, 4, 2]
     assert told.connect_timeout_ms == 250.0
-    assert told.known[0][2][0].entry.engine == "s-00000000"
+    assert told.known[0].engines[0].entry.engine == "s-00000000"
 
 
 @pytest.mark.parametrize(
--- a/tests/wires/test_command_channel.py
+++ b/tests/wires/test_command_channel.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from fordstair.net.command_channel import read_command, read_frame, read_records
+from fordstair.net.engine_list_wire import read_frame, read_known_event, read_records
 from tests.standins import config, engine, program
 from tests.test_platform import play
 from tests.wires.recordings import Tap, recorded
@@ -86,9 +86,9 @@
     play(scene)
     told["records"] = shown(read_records(memoryview(PAYLOAD)))
     told["frame"] = shown(read_frame(memoryview(event(5) + b"more")))
-    told["known"] = shown(read_command(KNOWN, ["hall-a", "hall-b"], ["std", "big"]))
+    told["known"] = shown(read_known_event(KNOWN, ["hall-a", "hall-b"], ["std", "big"]))
     changes = {"cursor": 8, "nodes": {"servers": KNOWN["nodes"]["servers"]}}  # type: ignore[index]
-    told["known changes"] = shown(read_command(changes, [], []))
+    told["known changes"] = shown(read_known_event(changes, [], []))
     return told
 
 
