--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -13,7 +13,7 @@
 
 from fordstair.lab.budget_trial import THREADS, Members, members
 from fordstair.lab.relay import Faults
-from tests.test_platform import play as bounded
+from tests.scenes import play as bounded
 
 
 def play(scene: Callable[[Path], Awaitable[None]]) -> None:
--- /dev/null
+++ b/tests/test_client_connections.py
@@ -0,0 +1,240 @@
+"""Connections of clients: time limits, messages that cannot be read, and which are shed."""
+
+from __future__ import annotations
+
+from types import SimpleNamespace
+
+import msgpack
+import pytest
+import trio
+from trio.testing import MockClock
+
+from fordstair.configuration.platform import parse
+from fordstair.core.coordinator import Coordinator
+from fordstair.net.clients.rpc_connection import RpcConnection
+from fordstair.net.clients.rpc_front import RpcFront
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+from tests.scenes import ROWS, Endless, ends, play, until
+from tests.standins import Answered, RestEngine, at_once, config, connect, engine, inside, never, program
+
+HALF = msgpack.packb([0, 1, "lookup", [{}, b"x" * 50]])[:-9]
+
+
+ENDLESS = b"\x94\x00\x01\xa6lookup\x92\x80\xc6\x03\x93\x87\x00"  # a body of 60 MB
+
+
+@pytest.mark.parametrize("sent", [b"", HALF])
+def test_a_client_that_is_silent_or_stops_in_a_message_is_closed(sent: bytes) -> None:
+    async def scene() -> None:
+        async with engine() as one, program(config(one.address)) as node:
+            client, asked = await node.client(), await node.client()
+            assert await asked.answer(await asked.ask()) == (None, ROWS)
+            await client.stream.send_all(sent)
+            assert await ends(client, 10.0) == b""
+            # one that has asked may hold its connection in silence, but not stop in a message
+            assert await asked.answer(await asked.ask()) == (None, ROWS)
+            await asked.stream.send_all(HALF.replace(b"\x00\x01", b"\x00\x09", 1))
+            assert await ends(asked, 10.0) == b""
+
+    play(scene)
+
+
+@pytest.mark.parametrize("noise", [b"\xc1", msgpack.packb([0, 1, "lookup", [{}, b""]]), ENDLESS])
+def test_what_cannot_be_read_closes_the_connection_whatever_else_is_open(noise: bytes) -> None:
+    async def scene() -> None:
+        async with engine(never) as one, program(config(one.address)) as node:
+            client = await node.client()
+            await client.ask(limit="20000")
+            while not one.posts:
+                await trio.sleep(0.01)
+            await client.stream.send_all(noise)
+            unread = b"x" * 200_000  # still on its way: a plain close would send a reset
+            await client.stream.send_all(unread)
+            got = await ends(client, 5.0)
+            assert (b"Invalid" in got) == (noise != b"\xc1")
+            while not one.deleted:  # its query is given up
+                await trio.sleep(0.01)
+
+    play(scene)
+
+
+def test_a_large_body_is_refused_by_its_head() -> None:
+    async def scene() -> None:
+        async with engine() as one, program(config(one.address)) as node:
+            client = await node.client()
+            await client.stream.send_all(ENDLESS)
+            assert b"Invalid" in await ends(client, 5.0)
+
+    play(scene)
+
+
+def test_silent_connections_make_room_for_clients_that_ask() -> None:
+    async def scene() -> None:
+        limits = {"cores": 1.0, "memory_mb": 64, "sockets": 128}  # room for 51 clients
+        async with engine() as one, program(config(one.address, limits=limits)) as node:
+            first = await node.client()
+            assert await first.answer(await first.ask()) == (None, ROWS)
+            silent = [await node.client() for _ in range(45)]
+            await trio.sleep(0.5)
+            for client in [await node.client() for _ in range(20)]:
+                assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await first.answer(await first.ask()) == (None, ROWS)  # it asked, and was not shed
+            assert len(silent) == 45
+
+    play(scene)
+
+
+def test_a_new_connection_has_time_to_ask_while_there_are_idle_ones() -> None:
+    class Fresh:
+        socket = SimpleNamespace(fileno=lambda: -1, close=lambda: None)
+
+    def client(front: RpcFront, age_ms: float, asked: bool) -> RpcConnection:
+        one = RpcConnection(Fresh(), front.coordinator, 1_000)  # type: ignore[arg-type]
+        one.last_activity_ms -= age_ms
+        one.has_requested = asked
+        front.clients.add(one)
+        return one
+
+    front = RpcFront(Coordinator(parse(config()).settings, 1, {}, Deadlines(lambda: 10_000.0), Counters()))
+    new, held, used, silent = (
+        client(front, *each) for each in ((5.0, False), (900.0, True), (100.0, True), (700.0, False))
+    )
+    for goes in (silent, held, used, new):
+        assert front._shed_one()
+        assert goes not in front.clients
+    assert not front._shed_one()
+
+
+def test_a_connection_that_has_just_closed_is_no_trouble_to_those_that_need_room() -> None:
+    async def scene() -> None:
+        listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
+        ours = await trio.open_tcp_stream(*listeners[0].socket.getsockname())
+        front = RpcFront(Coordinator(parse(config()).settings, 1, {}, Deadlines(), Counters()))
+        front.max_clients = 1
+        closed = RpcConnection(ours, front.coordinator, 1_000)
+        front.clients.add(closed)
+        ours.socket.close()  # its task has not come to its end yet
+        theirs = await listeners[0].accept()
+        await theirs.send_eof()
+        await theirs.aclose()
+        with trio.move_on_after(1.0):
+            await front.serve(await trio.open_tcp_stream(*listeners[0].socket.getsockname()))
+        assert not front.coordinator.counters["client.rejected"]
+        assert front.coordinator.counters["client.connections"] == 1
+
+    play(scene)
+
+
+def test_messages_in_pieces_are_timed_each_by_itself() -> None:
+    """A busy connection whose reads always end inside a message is neither overdue nor to be shed."""
+    fields = {"limit": "3000", "team": "karri-energy"}
+    sent = b"".join(
+        msgpack.packb([0, number, "lookup", [fields | {"txn": f"{number:016x}"}, b"x"]])
+        for number in range(1, 31)
+    )
+
+    class Pieces:
+        """Each piece ends one message and begins the next."""
+
+        socket = SimpleNamespace(fileno=lambda: -1)
+        at, size = 0, len(sent) // 30 - 5
+
+        async def receive_some(self, most: int) -> bytes:
+            await trio.sleep(0.2)
+            self.at += self.size
+            return sent[self.at - self.size : self.at]
+
+        async def send_all(self, data: bytes) -> None:
+            pass
+
+        async def send_eof(self) -> None:
+            pass
+
+        async def aclose(self) -> None:
+            pass
+
+    async def scene() -> None:
+        deadlines = Deadlines(lambda: trio.current_time() * 1_000.0)
+        coordinator = Coordinator(parse(config()).settings, 1, {"rest": Endless()}, deadlines, Counters())
+        front = RpcFront(coordinator)
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(deadlines.run)
+            await nursery.start(coordinator.run)
+            nursery.start_soon(front.serve, Pieces())  # type: ignore[arg-type]
+            await trio.sleep(4.0)  # twice the time for one message
+            assert coordinator.counters["client.idle_timeout"] == 0
+            assert coordinator.counters["taken.lookup"] > 15
+            assert [client.idle for client in front.clients] == [False]
+            nursery.cancel_scope.cancel()
+
+    trio.run(scene, clock=MockClock(autojump_threshold=0.0))
+
+
+def test_a_client_that_reads_nothing_is_not_kept_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
+    class Full:
+        """A connection whose buffers are full."""
+
+        sent = closed = 0
+
+        async def receive_some(self, most: int) -> bytes:
+            if not self.sent:
+                self.sent = 1
+                return msgpack.packb([0, 1, "nonsense", [{}, b""]])  # type: ignore[no-any-return]
+            await trio.sleep_forever()
+            raise AssertionError
+
+        async def send_all(self, data: bytes) -> None:
+            await trio.sleep_forever()
+
+        async def aclose(self) -> None:
+            self.closed += 1
+
+    async def scene() -> None:
+        monkeypatch.setattr("fordstair.net.clients.client_limits.RPC_WRITE_TIMEOUT_MS", 50.0)
+        coordinator = Coordinator(parse(config()).settings, 1, {}, Deadlines(), Counters())
+        stream, front = Full(), RpcFront(coordinator)
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(coordinator.deadlines.run)
+            await front.serve(stream)  # type: ignore[arg-type]
+            nursery.cancel_scope.cancel()
+        assert stream.closed
+        assert not front.clients
+        assert coordinator.counters["client.write_stalled"] == 1
+
+    play(scene)
+
+
+@pytest.mark.parametrize("pause_s", [0.0, 0.3])
+def test_a_message_that_is_written_slowly_costs_no_open_request_its_answer(pause_s: float) -> None:
+    async def scene() -> None:
+        done = trio.Event()
+
+        async def later(
+            one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        ) -> Answered | bytes | None:
+            if not done.is_set():
+                await trio.sleep(0.05)
+                return 202, {}, b""
+            return (
+                await at_once(one, method, path, headers, body)
+                if method != "GET" or path.endswith("/1")
+                else (200, {"X-Sheets": "2"}, b"a\tb\tc\n")
+            )
+
+        async with engine(later) as one, inside(config(one.address)) as node:
+            client = await connect(node)
+            number = await client.ask("meter-load", limit="20000")
+            await until(lambda: one.posts)
+            second = HALF.replace(b"\x00\x01", b"\x00\x02", 1)
+            if pause_s:  # some bytes at a time
+                for byte in second:
+                    await client.stream.send_all(bytes([byte]))
+                    await trio.sleep(pause_s / 10)
+            else:  # it stops in its message for good
+                await client.stream.send_all(second)
+                await trio.sleep(2.6)
+            done.set()
+            assert await client.answer(number) == (None, ROWS)
+
+    play(scene)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -26,9 +26,9 @@
 from fordstair.lab.machine import Machine
 from fordstair.lab.traffic import Kind, Tally, Traffic
 from fordstair.snapshots.snapshot import Picture, decode, follow
+from tests.scenes import play
 from tests.standins import ROOT, config, engine, program
 from tests.test_odata import OPERATOR
-from tests.test_platform import play
 
 LOOKUPS = Kind("lookup", "karri-energy", 60.0, 5.0, 4_000.0)
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -19,8 +19,8 @@
 from fordstair.lab.appliance import ask_door
 from fordstair.lab.relay import Faults, Relay
 from fordstair.membership.messages import MemberState, TablePart, Update, encode
+from tests.scenes import play
 from tests.standins import ROOT, Program, config, program
-from tests.test_platform import play
 
 # Times are short so that a death shows within seconds; what is asserted is in periods and suspicions.
 PROBE_MS, SUSPICION = 300.0, 8.0
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -21,9 +21,9 @@
 from fordstair.net.spiffe import IdentityError, parse_id, spiffe_id
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
+from tests.scenes import play
 from tests.standins import RestEngine, config, program
 from tests.test_odata import OPERATOR, runs
-from tests.test_platform import play
 
 START = datetime.datetime(2020, 1, 1)
 END = datetime.datetime(2090, 1, 1)
--- a/tests/test_ledger_processes.py
+++ b/tests/test_ledger_processes.py
@@ -13,8 +13,8 @@
 from fordstair.lab.history import check
 from fordstair.lab.ledger_trial import Trial, kills, partitions, stored, trial
 from fordstair.replication.service import SETTLE_S
+from tests.scenes import play as bounded
 from tests.standins import config, engine, program
-from tests.test_platform import play as bounded
 
 
 def play(scene: Callable[[Path], Awaitable[None]]) -> None:
--- a/tests/test_odata.py
+++ b/tests/test_odata.py
@@ -18,6 +18,7 @@
 from fordstair.net.clients.odata_model import EntitySet
 from fordstair.net.clients.odata_results import Result, StoredResults
 from fordstair.runtime.deadlines import Deadlines
+from tests.scenes import ROWS, play
 from tests.standins import (
     SETTINGS,
     Answered,
@@ -31,7 +32,6 @@
     never,
     program,
 )
-from tests.test_platform import ROWS, play
 
 OPERATOR = """
 [odata]
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -32,8 +32,8 @@
 from fordstair.scheduling.scheduler import AGE_EVERY, Refused, Room, Scheduler, Told, last_start
 from fordstair.scheduling.shedding import Shedding
 from fordstair.scheduling.waits import Calibration, Rate, fluid
+from tests.scenes import play as played
 from tests.test_console import command
-from tests.test_platform import play as played
 
 many = settings(max_examples=120, derandomize=True, deadline=None)
 steps = st.lists(
--- /dev/null
+++ b/tests/test_shutdown.py
@@ -0,0 +1,146 @@
+"""Draining: what is open is answered, and the process ends in time."""
+
+from __future__ import annotations
+
+import socket
+import time
+
+import msgpack
+import pytest
+import trio
+from trio.testing import MockClock, wait_all_tasks_blocked
+
+from fordstair.configuration.platform import parse
+from fordstair.core.ports import Engine, Query
+from fordstair.decisions.engine_list import EngineEntry, ListUpdateKind
+from fordstair.net.clients.odata_statements import PendingReply
+from fordstair.program import Program as Coordination
+from fordstair.runtime.clock import monotonic_now
+from tests.scenes import ROWS, Endless, ends, hold_reads, play, until
+from tests.standins import SETTINGS, Client, config, connect, engine, inside, never, program
+
+
+def test_sigterm_answers_what_is_open_and_takes_more_for_a_while() -> None:
+    async def scene() -> None:
+        async with engine(never) as one, program(config(one.address)) as node:
+            client = await node.client()
+            first = await client.ask(limit="60000")
+            while not one.posts:
+                await trio.sleep(0.01)
+            start = time.monotonic()
+            async with trio.open_nursery() as nursery:
+                nursery.start_soon(node.stop)
+                await trio.sleep(0.1)
+                late = await (other := await node.client()).ask(limit="60000", txn="f" * 16)
+                assert (await client.answer(first))[0][0] == "Overloaded"
+                assert (await other.answer(late))[0][0] == "Overloaded"
+            assert time.monotonic() - start < 15.0
+            assert node.process.returncode == 0
+
+    play(scene)
+
+
+@pytest.mark.parametrize(("longest_ms", "least_s", "most_s"), [(25_000, 2.9, 3.7), (1_200, 1.2, 1.9)])
+def test_a_drain_ends_before_the_platform_kills(longest_ms: int, least_s: float, most_s: float) -> None:
+    """SIGKILL comes after the longest deadline, at most 3 s, and 0.7 s more."""
+    told = config()
+    told["settings"] = SETTINGS | {
+        "categories": [spec | {"giveUpMs": longest_ms} for spec in SETTINGS["categories"]]
+    }
+
+    async def scene() -> None:
+        one, clock = Coordination(parse(told), None, lambda: parse(told)), trio.current_time
+        one.deadlines.clock = lambda: clock() * 1_000.0
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(one.deadlines.run)
+            await nursery.start(one.coordinator.run)
+            reply = PendingReply()
+            one.coordinator.update_engines(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
+            one.coordinator.transports = {"rest": Endless()}
+            one.coordinator.submit(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
+            start = clock()
+            await one.drain([])
+            assert least_s < clock() - start < most_s
+            assert reply.retry_after_ms is not None
+            nursery.cancel_scope.cancel()
+
+    trio.run(scene, clock=MockClock(autojump_threshold=0.0))
+
+
+BODY = b"SELECT a FROM sales_17.orders"
+
+
+@pytest.mark.parametrize("taken", [False, True])
+def test_what_came_before_a_connection_is_shut_is_answered_and_not_sent_on(
+    monkeypatch: pytest.MonkeyPatch, taken: bool
+) -> None:
+    """The program ends while a request lies unread, or is read and on its way to being taken."""
+    gate = hold_reads(monkeypatch, taken)
+    gate.open.set()
+
+    async def scene() -> None:
+        async with engine() as one, inside(config(one.address)) as node:
+            gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
+            client = await connect(node)
+            assert await client.answer(await client.ask()) == (None, ROWS)
+            gate.open = trio.Event()
+            if taken:
+                number = await client.ask()
+                await until(lambda: gate.held)
+            else:
+                await client.ask("nonsense")
+                await until(lambda: gate.held)
+                number = await client.ask()
+            node.coordinator.withdraw_all()
+            node.rpc.close()
+            await wait_all_tasks_blocked(0.05)
+            gate.open.set()
+            error, _ = await client.answer(number)
+            assert error[0] == "Overloaded"
+            assert len(one.posts) == 1
+            assert await ends(client, 5.0) == b""
+            await client.stream.send_eof()
+            await until(lambda: not node.rpc.clients)
+
+    play(scene)
+
+
+def test_a_resting_connection_is_shut_at_the_end_of_a_drain_and_what_crosses_that_is_not_sent_on() -> None:
+    async def scene() -> None:
+        async with engine() as one, inside(config(one.address)) as node:
+            client = await connect(node)
+            assert await client.answer(await client.ask()) == (None, ROWS)
+            node.stop.set()
+            assert await ends(client, 5.0) == b""  # a whole end, no reset
+            await client.ask()
+            await client.stream.send_eof()
+            await until(lambda: not node.rpc.clients)
+            assert len(one.posts) == 1
+
+    play(scene)
+
+
+def test_who_has_connected_when_a_drain_stops_accepting_is_answered() -> None:
+    """Connections and their requests lie in the backlog in the moment in which the listener is closed."""
+
+    async def scene() -> None:
+        async with engine() as one, inside(config(one.address)) as node:
+            ahead = [0.0]
+            node.deadlines.clock = lambda: monotonic_now() + ahead[0]
+            where = node.listeners[0].socket.getsockname()
+            node.stop.set()
+            await until(lambda: node.coordinator.draining)
+            socks, fields = [], {"limit": "3000", "team": "karri-energy"}
+            for number in range(1, 41):  # without a pause: nothing else runs meanwhile
+                sock = socket.create_connection(where)
+                sock.sendall(msgpack.packb([0, 1, "lookup", [fields | {"txn": f"{number:016x}"}, BODY]]))
+                socks.append(sock)
+            ahead[0] = 800.0
+            node.deadlines.sweep()
+            for sock in socks:
+                sock.setblocking(False)
+                stream = trio.SocketStream(trio.socket.from_stdlib_socket(sock))
+                error, result = await Client(stream).answer(1)
+                assert result == ROWS or error[0] == "Overloaded"
+
+    play(scene)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -23,7 +23,7 @@
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.snapshots.collector import engine_state
-from tests.test_platform import play as bounded
+from tests.scenes import play as bounded
 
 ENGINES = {f"{hall}{n}": number for number, hall in enumerate("abc") for n in range(4)}
 
--- a/tests/wires/test_command_channel.py
+++ b/tests/wires/test_command_channel.py
@@ -9,8 +9,8 @@
 import trio
 
 from fordstair.net.engine_list_wire import read_frame, read_known_event, read_records
+from tests.scenes import play
 from tests.standins import config, engine, program
-from tests.test_platform import play
 from tests.wires.recordings import Tap, recorded
 
 # name, address, port, state, zone, kind, cell, weight in thousandths, start
--- a/tests/wires/test_console.py
+++ b/tests/wires/test_console.py
@@ -12,8 +12,8 @@
 import ujson
 
 from fordstair.snapshots.snapshot import Picture, decode, encode, follow, step
+from tests.scenes import play
 from tests.standins import config, engine, program
-from tests.test_platform import play
 from tests.wires.recordings import recorded
 
 FRAMES = {name: text.encode() for name, text in recorded("console_frames").items()}
--- a/tests/wires/test_odata_engines.py
+++ b/tests/wires/test_odata_engines.py
@@ -9,9 +9,9 @@
 import trio
 import ujson
 
+from tests.scenes import play
 from tests.standins import RestEngine
 from tests.test_odata import appliance, runs
-from tests.test_platform import play
 from tests.wires.recordings import recorded, tapped_engine
 
 TXN = "9b1f03aa5c7e2d41"
--- a/tests/wires/test_odata_front.py
+++ b/tests/wires/test_odata_front.py
@@ -9,9 +9,9 @@
 import trio
 import ujson
 
+from tests.scenes import play
 from tests.standins import RestEngine, Script, breaks, engine
 from tests.test_odata import READING, appliance, five_rows
-from tests.test_platform import play
 from tests.wires.recordings import recorded
 
 JSON = "Content-Type: application/json\r\n"
--- a/tests/wires/test_replication.py
+++ b/tests/wires/test_replication.py
@@ -18,7 +18,7 @@
 from fordstair.replication.messages import Reader, encode
 from fordstair.replication.registers import Register, Registers
 from fordstair.replication.service import Ledger, running
-from tests.test_platform import play
+from tests.scenes import play
 from tests.wires.recordings import recorded
 
 ENGINE: list[Any] = ["s-00000001", "10.0.0.1:80", "rest", 1, 2, 3, 5.0, 0.5]
--- a/tests/wires/test_rest.py
+++ b/tests/wires/test_rest.py
@@ -6,8 +6,8 @@
 
 import trio
 
+from tests.scenes import play
 from tests.standins import RestEngine, config, connect, inside, program
-from tests.test_platform import play
 from tests.wires.recordings import recorded, tapped_engine
 
 TXN = "9b1f03aa5c7e2d41"
--- a/tests/wires/test_rpc.py
+++ b/tests/wires/test_rpc.py
@@ -7,8 +7,8 @@
 import msgpack
 import trio
 
+from tests.scenes import play
 from tests.standins import Script, at_once, breaks, config, engine, program
-from tests.test_platform import play
 from tests.wires.recordings import recorded
 
 FIELDS = {
