--- a/fordstair/net/engines/call.py
+++ b/fordstair/net/engines/call.py
@@ -93,6 +93,7 @@
         connection = await self._connect()
         failure = "silence"
         try:
+            # While the connection came up, the engine may have begun to drain, or been replaced.
             if not await self.attempt_request.may_send():
                 raise self.end(Status.MOOT, "the engine takes nothing new")
             request = self.start_request(max(1, math.ceil(until_ms - self.deadlines.clock())))
