--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -34,7 +34,7 @@
 if TYPE_CHECKING:
     from fordstair.budgets.transport import FleetBudgets
     from fordstair.membership.transport import Membership
-    from fordstair.replication.service import Service
+    from fordstair.replication.service import ReplicationService
 
 log = EventLog(__name__)
 
@@ -55,7 +55,7 @@
         wall_clock: WallClock,
         max_followers: int = 8,
         membership: Membership | None = None,
-        shared: Service | None = None,
+        shared: ReplicationService | None = None,
         budgets: FleetBudgets | None = None,
     ) -> None:
         ledger = Ledger()
