--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -16,6 +16,7 @@
 from fordstair.decisions.engine_list import EngineEntry, ListUpdateKind
 from fordstair.decisions.settings import Idempotency, RequestClass, Settings, Tenant
 from fordstair.net.clients.odata_model import EntitySet, Operator
+from fordstair.net.engine_list_wire import EngineListEvent
 
 if TYPE_CHECKING:
     from fordstair.budgets.whole import Part, Whole
@@ -100,7 +101,7 @@
         memory_mb=file.limits.memory_mb,
         channel="",
         cursor=1,
-        known=((1, ListUpdateKind.FULL, engines),),
+        known=(EngineListEvent(1, ListUpdateKind.FULL, engines),),
         settings=decision_settings(file),
         connect_timeout_ms=file.limits.connect_timeout_ms,
         idle_ms=file.limits.idle_timeout_ms,
@@ -140,12 +141,13 @@
         listen=address(front.listen, "odata.listen") if front is not None else None,
         root="/" + (front.root if front is not None else DEFAULT_ODATA_ROOT).strip("/"),
         page_rows=front.page_rows if front is not None else DEFAULT_PAGE_ROWS,
-        results_most=front.max_results if front is not None else 1,
-        result_ms=(front.result_lifetime_s if front is not None else DEFAULT_RESULT_LIFETIME_S) * 1000.0,
+        max_results=front.max_results if front is not None else 1,
+        result_lifetime_ms=(front.result_lifetime_s if front is not None else DEFAULT_RESULT_LIFETIME_S)
+        * 1000.0,
         team=front.team if front is not None else "",
         team_header=front.team_header if front is not None else "",
         engines={each.id: each.protocol for each in file.engines},
-        sets={each.name: _entity_set(each) for each in file.entity_sets},
+        entity_sets={each.name: _entity_set(each) for each in file.entity_sets},
         identity=_identity(file),
         console=file.console.socket_path if file.console is not None else "",
         watchers=file.console.max_consoles if file.console is not None else 0,
--- a/tests/wires/test_replication.py
+++ b/tests/wires/test_replication.py
@@ -21,7 +21,7 @@
 from fordstair.replication.register_map import Register, RegisterMap
 from fordstair.replication.service import running_service
 from fordstair.replication.settings import ReplicationSettings
-from tests.test_platform import play
+from tests.scenes import play
 from tests.wires.recordings import recorded
 
 ENGINE: list[Any] = ["s-00000001", "10.0.0.1:80", "rest", 1, 2, 3, 5.0, 0.5]
