--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -20,68 +20,78 @@
 import trio
 
 from benchmarks.command import run as run_command
-from fordstair.budgets.whole import MILLI, Plan, Whole
-from fordstair.lab.budget_trial import LOOK_S, THREADS, members
-from fordstair.lab.shares import Fleet
+from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, BudgetPlan, FleetLimit
+from fordstair.lab.budget_fleet import BudgetFleet
+from fordstair.lab.budget_trial import SAMPLE_S, THREADS, members
 
 LISTED = 5
 TERM_MS = 5_000.0
 
 
-def plan(count: int, floor_part: float = 0.2) -> Plan:
-    """Return a plan whose wholes grow with the fleet: some 6 threads and 20 requests a second a member."""
-    wholes = (Whole("threads", 6 * count + 34, "karri-energy", quantum=4), Whole("rate", 20 * MILLI * count))
-    return Plan(
-        "bench", wholes, tuple(f"m{n}" for n in range(LISTED)), TERM_MS, floor_part=floor_part, size=count
+def plan(count: int, floor_part: float = 0.2) -> BudgetPlan:
+    """Return a plan whose limits grow with the fleet: some 6 threads and 20 requests a second a member."""
+    limits = (
+        FleetLimit("threads", 6 * count + 34, "karri-energy", quantum=4),
+        FleetLimit("rate", 20 * UNITS_PER_REQUEST_PER_S * count),
+    )
+    return BudgetPlan(
+        "bench",
+        limits,
+        tuple(f"m{n}" for n in range(LISTED)),
+        TERM_MS,
+        floor_factor=floor_part,
+        fleet_size=count,
     )
 
 
 def steady(count: int, seed: int, skewed: bool, seconds: int) -> dict[str, Any]:
-    """Play a fleet without faults whose demand wavers; return what part of the wholes is held and wanted.
+    """Play a fleet without faults whose demand wavers; return what part of the limits is held and wanted.
 
-    All together want 1.3 times the wholes, each in whole requests; where skewed, one member in ten wants five
+    All together want 1.3 times the limits, each in whole requests; where skewed, one member in ten wants five
     times what the others do. Demand changes by up to 30 % each 3 s.
     """
-    fleet, rng = Fleet(plan(count), count, seed, skewed=True), Random(seed)
+    fleet, rng = BudgetFleet(plan(count), count, seed, skewed=True), Random(seed)
     weights = [5.0 if skewed and n % 10 == 0 else 1.0 for n in range(count)]
-    mean = [1.3 * whole.units / sum(weights) for whole in fleet.plan.wholes]
+    mean = [1.3 * whole.units / sum(weights) for whole in fleet.plan.limits]
     wants = dict[str, tuple[int, ...]]()
 
     def waver() -> None:
         for n in range(count):
             wants[f"m{n}"] = tuple(
                 round(each * weights[n] * rng.uniform(0.7, 1.3) / whole.quantum) * whole.quantum
-                for each, whole in zip(mean, fleet.plan.wholes, strict=True)
+                for each, whole in zip(mean, fleet.plan.limits, strict=True)
             )
 
     waver()
-    fleet.demand = lambda name: wants[name]
+    fleet.wanted = lambda name: wants[name]
     fleet.run(15_000)
     used = list[tuple[float, float]]()
     for second in range(seconds):
         if second % 3 == 0:
             waver()
         fleet.run(1_000)
-        used.append((fleet.used(0), fleet.used(1)))
+        used.append((fleet.used_share(0), fleet.used_share(1)))
     return {
         "used_threads": round(statistics.mean(each[0] for each in used), 3),
         "used_rate": round(statistics.mean(each[1] for each in used), 3),
-        "over": fleet.audit.over(),
+        "over": fleet.audit.violations(),
         "peak": round(max(fleet.audit.peaks()), 4),
     }
 
 
 def moves(count: int, seed: int) -> dict[str, Any]:
     """Return in how many seconds shares move to a member that joins, and from one that leaves or dies."""
-    fleet = Fleet(plan(count), count, seed, skewed=True)
+    fleet = BudgetFleet(plan(count), count, seed, skewed=True)
     hot = {f"m{count - 1}"}
-    big = fleet.plan.pools[0] // 2
-    fleet.demand = lambda name: (big, 20 * MILLI) if name in hot else (4, 10 * MILLI)
+    big = fleet.plan.lendable[0] // 2
+    fleet.wanted = (
+        lambda name: (big, 20 * UNITS_PER_REQUEST_PER_S) if name in hot else (4, 10 * UNITS_PER_REQUEST_PER_S)
+    )
     fleet.run(20_000)
 
     def until(name: str) -> float:
-        began, least = fleet.now, 0.8 * (fleet.plan.pools[0] - 4 * (len(fleet.members) - 1)) / 1.2
-        while fleet.shares()[name][0] < min(big, least) and fleet.now - began < 60_000:
+        began, least = fleet.now, 0.8 * (fleet.plan.lendable[0] - 4 * (len(fleet.members) - 1)) / 1.2
+        while fleet.allotments()[name][0] < min(big, least) and fleet.now - began < 60_000:
             fleet.run(50)
         return round((fleet.now - began) / 1_000.0, 2)
 
@@ -101,7 +111,7 @@
     hot.clear()
     hot.add("late")
     told["after_death_s"] = until("late")
-    for name in fleet.plan.members:
+    for name in fleet.plan.voters:
         if name not in fleet.members:
             fleet.start(name)
     fleet.run(10_000)
@@ -114,22 +124,22 @@
     told["next_leader_s"] = round((fleet.now - began) / 1_000.0, 2)
     hot.clear()
     mover = (
-        next(name for name in fleet.members if name not in fleet.plan.members and name != "late")
+        next(name for name in fleet.members if name not in fleet.plan.voters and name != "late")
         if count > LISTED
         else next(name for name in fleet.members if name not in ("late", fleet.leader))
     )
     hot.add(mover)
     until(mover)
     told["after_leaders_death_s"] = round((fleet.now - began) / 1_000.0, 2)
-    return told | {"over": fleet.audit.over(), "peak": round(max(fleet.audit.peaks()), 4)}
+    return told | {"over": fleet.audit.violations(), "peak": round(max(fleet.audit.peaks()), 4)}
 
 
 def faults(count: int, seed: int, steps: int) -> dict[str, Any]:
     """Play kills, starts, pauses past the lease, cuts and losses at random; return the greatest sum."""
-    fleet, rng = Fleet(plan(count), count, seed, skewed=True, loss=0.05), Random(seed)
+    fleet, rng = BudgetFleet(plan(count), count, seed, skewed=True, loss=0.05), Random(seed)
     names = list(fleet.members)
     wants = {name: (rng.randrange(40), rng.randrange(60_000)) for name in names}
-    fleet.demand = lambda name: wants.get(name, (0, 0))
+    fleet.wanted = lambda name: wants.get(name, (0, 0))
     fleet.run(15_000)
     for _ in range(steps):
         act = rng.random()
@@ -147,7 +157,7 @@
             fleet.kill(fleet.leader)
         else:
             fleet.network.cut = lambda a, b: False
-            for name in fleet.plan.members:
+            for name in fleet.plan.voters:
                 if name not in fleet.members:
                     fleet.start(name)
         fleet.network.delay_ms = rng.choice(((0.2, 2.0), (50.0, 700.0), (0.2, 3_000.0)))
@@ -155,7 +165,7 @@
         fleet.run(rng.choice((300.0, 2_000.0, 8_000.0)))
     return {
         "spans": sum(map(len, fleet.audit.spans.values())),
-        "over": fleet.audit.over(),
+        "over": fleet.audit.violations(),
         "peak": round(max(fleet.audit.peaks()), 4),
     }
 
@@ -164,12 +174,12 @@
     """Five programs, one asked for five times the mean of the others, together for twice the whole."""
     with tempfile.TemporaryDirectory(prefix="bud") as folder:
         async with members(Path(folder), seed=seed) as fleet:
-            first = await fleet.until_whole(20.0)
+            first = await fleet.until_all_leased(20.0)
             rates = dict.fromkeys(fleet.names, 8.0) | {"m0": 40.0}
             tallies, held = await fleet.traffic(rates, seconds, 1_600.0)
             audit = fleet.audit()
     # as it began and ended, less was asked for
-    busy = held[round(2.0 / LOOK_S) : round((seconds - 1.0) / LOOK_S)]
+    busy = held[round(2.0 / SAMPLE_S) : round((seconds - 1.0) / SAMPLE_S)]
     return {
         "seconds": seconds,
         "first_share_s": round(first, 2),
@@ -178,7 +188,7 @@
         "served": {name: tally.counts["served"] for name, tally in sorted(tallies.items())},
         "asked": {name: tally.counts["asked"] for name, tally in sorted(tallies.items())},
         "lost": sum(tally.counts["lost"] for tally in tallies.values()),
-        "over": audit.over(),
+        "over": audit.violations(),
         "peak": round(max(audit.peaks()), 4),
     }
 
--- a/benchmarks/fleet_service.py
+++ b/benchmarks/fleet_service.py
@@ -23,7 +23,7 @@
 
 from benchmarks.budgets import CORES, SHARES, THREADS_A_CORE, told, waits_within
 from benchmarks.command import run as run_command
-from fordstair.budgets.whole import Plan, Whole
+from fordstair.budgets.plan import BudgetPlan, FleetLimit
 from fordstair.lab.billing_close import TEAMS, Shape, generate
 from fordstair.lab.clockwork import play
 from fordstair.lab.machine import Machine
@@ -34,14 +34,16 @@
 ENGINES_EACH, RATE_EACH, LISTED, WARM_MS, TERM_MS = 4, 40.0, 5, 15_000.0, 5_000.0
 
 
-def plan(count: int) -> Plan:
+def plan(count: int) -> BudgetPlan:
     """Return a budget in threads for each team: its share of what the engines hold."""
     threads = CORES * ENGINES_EACH * count * THREADS_A_CORE
-    wholes = tuple(
-        Whole("threads", int(threads * share), team, quantum=4)
+    limits = tuple(
+        FleetLimit("threads", int(threads * share), team, quantum=4)
         for share, team in zip(SHARES, TEAMS, strict=True)
     )
-    return Plan("bench", wholes, tuple(f"m{n}" for n in range(min(LISTED, count))), TERM_MS, size=count)
+    return BudgetPlan(
+        "bench", limits, tuple(f"m{n}" for n in range(min(LISTED, count))), TERM_MS, fleet_size=count
+    )
 
 
 def run(
@@ -71,7 +73,7 @@
 def figures(site: Site, records: list[Record], count: int) -> dict[str, Any]:
     """Return one play's figures."""
     mine = {team: [record for record in records if record.team == n] for n, team in enumerate(TEAMS)}
-    wholes = [whole.units for whole in plan(count).wholes]
+    limits = [whole.units for whole in plan(count).limits]
     share, counted = waits_within(records)
     return {
         "in_aim": {
@@ -79,14 +81,14 @@
             for team, rows in mine.items()
         },
         "out": {
-            team: round(max(held.get(n, 0) for _, held in site.held) / wholes[n], 3)
+            team: round(max(held.get(n, 0) for _, held in site.held) / limits[n], 3)
             for n, team in enumerate(TEAMS)
         },
         "waits": round(share, 3),
         "waits_told": counted,
         "requests": len(records),
         "unanswered": sum(not record.how for record in records),
-        "over": site.fleet.audit.over() if site.fleet is not None else 0,
+        "over": site.fleet.audit.violations() if site.fleet is not None else 0,
     }
 
 
--- a/fordstair/budgets/division.py
+++ b/fordstair/budgets/division.py
@@ -1,85 +1,107 @@
-"""One whole divided by demand: weighted max-min fair, in quanta, what nobody wants lent to all alike; pure.
+"""The rule that divides a limit: weighted max-min fair, in quanta, the rest to all alike; pure.
 
 Max-min fairness by progressive filling (Bertsekas and Gallager, Data Networks, 2nd edition 1992, section
-6.5.2), weighted by what each could use: no share can grow without taking from one that is no larger a part of
-what its member could use. A team's requests are entitled alike, wherever they come to.
+6.5.2), weighted by each member's demand: no allotment can grow without taking from one that is no larger a
+part of its member's demand. So a team's requests are served alike, whichever coordinator they come to.
 """
 
 from __future__ import annotations
 
-from collections.abc import Mapping, Sequence
+from collections.abc import Hashable, Mapping, Sequence
+from typing import TypeVar
+
+K = TypeVar("K", bound=Hashable)
 
 
 def divide(
-    whole: int,
-    needs: Mapping[str, int],
-    wants: Mapping[str, int],
+    units: int,
+    needed: Mapping[K, int],
+    wanted: Mapping[K, int],
     quantum: int,
-    order: Sequence[str],
-    least: int = 0,
-) -> dict[str, int]:
-    """Return each member's share; they sum to the whole, or to nothing where there are no members.
+    order: Sequence[K],
+    min_useful: int = 0,
+) -> dict[K, int]:
+    """Return each member's allotment in units; they sum to ``units``, or there are no members.
 
-    Shares are quanta: what is out and waits (``needs``) goes before what is expected (``wants``), since a
-    quantum that one expects to use is of more use to another that has work for it now; what nobody wants is
-    lent to all alike. Whoever needs or wants anything and gets no quantum gets ``least``, as far as that goes
-    round, so that the smallest requests need not wait for a share to move. ``order`` names all members; who
-    comes first in it gets what cannot be divided evenly, and what is left of the whole beside its quanta.
+    Args:
+        units: What is divided.
+        needed: Units in use and waited for now, by member; served first, since they have work at once.
+        wanted: Units that each member expects to use, ``needed`` included; served next.
+        quantum: Allotments are multiples of this, as far as they go.
+        order: All members; the first ones get what cannot be divided evenly, the very first the remainder.
+        min_useful: What a member with any demand gets where it gets no quantum, as far as the units go
+            round, so that the smallest requests need not wait for an allotment to move.
     """
     if not order:
         return {}
-    quanta = whole // quantum
+    quanta = units // quantum
     while True:
-        lent = _lend(quanta, needs, wants, quantum, order)
-        lacking = [name for name in order if not lent[name] and (needs[name] > 0 or wants[name] > 0)]
-        if not quanta or whole - quanta * quantum >= least * len(lacking):
+        lent = _divide_quanta(quanta, needed, wanted, quantum, order)
+        lacking = [member for member in order if not lent[member] and (needed[member] or wanted[member])]
+        if not quanta or units - quanta * quantum >= min_useful * len(lacking):
             break
-        quanta = max(0, min(quanta - 1, (whole - least * len(lacking)) // quantum))
-    given = {name: lent[name] * quantum for name in order}
-    left = whole - quanta * quantum
-    for name in lacking:
-        given[name] = min(least, left)
-        left -= given[name]
-    given[order[0]] += left
-    return given
+        quanta = max(0, min(quanta - 1, (units - min_useful * len(lacking)) // quantum))
+    allotments = {member: lent[member] * quantum for member in order}
+    remainder = units - quanta * quantum
+    for member in lacking:
+        allotments[member] = min(min_useful, remainder)
+        remainder -= allotments[member]
+    allotments[order[0]] += remainder
+    return allotments
 
 
-def _lend(
-    quanta: int, needs: Mapping[str, int], wants: Mapping[str, int], quantum: int, order: Sequence[str]
-) -> dict[str, int]:
-    """Divide quanta: what is needed, then what is wanted beyond that, then what is left to all alike."""
-    weights = {name: max(1, wants[name]) for name in order}
-    lent = _fill(quanta, {name: _quanta(needs[name], quantum) for name in order}, weights, order)
-    more = {name: max(0, _quanta(wants[name], quantum) - lent[name]) for name in order}
-    for name, extra in _fill(quanta - sum(lent.values()), more, weights, order).items():
-        lent[name] += extra
-    spare = quanta - sum(lent.values())
-    for place, name in enumerate(order):  # called back when somebody wants it
-        lent[name] += spare // len(order) + (place < spare % len(order))
+def _divide_quanta(
+    quanta: int, needed: Mapping[K, int], wanted: Mapping[K, int], quantum: int, order: Sequence[K]
+) -> dict[K, int]:
+    """Divide quanta by what is needed, then by what is wanted beyond it; lend the rest to all alike."""
+    weights = {member: max(1, wanted[member]) for member in order}
+    lent = _fill(quanta, {member: _quanta(needed[member], quantum) for member in order}, weights, order)
+    beyond = {member: max(0, _quanta(wanted[member], quantum) - lent[member]) for member in order}
+    for member, extra in _fill(quanta - sum(lent.values()), beyond, weights, order).items():
+        lent[member] += extra
+    each, first_ones = divmod(quanta - sum(lent.values()), len(order))
+    for position, member in enumerate(order):
+        lent[member] += each + (position < first_ones)
     return lent
 
 
 def _quanta(units: int, quantum: int) -> int:
+    """Return how many quanta hold so many units."""
     return -(-max(0, units) // quantum)
 
 
-def _fill(
-    quanta: int, needs: Mapping[str, int], weights: Mapping[str, int], order: Sequence[str]
-) -> dict[str, int]:
-    """Give to all in proportion to their weights until each has its need or nothing is left."""
+def _fill(quanta: int, demand: Mapping[K, int], weights: Mapping[K, int], order: Sequence[K]) -> dict[K, int]:
+    """Give quanta in proportion to the weights until each demand is met or nothing is left."""
     given = dict.fromkeys(order, 0)
-    waiting = sorted((name for name in order if needs[name]), key=lambda name: needs[name] / weights[name])
-    weight = sum(weights[name] for name in waiting)
-    for place, name in enumerate(waiting):
-        if needs[name] * weight > quanta * weights[name]:  # and so is it for all that follow
-            parts = {each: divmod(quanta * weights[each], weight) for each in waiting[place:]}
-            rest = quanta - sum(part for part, _ in parts.values())
-            rank = {each: number for number, each in enumerate(order)}
-            for each in sorted(parts, key=lambda each: (-parts[each][1], rank[each])):
-                given[each] = min(needs[each], parts[each][0] + (rest > 0))
-                rest -= rest > 0
+    waiting = sorted(
+        (member for member in order if demand[member]), key=lambda member: demand[member] / weights[member]
+    )
+    weight = sum(weights[member] for member in waiting)
+    for position, member in enumerate(waiting):
+        if demand[member] * weight > quanta * weights[member]:  # neither this demand nor a later one is met
+            given |= _proportional(quanta, demand, weights, waiting[position:], order)
             break
-        given[name] = needs[name]
-        quanta -= needs[name]
-        weight -= weights[name]
+        given[member] = demand[member]
+        quanta -= demand[member]
+        weight -= weights[member]
+    return given
+
+
+def _proportional(
+    quanta: int,
+    demand: Mapping[K, int],
+    weights: Mapping[K, int],
+    members: Sequence[K],
+    order: Sequence[K],
+) -> dict[K, int]:
+    """Divide quanta in proportion to the weights, the rest one each by the largest remainder."""
+    weight = sum(weights[member] for member in members)
+    parts = {member: divmod(quanta * weights[member], weight) for member in members}
+    rest = quanta - sum(part for part, _ in parts.values())
+    position = {member: number for number, member in enumerate(order)}
+    given: dict[K, int] = {}
+    for member in sorted(parts, key=lambda member: (-parts[member][1], position[member])):
+        extra = 1 if rest > 0 else 0
+        given[member] = min(demand[member], parts[member][0] + extra)
+        rest -= extra
     return given
--- a/fordstair/budgets/messages.py
+++ b/fordstair/budgets/messages.py
@@ -1,91 +1,92 @@
-"""What members say to each other about budgets: MessagePack arrays over UDP, every field checked; pure.
+"""The budgets' messages: MessagePack arrays over UDP, every field checked; pure.
 
-Every datagram names the cluster by the digest of its plan, so that a member whose file says otherwise is
-refused. Units are those of the plan's budgets, in their order.
+Every datagram carries the digest of the sender's plan, so that a member with another plan is refused. Amounts
+are in the units of the plan's limits, in their order.
 """
 
 from __future__ import annotations
 
-from typing import Annotated, TypeAlias
+from typing import Annotated, NamedTuple, TypeAlias
 
-from msgspec import Meta, Struct
+from msgspec import Meta
 
-from fordstair.budgets.whole import WHOLES_MOST
+from fordstair.budgets.plan import MAX_LIMITS
 from fordstair.membership.messages import MAX_DATAGRAM_BYTES, Incarnation, MemberName, SequenceNumber
-from fordstair.runtime.message_codec import MessageCodec
+from fordstair.runtime.message_codec import MessageCodec, WireMessage
 
-UNITS_MOST = 10**12
+MAX_UNITS = 10**12
 
-Unit: TypeAlias = Annotated[int, Meta(ge=0, le=UNITS_MOST)]
-Units: TypeAlias = Annotated[tuple[Unit, ...], Meta(max_length=WHOLES_MOST)]
+Unit: TypeAlias = Annotated[int, Meta(ge=0, le=MAX_UNITS)]
+Units: TypeAlias = Annotated[tuple[Unit, ...], Meta(max_length=MAX_LIMITS)]
+ElectionTerm: TypeAlias = Incarnation  # a number that grows with each candidacy
 
 
-class _Message(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    plan: Annotated[int, Meta(ge=0, lt=2**48)]
+class MemberId(NamedTuple):
+    """One process of a member: a restart is another one."""
+
+    name: str
+    incarnation: int
+
+
+class _Message(WireMessage, frozen=True):
+    plan_digest: Annotated[int, Meta(ge=0, lt=2**48)]
     sender: MemberName
-    incarnation: Incarnation  # of the sender's present life
-    number: SequenceNumber  # of the question; its answer has the same
+    incarnation: Incarnation  # of the sender
+    sequence: SequenceNumber  # of the request; its answer has the same
 
+    @property
+    def sender_id(self) -> MemberId:
+        """Which process sent it."""
+        return MemberId(self.sender, self.incarnation)
 
-class Vote(_Message, frozen=True, tag=1):
-    """Asks for a promise to follow nobody else for a term."""
 
-    epoch: Incarnation
+class VoteRequest(_Message, frozen=True, tag=1):
+    """Asks for a promise to follow nobody else for a while."""
 
+    term: ElectionTerm
 
-class Voted(_Message, frozen=True, tag=2):
-    """Answers a Vote: promised, or to whom the promise was given."""
 
-    ok: bool
-    epoch: Incarnation  # where promised the vote's own, else the greatest that the voter has heard of
-    leader: MemberName | None
+class VoteReply(_Message, frozen=True, tag=2):
+    """Answers a VoteRequest."""
 
+    promised: bool
+    term: ElectionTerm  # the request's own where promised, else the greatest that the voter has heard of
+    leader: MemberName | None  # who has the voter's promise
 
-class Unvote(_Message, frozen=True, tag=3):
-    """Takes a candidacy back that has failed."""
 
-    epoch: Incarnation
+class VoteWithdrawal(_Message, frozen=True, tag=3):
+    """Gives a promise back: the candidacy has failed, or the leader steps down."""
 
+    term: ElectionTerm
 
-class Ask(_Message, frozen=True, tag=4):
-    """Asks the leader for shares. From now on the sender takes no answer to an earlier question.
 
-    ``applied`` is the question whose answer is in force, and ``has`` what that gave; 0 and nothing for none.
-    ``uses`` is what is out beyond the floor, which may be more than was left to it since; ``needs`` is what
-    is out and waits, ``wants`` what could be used, also beyond the floor.
-    """
+class LeaseRequest(_Message, frozen=True, tag=4):
+    """Asks the leader for leases; the sender takes no answer to an earlier request from now on."""
 
-    applied: SequenceNumber
-    has: Units
-    uses: Units
-    needs: Units
-    wants: Units
-    leaving: bool
+    applied: SequenceNumber  # the request whose answer is in force; 0: none
+    leased: Units  # what that answer granted; empty: nothing
+    in_use: Units  # beyond the floor; may be more than is leased since the lease has shrunk
+    needed: Units  # in use and waited for, beyond the floor
+    wanted: Units  # could be used, beyond the floor
+    leaving: bool  # the sender gives everything back
 
 
-class Granted(_Message, frozen=True, tag=5):
-    """The leader's answer: shares for a term, counted from when the question was sent."""
+class LeaseGrant(_Message, frozen=True, tag=5):
+    """The leader's answer: units for the plan's ``lease_ms``, counted from the sending of the request."""
 
-    epoch: Incarnation
+    term: ElectionTerm
     units: Units
 
 
-class Elsewhere(_Message, frozen=True, tag=6):
-    """The reader of an Ask is not the leader; who is, as far as it knows."""
+class LeaderRedirect(_Message, frozen=True, tag=6):
+    """The reader of a LeaseRequest does not lead; ``leader`` does, as far as it knows."""
 
     leader: MemberName | None
 
 
-Message: TypeAlias = Vote | Voted | Unvote | Ask | Granted | Elsewhere
+Message: TypeAlias = VoteRequest | VoteReply | VoteWithdrawal | LeaseRequest | LeaseGrant | LeaderRedirect
 
 _codec = MessageCodec[Message](Message, MAX_DATAGRAM_BYTES)
 
-
-def encode(message: Message) -> bytes:
-    """Return the datagram."""
-    return _codec.encode(message)
-
-
-def decode(datagram: bytes) -> Message:
-    """Read a datagram; raise MalformedMessageError for all that is not wholly right."""
-    return _codec.decode(datagram)
+encode = _codec.encode
+decode = _codec.decode  # raises MalformedMessageError
--- a/fordstair/budgets/transport.py
+++ b/fordstair/budgets/transport.py
@@ -5,14 +5,15 @@
 import time
 from collections.abc import Callable, Iterator, Mapping
 from pathlib import Path
-from typing import NamedTuple, TextIO
+from typing import NamedTuple
 
 import trio
-import ujson
 
-from fordstair.budgets.holding import Share
-from fordstair.budgets.node import Node
-from fordstair.budgets.whole import MILLI, Part
+from fordstair.budgets.audit_file import AuditFile
+from fordstair.budgets.demand import Amounts, Demand
+from fordstair.budgets.lease_holder import Allotment
+from fordstair.budgets.member import BudgetMember
+from fordstair.budgets.plan import FleetBudgetsConfig
 from fordstair.membership.messages import MAX_DATAGRAM_BYTES
 from fordstair.runtime.clock import unix_now
 from fordstair.runtime.event_log import EventLog
@@ -20,200 +21,226 @@
 
 log = EventLog(__name__)
 
-LOOK_MS = 50.0  # between two looks at demand
-AUDIT_MOST = 1 << 26  # bytes of an audit, after which it is not continued
+DEMAND_INTERVAL_MS = 50.0  # between two looks at demand
 
 
-def lease_ms() -> float:
-    """The clock of leases: it never goes back, and goes on while the machine sleeps."""
+def lease_clock_ms() -> float:
+    """Return the time of the leases' clock: it never goes back, and goes on while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1e3
 
 
-def right_ms(own: float) -> float:
-    """The time of the audit for one of the leases' clock: the same, but in trials of clocks that drift."""
-    return own
+def audit_clock_ms(lease_ms: float) -> float:
+    """Return the audit's time for one of the leases' clock: the same, but in trials of clocks that drift."""
+    return lease_ms
 
 
-class Row(NamedTuple):
-    """One member's share of one budget, in threads or requests a second; times are Unix milliseconds."""
+class AllotmentRow(NamedTuple):
+    """One member's allotment of one limit, in threads or requests a second."""
 
     member: str
-    budget: str
-    whole: float
-    share: float  # in force, floor included
+    limit_name: str
+    limit: float
+    allotment: float  # in force, floor included
     floor: float
-    out: float
-    wants: float
-    until_ms: float  # when what goes beyond the floor runs out; 0: nothing does
+    in_use: float  # of this member alone
+    wanted: float
+    leased_until_ms: float  # Unix time; 0: nothing is leased
     leader: str
-    own: bool
+    is_own: bool
     leads: bool  # of this member: it surely grants now
 
 
+class _MemberAmounts(NamedTuple):
+    """One member's amounts in units, by limit."""
+
+    member: str
+    allotment: Amounts
+    floors: Amounts
+    in_use: Amounts
+    wanted: Amounts
+    leased_until_ms: float  # by the leases' clock
+
+
 class FleetBudgets:
     """This coordinator's part in the fleet's budgets."""
 
-    def __init__(self, part: Part, seed: int) -> None:
-        self.plan, self._part = part.plan, part
-        # An incarnation from the clock, so that answers to an earlier life are not taken for this one's.
-        self.node = Node(part.plan, part.member, int(unix_now().value), part.addresses, seed)
-        self.node.on_share = self._shared
-        self.on_share: Callable[[], None] = lambda: None  # called when a share has changed
+    def __init__(self, config: FleetBudgetsConfig, seed: int) -> None:
+        self.plan = config.plan
+        # Unix time as the incarnation: answers to an earlier process are not taken for this one's.
+        incarnation = int(unix_now().value)
+        self.member = BudgetMember(config.plan, config.member, incarnation, config.voter_addresses, seed)
+        self.member.lease_client.on_allotment = self._allotment_changed
+        self.on_allotment: Callable[[], None] = lambda: None  # called when what may be used has changed
+        self._config = config
         self._endpoint: UdpEndpoint | None = None
-        self._audit: TextIO | None = None
+        self._audit: AuditFile | None = None
         self._wake = trio.Event()
-        self._last: tuple[int, ...] = ()
+        self._last_leased: Amounts = ()
 
     @property
     def counts(self) -> Mapping[str, int]:
-        """What was counted: questions, grants, elections and the rest."""
-        return self.node.counts
-
-    def shares(self, now: float | None = None) -> tuple[int, ...]:
-        """What may be used at this moment, whatever the time of the caller: a pause ends no lease late."""
-        return self.node.shares(lease_ms())
-
-    def rows(self, wall_ms: float) -> Iterator[Row]:
-        """Yield this member's shares, and all others' where it leads."""
-        now, node = lease_ms(), self.node
-        leads = node.leads(now)
-        told = [
-            (
-                node.name,
-                self.shares(),
-                node.holding.floor,
-                node.uses(),
-                node.wants(),
-                node.holding.until_ms,
-                True,
-            )
-        ]
-        if leads and node.granter is not None:
-            told += [
-                (
-                    name,
-                    tuple(
-                        floor + lent
-                        for floor, lent in zip(self.plan.floor_of(name), client.granted, strict=True)
-                    ),
-                    self.plan.floor_of(name),
-                    (0,) * len(client.granted),
-                    client.wants,
-                    max((lease.until_ms for lease in client.leases), default=0.0),
-                    False,
-                )
-                for (name, _), client in node.granter.clients.items()
-                if name != node.name
-            ]
-        for member, shares, floors, out, wants, until_ms, own in told:
-            for index, whole in enumerate(self.plan.wholes):
-                unit = 1.0 if whole.kind == "threads" else float(MILLI)
-                yield Row(
-                    member,
-                    whole.name,
-                    whole.units / unit,
-                    shares[index] / unit,
-                    floors[index] / unit,
-                    out[index] / unit,
-                    wants[index] / unit,
-                    wall_ms + until_ms - now if until_ms > now else 0.0,
-                    node.leader,
-                    own,
-                    own and leads,
+        """What was counted: requests, grants, elections and the rest."""
+        return self.member.counts
+
+    def set_demand_source(self, demand_source: Callable[[], Demand]) -> None:
+        """Set what is asked for this coordinator's demand, every DEMAND_INTERVAL_MS."""
+        self.member.lease_client.demand_source = demand_source
+
+    def allotment(self, _: float | None = None) -> Amounts:
+        """Return what may be used now, whatever the caller's time: a pause lets no lease end late."""
+        return self.member.allotment(lease_clock_ms())
+
+    def rows(self, unix_ms: float) -> Iterator[AllotmentRow]:
+        """Yield this member's allotments, and all others' where it leads; ``unix_ms`` is the time now."""
+        now_ms = lease_clock_ms()
+        leads = self.member.leads(now_ms)
+        own = self._own_amounts()
+        others = self._granted_amounts() if leads else ()
+        for amounts in (own, *others):
+            is_own = amounts is own
+            until_ms = amounts.leased_until_ms
+            for index, limit in enumerate(self.plan.limits):
+                scale = float(limit.units_per_amount)
+                yield AllotmentRow(
+                    amounts.member,
+                    limit.name,
+                    limit.units / scale,
+                    amounts.allotment[index] / scale,
+                    amounts.floors[index] / scale,
+                    amounts.in_use[index] / scale,
+                    amounts.wanted[index] / scale,
+                    unix_ms + until_ms - now_ms if until_ms > now_ms else 0.0,
+                    self.member.known_leader,
+                    is_own,
+                    is_own and leads,
                 )
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Take part until cancelled; raise OSError where the address or the audit's file cannot be had."""
-        async with open_udp_endpoint(self._part.listen, MAX_DATAGRAM_BYTES) as endpoint:
+        async with open_udp_endpoint(self._config.listen, MAX_DATAGRAM_BYTES) as endpoint:
             self._endpoint = endpoint
-            endpoint.counts = self.node.counts
-            if self._part.audit:
-                self._audit = Path(self._part.audit).open("a", encoding="utf-8")
-            bound = endpoint.bound
+            endpoint.counts = self.member.counts
+            if self._config.audit_path:
+                self._audit = AuditFile(Path(self._config.audit_path), self.member.id)
+            host, port = endpoint.bound
             log.info(
                 "listening",
-                name=self.node.name,
+                name=self.member.name,
                 front="budgets",
-                host=bound[0],
-                port=bound[1],
-                wholes=len(self.plan.wholes),
-                listed=self.node.name in self.plan.members,
+                host=host,
+                port=port,
+                wholes=len(self.plan.limits),
+                listed=self.member.name in self.plan.voters,
             )
-            self.node.start(lease_ms())
+            self.member.start(lease_clock_ms())
             task_status.started()
             try:
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._receive, endpoint)
-                    nursery.start_soon(self._tick)
+                    nursery.start_soon(self._tick, endpoint)
             finally:
                 if self._audit is not None:
                     self._audit.close()
 
     async def leave(self) -> None:
-        """Give this member's share back."""
-        if self._endpoint is not None and not self.node.left:
-            self._guarded(lambda: self.node.leave(lease_ms()))
-            await self._carry_out()
-            now = lease_ms()
-            self._write(Share(now, now, (0,) * len(self.plan.wholes)))
+        """Give this member's leases back."""
+        if self._endpoint is None or self.member.has_left:
+            return
+        try:
+            self.member.leave(lease_clock_ms())
+        except Exception:  # a fault here may not keep the program from its end
+            self._count_internal_error()
+        await self._carry_out(self._endpoint)
+        now_ms = lease_clock_ms()
+        self._write_audit(Allotment(now_ms, now_ms, self.plan.nothing))
 
     async def _receive(self, endpoint: UdpEndpoint) -> None:
         while True:
             datagram, source = await endpoint.receive()
-            self._guarded(lambda: self.node.receive(lease_ms(), datagram, source))
-            await self._carry_out()
+            try:
+                self.member.receive(lease_clock_ms(), datagram, source)
+            except Exception:  # no peer's message may end this member
+                self._count_internal_error()
+            await self._carry_out(endpoint)
 
-    async def _tick(self) -> None:
+    async def _tick(self, endpoint: UdpEndpoint) -> None:
         while True:
             self._wake = trio.Event()
-            due = self.node.next_due
-            wait_ms = LOOK_MS if due is None else min(LOOK_MS, max(0.0, due - lease_ms()))
+            due_ms = self.member.next_due
+            wait_ms = DEMAND_INTERVAL_MS
+            if due_ms is not None:
+                wait_ms = min(wait_ms, max(0.0, due_ms - lease_clock_ms()))
             with trio.move_on_after(wait_ms / 1e3):
                 await self._wake.wait()
-            now = lease_ms()
-            self._guarded(lambda: self.node.demand(now))
-            self._guarded(lambda: self.node.tick(now))
-            await self._carry_out()
-            if self._last and now >= self.node.holding.until_ms:
-                log.warning("budgets.lapsed", member=self.node.name, leader=self.node.leader or "unknown")
-                self._last = ()
-                self.on_share()
-
-    def _guarded(self, do: Callable[[], None]) -> None:
-        """No peer's message, whatever is in it, ends this member."""
-        try:
-            do()
-        except Exception:
-            self.node.counts["broke"] += 1
-            log.exception("budgets.broke", member=self.node.name)
-
-    async def _carry_out(self) -> None:
-        assert self._endpoint is not None
-        await self._endpoint.send(self.node.outgoing())
+            now_ms = lease_clock_ms()
+            self._observe_and_tick(now_ms)
+            await self._carry_out(endpoint)
+            self._note_expiry(now_ms)
+
+    def _observe_and_tick(self, now_ms: float) -> None:
+        for step in (self.member.observe_demand, self.member.tick):
+            try:
+                step(now_ms)
+            except Exception:  # a fault in one step may not end the member
+                self._count_internal_error()
+
+    def _note_expiry(self, now_ms: float) -> None:
+        """Fall back to the floors where the leases have expired."""
+        if self._last_leased and now_ms >= self.member.lease_client.holder.until_ms:
+            leader = self.member.known_leader or "unknown"
+            log.warning("budgets.lease_expired", member=self.member.name, leader=leader)
+            self._last_leased = ()
+            self.on_allotment()
+
+    def _count_internal_error(self) -> None:
+        self.member.counts["internal_errors"] += 1
+        log.exception("budgets.internal_error", member=self.member.name)
+
+    async def _carry_out(self, endpoint: UdpEndpoint) -> None:
+        await endpoint.send(self.member.outgoing())
         self._wake.set()
 
-    def _shared(self, share: Share) -> None:
-        self._write(share)
-        if share.lent != self._last:
-            told = {whole.name: held for whole, held in zip(self.plan.wholes, self.shares(), strict=True)}
-            log.info("budgets.share", member=self.node.name, leader=self.node.leader, **told)
-            self._last = share.lent
-            self.on_share()
-
-    def _write(self, share: Share) -> None:
-        """Put a line into the audit, at once: a kill must not lose it."""
-        if self._audit is None or self._audit.tell() > AUDIT_MOST:
+    def _allotment_changed(self, allotment: Allotment) -> None:
+        self._write_audit(allotment)
+        if allotment.leased != self._last_leased:
+            names = [limit.name for limit in self.plan.limits]
+            amounts = dict(zip(names, self.allotment(), strict=True))
+            leader = self.member.known_leader
+            log.info("budgets.allotment_changed", member=self.member.name, leader=leader, **amounts)
+            self._last_leased = allotment.leased
+            self.on_allotment()
+
+    def _write_audit(self, allotment: Allotment) -> None:
+        if self._audit is not None:
+            from_ms = audit_clock_ms(allotment.from_ms)
+            self._audit.write(from_ms, audit_clock_ms(allotment.until_ms), allotment.leased)
+
+    def _own_amounts(self) -> _MemberAmounts:
+        holder = self.member.lease_client.holder
+        demand = self.member.lease_client.demand_source()
+        return _MemberAmounts(
+            self.member.name,
+            self.allotment(),
+            holder.floors,
+            tuple(demand.in_use),
+            tuple(demand.wanted),
+            holder.until_ms,
+        )
+
+    def _granted_amounts(self) -> Iterator[_MemberAmounts]:
+        """Yield what this member as the leader has granted to the others."""
+        grants = self.member.election.grants
+        if grants is None:
             return
-        try:
-            told = {
-                "member": self.node.name,
-                "life": self.node.incarnation,
-                "from_ms": right_ms(share.from_ms),
-                "until_ms": right_ms(share.until_ms),
-                "lent": share.lent,
-            }
-            self._audit.write(ujson.dumps(told) + "\n")
-            self._audit.flush()
-        except OSError as error:
-            log.error("budgets.audit_ended", why=error)
-            self._audit = None
+        for member, lessee in grants.lessees.items():
+            if member.name == self.member.name:
+                continue
+            floors = self.plan.floors_of(member.name)
+            yield _MemberAmounts(
+                member.name,
+                tuple(floor + granted for floor, granted in zip(floors, lessee.granted, strict=True)),
+                floors,
+                self.plan.nothing,
+                lessee.wanted,
+                max((lease.until_ms for lease in lessee.leases), default=0.0),
+            )
--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -16,7 +16,7 @@
 from fordstair.net.clients.odata_model import EntitySet, Operator
 
 if TYPE_CHECKING:
-    from fordstair.budgets.whole import Part
+    from fordstair.budgets.plan import FleetBudgetsConfig
     from fordstair.membership.configuration import MembershipConfig
     from fordstair.replication.service import Ledger
 
@@ -193,32 +193,32 @@
     )
 
 
-def _shares(file: File) -> Part | None:
+def _shares(file: File) -> FleetBudgetsConfig | None:
     if file.fleet is None or (told := file.fleet.budgets) is None:
         return None
-    from fordstair.budgets.whole import MILLI, Part, Plan, Whole
+    from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, BudgetPlan, FleetBudgetsConfig, FleetLimit
 
-    wholes = list[Whole]()
+    limits = list[FleetLimit]()
     for each in told.wholes:
-        # a share that no request fits into would be of no use
+        # an allotment that no request fits into would be of no use
         needs = [spec.threads for spec in file.classes if each.klass in (None, spec.name)] or [1]
-        rate = int(MILLI * (each.requests_per_s or 0.0))
+        rate = int(UNITS_PER_REQUEST_PER_S * (each.requests_per_s or 0.0))
         of = (each.team or "", each.klass or "")
-        wholes.append(
-            Whole("rate", rate, *of)
+        limits.append(
+            FleetLimit("rate", rate, *of)
             if each.threads is None
-            else Whole("threads", each.threads, *of, quantum=max(needs), least=min(needs))
+            else FleetLimit("threads", each.threads, *of, quantum=max(needs), min_useful=min(needs))
         )
-    plan = Plan(
+    plan = BudgetPlan(
         file.fleet.cluster,
-        tuple(wholes),
+        tuple(limits),
         tuple(sorted(told.members)),
         told.term_ms,
         told.drift,
         told.floor_part,
         told.size,
     )
-    return Part(
+    return FleetBudgetsConfig(
         plan, member_of(file), address(told.listen, "fleet.budgets.listen"), dict(told.members), told.audit
     )
 
--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -13,7 +13,7 @@
 from fordstair.scheduling.scheduler import Refused, Room, Scheduler, Told, last_start
 
 if TYPE_CHECKING:
-    from fordstair.budgets.caps import Caps
+    from fordstair.budgets.local_limits import LocalLimits
     from fordstair.core.coordinator import Coordinator
 
 PREEMPT_MS = 200.0  # between two looks at who runs beyond a budget
@@ -29,7 +29,7 @@
         coordinator: Coordinator,
         scheduler: Scheduler,
         threads_a_core: float,
-        caps: Caps | None = None,
+        caps: LocalLimits | None = None,
         seed: int = 1,
     ) -> None:
         self.coordinator, self.scheduler, self.threads_a_core = coordinator, scheduler, threads_a_core
@@ -47,7 +47,7 @@
         gateway, spec = self.coordinator.gateway, self.coordinator.settings.classes[told.class_index]
         work_ms = gateway.cache.forecast(told.class_index, told.group, told.cost_ms)
         self._resize()
-        caps = () if self.caps is None else self.caps.binding(now, told.tenant, told.class_index)
+        caps = () if self.caps is None else self.caps.forecast(now, told.tenant, told.class_index)
         admission = self.scheduler.arrive(
             Told(
                 live.id,
@@ -61,7 +61,7 @@
             now,
         )
         if self.caps is not None:
-            self.caps.arrives(now, told.tenant, told.class_index, spec.threads)
+            self.caps.request_waiting(now, told.tenant, told.class_index, spec.threads)
         if admission.refused is not None:
             self._gives_up(live)
             return self._refuse(live, admission.refused, admission.wait.likely_ms)
@@ -93,7 +93,9 @@
         while (released := self.scheduler.release(now, self._room)) is not None:
             live = self._lives.pop(released.id)
             if self.caps is not None:
-                self.caps.starts(now, released.id, released.team, released.class_index, released.threads)
+                self.caps.request_started(
+                    now, released.id, released.team, released.class_index, released.threads
+                )
             self.coordinator.counters.add("turns.released")
             self.coordinator.tell(self.coordinator.arrival(live))
             live.ordered.set()
@@ -102,7 +104,7 @@
         """A request is over: what it held is settled, and others may have their turn."""
         self.forget(live)
         if self.caps is not None:
-            self.caps.ends(self.coordinator.deadlines.clock(), live.id)
+            self.caps.request_ended(self.coordinator.deadlines.clock(), live.id)
         self.scheduler.ended(live.id, self.coordinator.deadlines.clock(), live.held_ms)
         self.release()
 
@@ -116,11 +118,11 @@
     def _gives_up(self, live: LiveRequest) -> None:
         if self.caps is not None:
             threads = self.coordinator.settings.classes[live.query.class_index].threads
-            self.caps.gives_up(live.query.tenant, live.query.class_index, threads)
+            self.caps.request_abandoned(live.query.tenant, live.query.class_index, threads)
 
     def _room(self, item: Item) -> Room:
         gateway = self.coordinator.gateway
-        if self.caps is not None and not self.caps.fits(
+        if self.caps is not None and not self.caps.admits(
             self.coordinator.deadlines.clock(), item.team, item.class_index, item.threads
         ):
             return Room.BUDGET_FULL
--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -16,18 +16,20 @@
 
 import trio
 
-from fordstair.budgets.whole import MILLI, Plan, Whole
+from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, BudgetPlan, FleetLimit
 from fordstair.lab.appliance import ask_door, end, operator_file, ports_of
-from fordstair.lab.audit import Audit, of_files
+from fordstair.lab.audit import Audit, read_audit
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
 from fordstair.lab.relay import Relay
 from fordstair.lab.traffic import Kind, Tally, Traffic
 
 FRONTS = 4  # of a member: MessagePack-RPC, OData, the fleet's and the budgets'
-THREADS, RATE, FLOOR_PART = 64, 400.0, 0.35
+THREADS = 64  # the fleet's limit for the team
+RATE = 400.0  # requests a second, likewise
+FLOOR_FACTOR = 0.35
 KARRI = "karri-energy"
-LOOK_S = 0.02
+SAMPLE_S = 0.02  # between two looks at the engine's threads
 
 
 class Members:
@@ -40,7 +42,7 @@
         count: int,
         listed: int,
         seed: int,
-        term_ms: float,
+        lease_ms: float,
         drift: float,
     ) -> None:
         self.folder, self.nursery, self.seed = folder, nursery, seed
@@ -52,13 +54,16 @@
         self.ports: dict[str, dict[str, int]] = {}
         self.starts: dict[str, int] = {}
         # as the program makes it of the file below: a settlement takes 4 threads
-        self.plan = Plan(
+        self.plan = BudgetPlan(
             "trial",
-            (Whole("threads", THREADS, KARRI, "", 4), Whole("rate", int(RATE * MILLI), KARRI)),
+            (
+                FleetLimit("threads", THREADS, KARRI, quantum=4),
+                FleetLimit("rate", int(RATE * UNITS_PER_REQUEST_PER_S), KARRI),
+            ),
             tuple(self.names[:listed]),
-            term_ms,
+            lease_ms,
             drift,
-            floor_part=FLOOR_PART,
+            floor_factor=FLOOR_FACTOR,
         )
 
     async def open_fronts(self) -> None:
@@ -70,12 +75,13 @@
         """Start a member, or one of this name anew; its leases' clock may run at another rate."""
         self.starts[name] = life = self.starts.get(name, 0) + 1
         file, log = self.folder / f"{name}.toml", self.folder / f"{name}.{life}.log"
-        listed = ", ".join(f'{other} = "{self.fronts[other]}"' for other in self.plan.members)
+        listed = ", ".join(f'{other} = "{self.fronts[other]}"' for other in self.plan.voters)
         file.write_text(
             operator_file([self.engine], self.folder / f"{name}.sock") + "[budgets]\nthreads_a_core = 4.0\n"
             f'[fleet]\ncluster = "trial"\nmember = "{name}"\nlisten = "127.0.0.1:0"\n'
             f'[fleet.budgets]\nlisten = "127.0.0.1:0"\nmembers = {{ {listed} }}\n'
-            f"term_ms = {self.plan.term_ms}\ndrift = {self.plan.drift}\nfloor_part = {FLOOR_PART}\n"
+            f"term_ms = {self.plan.lease_ms}\ndrift = {self.plan.max_clock_drift}\n"
+            f"floor_part = {FLOOR_FACTOR}\n"
             f'audit = "{self.folder / name}.{life}.audit"\n'
             f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nthreads = {THREADS}\n'
             f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nrequests_per_s = {RATE}\n'
@@ -118,14 +124,14 @@
 
     def audit(self) -> Audit:
         """Return the audit of all lives so far."""
-        return of_files(self.plan, sorted(self.folder.glob("*.audit")))
+        return read_audit(self.plan, sorted(self.folder.glob("*.audit")))
 
     def lines(self, name: str, event: str) -> list[str]:
         """Return the lines of that event in a member's present log."""
         text = (self.folder / f"{name}.{self.starts[name]}.log").read_text()
         return [line for line in text.splitlines() if event in line]
 
-    async def shares(self) -> dict[str, int]:
+    async def allotments(self) -> dict[str, int]:
         """Return the threads that each running member may use now, floor included; 0 of a stopped one."""
         shares = dict[str, int]()
         for name in self.processes:
@@ -145,15 +151,15 @@
                             return name
                 await trio.sleep(0.05)
 
-    async def until_whole(self, within_s: float) -> float:
-        """Wait until running members together hold all of the whole that can be had; return how long it took.
+    async def until_all_leased(self, within_s: float) -> float:
+        """Wait until running members together hold all of the limit that can be had; return how long it took.
 
         The floors of listed members that do not run stay reserved.
         """
         began, plan = trio.current_time(), self.plan
-        wanted = plan.pools[0] + plan.floors[0] * sum(name in plan.members for name in self.processes)
+        wanted = plan.lendable[0] + plan.floors[0] * sum(name in plan.voters for name in self.processes)
         with trio.fail_after(within_s):
-            while sum((await self.shares()).values()) < wanted:
+            while sum((await self.allotments()).values()) < wanted:
                 await trio.sleep(0.05)
         return trio.current_time() - began
 
@@ -166,7 +172,7 @@
     ) -> tuple[dict[str, Tally], list[int]]:
         """Send settlements, and lookups, of one team through members, at rates a second.
 
-        Return what became of them, and how many threads they held at the engine, each LOOK_S.
+        Return what became of them, and how many threads they held at the engine, each SAMPLE_S.
         """
         kinds: dict[str, list[Kind]] = {name: [] for name in self.names}
         for name, rate in rates.items():
@@ -178,7 +184,7 @@
         async def look() -> None:
             while True:
                 held.append(self.threads_held())
-                await trio.sleep(LOOK_S)
+                await trio.sleep(SAMPLE_S)
 
         async def send(name: str) -> None:
             seed = self.seed * 1_000 + self.names.index(name)  # no two clients use one id
@@ -206,12 +212,12 @@
     listed: int = 5,
     seed: int = 1,
     *,
-    term_ms: float = 2_500.0,
+    lease_ms: float = 2_500.0,
     drift: float = 0.01,
 ) -> AsyncIterator[Members]:
     """That many members, running; their shares come once a leader has learned."""
     async with trio.open_nursery() as nursery:
-        all_of = Members(folder, nursery, count, listed, seed, term_ms, drift)
+        all_of = Members(folder, nursery, count, listed, seed, lease_ms, drift)
         await nursery.start(all_of.engine.serve)
         await all_of.open_fronts()
         try:
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -16,9 +16,8 @@
 
 import trio
 
-from fordstair.budgets.caps import Caps
-from fordstair.budgets.node import ASKS_A_TERM
-from fordstair.budgets.whole import Plan
+from fordstair.budgets.local_limits import LocalLimits
+from fordstair.budgets.plan import BudgetPlan
 from fordstair.core.admission_queue import AdmissionQueue
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import AttemptFailed, AttemptRequest, Engine, Query, QueryProgress
@@ -27,9 +26,9 @@
 from fordstair.decisions.events import NoteKind, Status
 from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import Arrival
+from fordstair.lab.budget_fleet import BudgetFleet
 from fordstair.lab.clockwork import now_ms
 from fordstair.lab.machine import Job, Machine
-from fordstair.lab.shares import Fleet
 from fordstair.lab.virtual import Record
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
@@ -284,16 +283,16 @@
             self.admission_queue = AdmissionQueue(self.coordinator, scheduler, told.threads_a_core, seed=seed)
             self.coordinator.admission_queue = self.admission_queue
 
-    def share(self, fleet: Fleet) -> Caps:
+    def share(self, fleet: BudgetFleet) -> LocalLimits:
         """Take part in the fleet's budgets, as the program does where the operator's file says so."""
         queue, settings = self.admission_queue, self.settings
         assert queue is not None, "budgets of a fleet need queues"
-        queue.caps = Caps(
-            fleet.plan.wholes,
+        queue.caps = LocalLimits(
+            fleet.plan.limits,
             [each.name for each in settings.tenants],
             [each.name for each in settings.classes],
-            lambda now: fleet.share_of(self.name),
-            fleet.plan.term_ms / ASKS_A_TERM,
+            lambda now: fleet.allotment_of(self.name),
+            fleet.plan.request_interval_ms,
         )
         return queue.caps
 
@@ -346,20 +345,20 @@
         coordinators: int,
         seed: int,
         queueing: Queueing | None = None,
-        plan: Plan | None = None,
+        plan: BudgetPlan | None = None,
         *,
         halls: bool = False,
     ) -> None:
         self.settings, self.queueing, self.seed, self.halls = settings, queueing, seed, halls
         self.servers = {server.entry.engine: server for server in servers}
         self.desks = [Desk(self, f"m{number}", seed * 1_009 + number) for number in range(coordinators)]
-        self.fleet: Fleet | None = None
+        self.fleet: BudgetFleet | None = None
         if plan is not None:
-            self.fleet = fleet = Fleet(plan, coordinators, seed, skewed=True)
-            caps = {desk.name: desk.share(fleet) for desk in self.desks}
-            fleet.demand = lambda name: caps[name].wants(now_ms())
-            fleet.needs = lambda name: caps[name].needs()
-            fleet.uses = lambda name: caps[name].uses()
+            self.fleet = fleet = BudgetFleet(plan, coordinators, seed, skewed=True)
+            limits = {desk.name: desk.share(fleet) for desk in self.desks}
+            fleet.wanted = lambda name: limits[name].wanted(now_ms())
+            fleet.needed = lambda name: limits[name].needed()
+            fleet.in_use = lambda name: limits[name].in_use()
         self.held = list[tuple[float, dict[int, int]]]()  # threads at engines by team, each LOOK_MS
 
     async def play(
--- a/fordstair/lab/skewed.py
+++ b/fordstair/lab/skewed.py
@@ -12,9 +12,11 @@
 
 def main() -> None:
     """Change the clock, and run the program on the remaining arguments."""
-    rate, start, right = float(sys.argv.pop(1)), transport.lease_ms(), transport.lease_ms
-    transport.lease_ms = lambda: start + (right() - start) * rate
-    transport.right_ms = lambda own: start + (own - start) / rate
+    rate = float(sys.argv.pop(1))
+    true_clock_ms = transport.lease_clock_ms
+    start_ms = true_clock_ms()
+    transport.lease_clock_ms = lambda: start_ms + (true_clock_ms() - start_ms) * rate
+    transport.audit_clock_ms = lambda lease_ms: start_ms + (lease_ms - start_ms) / rate
     from fordstair.__main__ import main as program
 
     program()
--- a/fordstair/net/clients/odata_model.py
+++ b/fordstair/net/clients/odata_model.py
@@ -15,7 +15,7 @@
 from odata_query.sql.base import AstToSqlVisitor
 
 if TYPE_CHECKING:
-    from fordstair.budgets.whole import Part
+    from fordstair.budgets.plan import FleetBudgetsConfig
     from fordstair.membership.configuration import MembershipConfig
     from fordstair.replication.service import Ledger
 
@@ -80,7 +80,7 @@
     fleet: MembershipConfig | None = None  # membership among coordinators; no address: the one that is bound
     fleet_listen: tuple[str, int] = ("127.0.0.1", 0)
     ledger: Ledger | None = None  # of loads that run at most once among all coordinators
-    shares: Part | None = None  # of budgets that the whole fleet has together
+    shares: FleetBudgetsConfig | None = None  # of budgets that the whole fleet has together
     eject_silent_zones: bool = False
 
 
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -28,8 +28,8 @@
 from fordstair.runtime.event_log import EventLog
 
 if TYPE_CHECKING:  # what only an operator's file turns on is not loaded on the platform
+    from fordstair.budgets.plan import FleetBudgetsConfig
     from fordstair.budgets.transport import FleetBudgets
-    from fordstair.budgets.whole import Part
     from fordstair.core.admission_queue import AdmissionQueue
     from fordstair.membership.transport import Membership
     from fordstair.net.clients.odata_front import ODataFront
@@ -149,27 +149,25 @@
             config.channel, config.cursor, self.announced, self.deadlines, self.counters
         )
 
-    def share_budgets(self, part: Part) -> None:
+    def share_budgets(self, fleet_budgets: FleetBudgetsConfig) -> None:
         """Take part in budgets that the fleet has together: what has its turn also needs this one's share."""
-        from fordstair.budgets.caps import Caps
-        from fordstair.budgets.node import ASKS_A_TERM
+        from fordstair.budgets.local_limits import LocalLimits
         from fordstair.budgets.transport import FleetBudgets
 
         if (queue := self.admission_queue) is None:
             raise ConfigError("fleet.budgets: needs [budgets], in a file that tells of the whole site")
-        named = replace(part, member=part.member or self.config.name)
+        named = replace(fleet_budgets, member=fleet_budgets.member or self.config.name)
         budgets = self.budgets = FleetBudgets(named, self.config.seed)
         settings = self.config.settings
-        caps = queue.caps = Caps(
-            part.plan.wholes,
+        limits = queue.caps = LocalLimits(
+            named.plan.limits,
             [each.name for each in settings.tenants] or [""],
             [each.name for each in settings.classes],
-            budgets.shares,
-            part.plan.term_ms / ASKS_A_TERM,
+            budgets.allotment,
+            named.plan.request_interval_ms,
         )
-        budgets.node.wants = lambda: caps.wants(self.deadlines.clock())
-        budgets.node.needs, budgets.node.uses = caps.needs, caps.uses
-        budgets.on_share = queue.release
+        budgets.set_demand_source(lambda: limits.demand(self.deadlines.clock()))
+        budgets.on_allotment = queue.release
         self.counters.include("shares", lambda: budgets.counts)
 
     def tls(self, address: str) -> ssl.SSLContext | None:
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -246,7 +246,7 @@
         if self.budgets is None:
             return {}
         rows = self.budgets.rows(self._unix(now))
-        return {f"{each.member}|{each.budget}": ShareView(**each._asdict()) for each in rows}
+        return {f"{each.member}|{each.limit_name}": ShareView(*each) for each in rows}
 
     def _adjustments(self) -> dict[str, AdjustmentView]:
         return {
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -2,33 +2,48 @@
 
 from __future__ import annotations
 
+from collections import Counter
 from random import Random
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fordstair.budgets.caps import Caps
 from fordstair.budgets.division import divide
-from fordstair.budgets.granter import Granter
-from fordstair.budgets.holding import Holding
-from fordstair.budgets.leadership import Voter
-from fordstair.budgets.messages import Ask, Granted, Vote, Voted, decode, encode
-from fordstair.budgets.node import Node
-from fordstair.budgets.whole import MILLI, Plan, Whole
+from fordstair.budgets.invariants import check_invariants
+from fordstair.budgets.lease_grants import LeaseGrants
+from fordstair.budgets.lease_holder import LeaseHolder
+from fordstair.budgets.local_limits import LocalLimits
+from fordstair.budgets.member import BudgetMember
+from fordstair.budgets.messages import (
+    LeaseGrant,
+    LeaseRequest,
+    MemberId,
+    VoteReply,
+    VoteRequest,
+    decode,
+    encode,
+)
+from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, BudgetPlan, FleetLimit
+from fordstair.budgets.voter import Voter
 from fordstair.lab.audit import Audit
-from fordstair.lab.shares import Fleet
+from fordstair.lab.budget_fleet import BudgetFleet
 from fordstair.runtime.message_codec import MalformedMessageError
 from fordstair.scheduling.later import Places
 from fordstair.scheduling.scheduler import Refused, Room, Scheduler, Told
 from fordstair.scheduling.waits import Cap, Meter
 
 FIXED = settings(max_examples=200, deadline=None, derandomize=True, database=None)
-WHOLES = (Whole("threads", 64, "karri", quantum=4, least=4), Whole("rate", 200 * MILLI))
+LIMITS = (
+    FleetLimit("threads", 64, "karri", quantum=4, min_useful=4),
+    FleetLimit("rate", 200 * UNITS_PER_REQUEST_PER_S),
+)
 
 
-def plan(members: int = 5, *, size: int = 0, wholes: tuple[Whole, ...] = WHOLES, **told: float) -> Plan:
-    return Plan("c", wholes, tuple(f"m{n}" for n in range(members)), size=size, **told)
+def plan(
+    members: int = 5, *, size: int = 0, limits: tuple[FleetLimit, ...] = LIMITS, **told: float
+) -> BudgetPlan:
+    return BudgetPlan("c", limits, tuple(f"m{n}" for n in range(members)), fleet_size=size, **told)
 
 
 # The division
@@ -84,28 +99,28 @@
 
 @pytest.mark.parametrize("least", [1, 4])
 def test_who_lacks_a_quantum_takes_turns_with_who_has_one(least: int) -> None:
-    wholes = (Whole("threads", 80, "karri", quantum=4, least=least), WHOLES[1])
-    fleet = Fleet(plan(wholes=wholes, term_ms=1_000.0, floor_part=0.0), 40, 1)  # that all want 20
-    fleet.demand = lambda name: (20, 0)
+    limits = (FleetLimit("threads", 80, "karri", quantum=4, min_useful=least), LIMITS[1])
+    fleet = BudgetFleet(plan(limits=limits, lease_ms=1_000.0, floor_factor=0.0), 40, 1)  # that all want 20
+    fleet.wanted = lambda name: (20, 0)
     fleet.run(4_000)
     had = set[str]()
     for _ in range(60):
         fleet.run(250)
-        had |= {name for name, share in fleet.shares().items() if share[0] >= 4}
+        had |= {name for name, share in fleet.allotments().items() if share[0] >= 4}
     assert had == set(fleet.members)
-    assert fleet.audit.over() == 0
+    assert fleet.audit.violations() == 0
 
 
 # Never more than the whole
 
 
-def torture(seed: int, drift: float = 0.05, count: int = 7, steps: int = 50) -> Fleet:
+def torture(seed: int, drift: float = 0.05, count: int = 7, steps: int = 50) -> BudgetFleet:
     """Members that come, go, stop, lose contact and change their minds, on clocks at their bound."""
     rng = Random(seed)
-    fleet = Fleet(plan(term_ms=2_000.0, drift=drift), count, seed, skewed=True, loss=0.05)
+    fleet = BudgetFleet(plan(lease_ms=2_000.0, max_clock_drift=drift), count, seed, skewed=True, loss=0.05)
     names = list(fleet.members)
     want = {name: (20, 1_000) for name in names}
-    fleet.demand = lambda name: want[name]
+    fleet.wanted = lambda name: want[name]
     fleet.run(5_000)
     for _ in range(steps):
         act, name = rng.random(), rng.choice(names)
@@ -127,58 +142,60 @@
         want[rng.choice(names)] = rng.choice((0, 4, 20, 64)), rng.choice((0, 1_000, 100_000))
         fleet.network.delay_ms = rng.choice(((0.2, 2.0), (50.0, 700.0), (0.2, 2_500.0)))
         fleet.run(rng.choice((100.0, 700.0, 3_000.0)))
+        for drifting in fleet.members.values():
+            check_invariants(drifting.member, drifting.own_ms(fleet.time))
     return fleet
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_shares_never_pass_the_whole_whatever_breaks(seed: int) -> None:
     fleet = torture(seed)
-    assert fleet.audit.over() == 0
+    assert fleet.audit.violations() == 0
     assert max(fleet.audit.peaks()) <= 1.0
     assert sum(map(len, fleet.audit.spans.values())) > 50
     fleet.network.cut, fleet.network.delay_ms = (lambda a, b: False), (0.2, 2.0)
-    for name in fleet.plan.members:
+    for name in fleet.plan.voters:
         if name not in fleet.members:
             fleet.start(name)
-    fleet.demand = lambda name: (64, 200_000)
+    fleet.wanted = lambda name: (64, 200_000)
     fleet.run(12_000)  # and afterwards the whole is in use again
     assert fleet.leader
-    assert fleet.used(0) >= 0.9
-    assert fleet.used(1) >= 0.9
-    assert fleet.audit.over() == 0
+    assert fleet.used_share(0) >= 0.9
+    assert fleet.used_share(1) >= 0.9
+    assert fleet.audit.violations() == 0
 
 
 def test_the_audit_finds_a_leader_that_does_not_learn(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Hasty(Granter):
-        def __init__(self, plan: Plan, now: float) -> None:
-            super().__init__(plan, now)
-            self.learns_until = now
+    class Hasty(LeaseGrants):
+        def __init__(self, plan: BudgetPlan, now_ms: float, counts: Counter[str] | None = None) -> None:
+            super().__init__(plan, now_ms, counts)
+            self.learning_until_ms = now_ms
 
-    monkeypatch.setattr("fordstair.budgets.node.Granter", Hasty)
-    assert sum(torture(seed).audit.over() for seed in range(4)) > 0
+    monkeypatch.setattr("fordstair.budgets.leader_election.LeaseGrants", Hasty)
+    assert sum(torture(seed).audit.violations() for seed in range(4)) > 0
 
 
 def test_a_share_counts_from_its_question_and_only_the_last_answer_is_taken() -> None:
-    held = Holding(plan(term_ms=1_000.0), "m0")
-    floor = held.floor
-    first = held.ask(0.0, 1, "m0")
-    second = held.ask(100.0, 1, "m0")
-    assert held.granted(150.0, first.number, (8, 0)) is None
-    share = held.granted(900.0, second.number, (8, 0))
+    held = LeaseHolder(plan(lease_ms=1_000.0), MemberId("m0", 1))
+    floor = held.floors
+    first = held.request(0.0)
+    second = held.request(100.0)
+    assert held.apply_grant(150.0, first.sequence, (8, 0)) is None
+    share = held.apply_grant(900.0, second.sequence, (8, 0))
     assert share is not None
     assert share.until_ms == 1_100.0
-    assert held.shares(1_099.0)[0] == floor[0] + 8
-    assert held.shares(1_100.0) == floor
-    third = held.ask(1_200.0, 1, "m0")
-    assert (third.applied, third.has) == (0, ())
-    assert held.granted(2_200.0, third.number, (8, 0)) is None  # it has run out on its way
-    assert held.shares(2_200.0) == floor
+    assert held.allotment(1_099.0)[0] == floor[0] + 8
+    assert held.allotment(1_100.0) == floor
+    third = held.request(1_200.0)
+    assert (third.applied, third.leased) == (0, ())
+    assert held.apply_grant(2_200.0, third.sequence, (8, 0)) is None  # it has run out on its way
+    assert held.allotment(2_200.0) == floor
 
 
 def ask(
     number: int, wants: int, *, applied: int = 0, has: int = 0, uses: int = 0, leaving: bool = False
-) -> Ask:
-    return Ask(
+) -> LeaseRequest:
+    return LeaseRequest(
         plan().digest,
         "m",
         1,
@@ -193,137 +210,137 @@
 
 
 def test_what_is_given_back_is_lent_again_only_once_that_is_sure() -> None:
-    told = plan(term_ms=1_000.0, floor_part=0.0, drift=0.0)
-    book = Granter(told, 0.0)
-    a, b = ("a", 1), ("b", 1)
+    told = plan(lease_ms=1_000.0, floor_factor=0.0, max_clock_drift=0.0)
+    book = LeaseGrants(told, 0.0)
+    a, b = MemberId("a", 1), MemberId("b", 1)
     now = 1_001.0
-    assert book.ask(now, a, ask(1, 64)) == (64, 200 * MILLI)
-    assert book.ask(now, b, ask(1, 64)) == (0, 0)  # all is lent yet
+    assert book.grant(now, a, ask(1, 64)) == (64, 200 * UNITS_PER_REQUEST_PER_S)
+    assert book.grant(now, b, ask(1, 64)) == (0, 0)  # all is lent yet
     now += 100.0
-    smaller = book.ask(now, a, ask(2, 64, applied=1, has=64))
+    smaller = book.grant(now, a, ask(2, 64, applied=1, has=64))
     assert smaller is not None
     assert smaller[0] == 32
-    assert book.ask(now, b, ask(2, 64)) == (0, 0)  # that answer may have been lost: a may have 64 still
+    assert book.grant(now, b, ask(2, 64)) == (0, 0)  # that answer may have been lost: a may have 64 still
     now += 100.0
-    assert book.ask(now, a, ask(2, 64, applied=1, has=64)) is None  # a second copy says nothing
-    assert book.ask(now, a, ask(3, 64, applied=2, has=32, uses=48)) == (32, 100 * MILLI)
-    granted = book.ask(now, b, ask(3, 64))
+    assert book.grant(now, a, ask(2, 64, applied=1, has=64)) is None  # a second copy says nothing
+    assert book.grant(now, a, ask(3, 64, applied=2, has=32, uses=48)) == (32, 100 * UNITS_PER_REQUEST_PER_S)
+    granted = book.grant(now, b, ask(3, 64))
     assert granted is not None
     assert granted[0] == 16
     now += 100.0
-    book.ask(now, a, ask(4, 64, applied=3, has=32, uses=30))
-    granted = book.ask(now, b, ask(4, 64, applied=3, has=16))
+    book.grant(now, a, ask(4, 64, applied=3, has=32, uses=30))
+    granted = book.grant(now, b, ask(4, 64, applied=3, has=16))
     assert granted is not None
     assert granted[0] == 32
-    book.ask(now, a, ask(5, 64, applied=4, has=32, leaving=True))
-    granted = book.ask(now + 100.0, b, ask(5, 64, applied=4, has=32))
+    book.grant(now, a, ask(5, 64, applied=4, has=32, leaving=True))
+    granted = book.grant(now + 100.0, b, ask(5, 64, applied=4, has=32))
     assert granted is not None
     assert granted[0] == 64
 
 
 def test_a_new_leader_grants_no_more_than_members_have_until_it_has_learned() -> None:
-    told = plan(term_ms=1_000.0, floor_part=0.0, drift=0.1)
-    book = Granter(told, 0.0)
-    assert book.ask(10.0, ("a", 1), ask(7, 64, applied=6, has=20)) == (20, 0)
-    assert book.ask(10.0, ("b", 1), ask(1, 64)) == (0, 0)
-    assert book.ask(10.0, ("c", 1), ask(9, 64, applied=8, has=4, uses=40)) == (4, 0)
-    later = told.sure_ms + 1.0
-    assert book.ask(later, ("b", 1), ask(2, 64)) is not None
-    assert sum(client.counted[0] for client in book.clients.values()) <= 64
+    told = plan(lease_ms=1_000.0, floor_factor=0.0, max_clock_drift=0.1)
+    book = LeaseGrants(told, 0.0)
+    assert book.grant(10.0, MemberId("a", 1), ask(7, 64, applied=6, has=20)) == (20, 0)
+    assert book.grant(10.0, MemberId("b", 1), ask(1, 64)) == (0, 0)
+    assert book.grant(10.0, MemberId("c", 1), ask(9, 64, applied=8, has=4, uses=40)) == (4, 0)
+    later = told.safe_expiry_ms + 1.0
+    assert book.grant(later, MemberId("b", 1), ask(2, 64)) is not None
+    assert sum(lessee.reserved[0] for lessee in book.lessees.values()) <= 64
 
 
 def test_a_voter_that_has_just_started_votes_for_nobody_and_a_promise_holds_its_time() -> None:
-    told = plan(term_ms=3_000.0, drift=0.0)
+    told = plan(lease_ms=3_000.0, max_clock_drift=0.0)
     voter = Voter(told, 0.0)
-    assert not voter.vote(999.0, ("a", 1), 5)
-    assert voter.vote(1_000.0, ("a", 1), 5)
-    assert not voter.vote(1_900.0, ("b", 1), 9)
-    assert not voter.vote(1_900.0, ("a", 2), 9)
-    assert voter.vote(1_900.0, ("a", 1), 5)
-    assert not voter.vote(2_800.0, ("b", 1), 9)
-    assert voter.vote(2_900.0, ("b", 1), 9)
-    assert voter.vote(6_000.0, ("b", 1), 9)
-    assert voter.vote(6_050.0, ("b", 1), 8)
-    voter.unvote(("b", 1), 8)
-    assert voter.held(6_100.0) is not None
-    voter.unvote(("b", 1), 9)
-    assert voter.held(6_100.0) is None
+    assert not voter.vote(999.0, MemberId("a", 1), 5)
+    assert voter.vote(1_000.0, MemberId("a", 1), 5)
+    assert not voter.vote(1_900.0, MemberId("b", 1), 9)
+    assert not voter.vote(1_900.0, MemberId("a", 2), 9)
+    assert voter.vote(1_900.0, MemberId("a", 1), 5)
+    assert not voter.vote(2_800.0, MemberId("b", 1), 9)
+    assert voter.vote(2_900.0, MemberId("b", 1), 9)
+    assert voter.vote(6_000.0, MemberId("b", 1), 9)
+    assert voter.vote(6_050.0, MemberId("b", 1), 8)
+    voter.withdraw(MemberId("b", 1), 8)
+    assert voter.promise(6_100.0) is not None
+    voter.withdraw(MemberId("b", 1), 9)
+    assert voter.promise(6_100.0) is None
 
 
 def test_a_leader_whose_promises_ran_out_learns_again_however_soon_they_are_renewed() -> None:
-    told = plan(3, term_ms=3_000.0, drift=0.0)
-    node = Node(told, "m0", 1, {name: name for name in told.members}, 1)
-    node.start(0.0)
+    told = plan(3, lease_ms=3_000.0, max_clock_drift=0.0)
+    member = BudgetMember(told, "m0", 1, {name: name for name in told.voters}, 1)
+    member.start(0.0)
     now = 0.0
 
     def answer() -> None:
-        for to, datagram in node.outgoing():
+        for to, datagram in member.outgoing():
             message = decode(datagram)
-            if isinstance(message, Vote):
-                promise = Voted(told.digest, to, 1, message.number, True, message.epoch, "m0")
-                node.receive(now, encode(promise), to)
+            if isinstance(message, VoteRequest):
+                promise = VoteReply(told.digest, to, 1, message.sequence, True, message.term, "m0")
+                member.receive(now, encode(promise), to)
 
-    while not node.leads(now):
+    while not member.leads(now):
         now += 50.0
-        node.tick(now)
+        member.tick(now)
         answer()
-    first = node.granter
+    first = member.election.grants
     now += 950.0
-    node.tick(now)  # it asks for the promises anew
-    unanswered = [decode(datagram) for _, datagram in node.outgoing()]
+    member.tick(now)  # it asks for the promises anew
+    unanswered = [decode(datagram) for _, datagram in member.outgoing()]
     now += 1_000.0  # nobody has answered for a reign
-    assert not node.leads(now)
+    assert not member.leads(now)
     for message in unanswered:  # and all do now, too late
-        if isinstance(message, Vote):
-            late = Voted(told.digest, "m1", 1, message.number, True, message.epoch, "m0")
-            node.receive(now, encode(late), "m1")
-    assert not node.leads(now)
-    while not node.leads(now):
+        if isinstance(message, VoteRequest):
+            late = VoteReply(told.digest, "m1", 1, message.sequence, True, message.term, "m0")
+            member.receive(now, encode(late), "m1")
+    assert not member.leads(now)
+    while not member.leads(now):
         now += 50.0
-        node.tick(now)
+        member.tick(now)
         answer()
-    assert node.granter is not first
-    assert node.granter is not None
-    assert node.granter.learns_until > now
+    assert member.election.grants is not first
+    assert member.election.grants is not None
+    assert member.election.grants.learning_until_ms > now
 
 
 @FIXED
 @given(st.binary(max_size=200))
 def test_noise_from_peers_is_counted_and_changes_nothing(noise: bytes) -> None:
     told = plan()
-    node = Node(told, "m0", 1, {name: name for name in told.members}, 1)
-    node.start(0.0)
-    node.receive(1.0, noise, "x")
-    node.receive(1.0, encode(Granted(told.digest ^ 1, "m1", 1, 1, 1, (64, 1))), "x")  # of another plan
-    node.receive(1.0, encode(Granted(told.digest, "m1", 1, 1, 1, (64,))), "x")  # of another width
-    assert node.shares(1.0) == told.floors
-    assert node.counts["other_plan"] == 1
-    assert node.counts["malformed"] + node.counts["answers_late"] >= 1
+    member = BudgetMember(told, "m0", 1, {name: name for name in told.voters}, 1)
+    member.start(0.0)
+    member.receive(1.0, noise, "x")
+    member.receive(1.0, encode(LeaseGrant(told.digest ^ 1, "m1", 1, 1, 1, (64, 1))), "x")  # of another plan
+    member.receive(1.0, encode(LeaseGrant(told.digest, "m1", 1, 1, 1, (64,))), "x")  # of another width
+    assert member.allotment(1.0) == told.floors
+    assert member.counts["other_plan"] == 1
+    assert member.counts["malformed"] + member.counts["answers_late"] >= 1
     with pytest.raises(MalformedMessageError):
         decode(noise + b"\xc1")
 
 
 @pytest.mark.parametrize(("members", "floor_part"), [(1, 0.2), (3, 0.0), (7, 1.0), (64, 0.33)])
 def test_floors_and_what_is_lent_are_the_whole_by_construction(members: int, floor_part: float) -> None:
-    told = plan(members, floor_part=floor_part)
-    for whole, floor, pool in zip(told.wholes, told.floors, told.pools, strict=True):
+    told = plan(members, floor_factor=floor_part)
+    for whole, floor, pool in zip(told.limits, told.floors, told.lendable, strict=True):
         assert floor >= 0
         assert pool >= 0
         assert floor * members + pool == whole.units
-    assert told.floor_of("stranger") == (0, 0)
-    large = plan(members, floor_part=floor_part, size=10 * members)
-    for floor, whole in zip(large.floors, WHOLES, strict=True):
+    assert told.floors_of("stranger") == (0, 0)
+    large = plan(members, floor_factor=floor_part, size=10 * members)
+    for floor, whole in zip(large.floors, LIMITS, strict=True):
         assert 10 * floor <= whole.units // members
 
 
 def test_the_audit_counts_floors_and_overlaps() -> None:
-    told = plan(5, floor_part=0.0)
+    told = plan(5, floor_factor=0.0)
     audit = Audit(told)
-    audit.lent("a", 0.0, 100.0, (40, 0))
-    audit.lent("b", 100.0, 200.0, (40, 0))
-    assert audit.over() == 0
-    audit.lent("c", 150.0, 160.0, (25, 0))
-    assert audit.over() == 1
+    audit.leased("a", 0.0, 100.0, (40, 0))
+    audit.leased("b", 100.0, 200.0, (40, 0))
+    assert audit.violations() == 0
+    audit.leased("c", 150.0, 160.0, (25, 0))
+    assert audit.violations() == 1
     assert audit.peaks()[0] == 65 / 64
 
 
@@ -331,73 +348,78 @@
 
 
 def test_a_share_follows_demand_and_comes_back_from_who_dies_within_its_time() -> None:
-    fleet = Fleet(plan(term_ms=5_000.0), 10, 3)
-    fleet.demand = lambda name: (60, 0) if name == "m7" else (2, 0)
+    fleet = BudgetFleet(plan(lease_ms=5_000.0), 10, 3)
+    fleet.wanted = lambda name: (60, 0) if name == "m7" else (2, 0)
     fleet.run(20_000)
-    assert fleet.shares()["m7"][0] >= 28
-    fleet.demand = lambda name: (60, 0) if name == "m8" else (2, 0)
+    assert fleet.allotments()["m7"][0] >= 28
+    fleet.wanted = lambda name: (60, 0) if name == "m8" else (2, 0)
     fleet.run(3_000)  # some questions' time
-    assert fleet.shares()["m8"][0] >= 28
-    assert fleet.shares()["m7"][0] <= 10
+    assert fleet.allotments()["m8"][0] >= 28
+    assert fleet.allotments()["m7"][0] <= 10
     fleet.kill("m8")
-    fleet.demand = lambda name: (60, 0) if name == "m9" else (2, 0)
-    fleet.run(fleet.plan.sure_ms + 2_000)
-    assert fleet.shares()["m9"][0] >= 28
-    assert fleet.audit.over() == 0
+    fleet.wanted = lambda name: (60, 0) if name == "m9" else (2, 0)
+    fleet.run(fleet.plan.safe_expiry_ms + 2_000)
+    assert fleet.allotments()["m9"][0] >= 28
+    assert fleet.audit.violations() == 0
 
 
 # One coordinator's part
 
 
 def test_caps_hold_threads_and_rates_and_tell_what_could_be_used() -> None:
-    shares = [8, 10 * MILLI]
-    caps = Caps(WHOLES, ["karri", "other"], ["s"], lambda now: shares)
-    assert caps.fits(0.0, 0, 0, 4) is False  # the bucket is empty at the start
+    shares = [8, 10 * UNITS_PER_REQUEST_PER_S]
+    caps = LocalLimits(LIMITS, ["karri", "other"], ["s"], lambda now: shares)
+    assert caps.admits(0.0, 0, 0, 4) is False  # the bucket is empty at the start
     now = 1_000.0
     for id in (1, 2):
-        caps.arrives(now, 0, 0, 4)
-        assert caps.fits(now, 0, 0, 4)
-        caps.starts(now, id, 0, 0, 4)
-    assert not caps.fits(now, 0, 0, 4)
-    assert caps.fits(now, 1, 0, 4)
-    caps.arrives(now, 0, 0, 4)
-    assert caps.uses() == (8, 0)
-    assert caps.wants(now)[0] == 8
-    assert caps.wants(now)[1] >= 2 * MILLI
-    cap, meter = caps.binding(now, 0, 0)
-    assert caps.needs() == (12, 0)
+        caps.request_waiting(now, 0, 0, 4)
+        assert caps.admits(now, 0, 0, 4)
+        caps.request_started(now, id, 0, 0, 4)
+    assert not caps.admits(now, 0, 0, 4)
+    assert caps.admits(now, 1, 0, 4)
+    caps.request_waiting(now, 0, 0, 4)
+    assert caps.in_use() == (8, 0)
+    assert caps.wanted(now)[0] == 8
+    assert caps.wanted(now)[1] >= 2 * UNITS_PER_REQUEST_PER_S
+    cap, meter = caps.forecast(now, 0, 0)
+    assert caps.needed() == (12, 0)
     assert cap == Cap(8, 8, 500.0, True, False, 1_000.0)
     assert cap.wait_ms(4, 0.0, 2_000.0, 9_000.0) == pytest.approx(2_000.0 / 8 + 250.0)
     assert isinstance(meter, Meter)
     assert meter.ms == 0.0
-    caps.ends(now + 900.0, 1)
-    caps.ends(now + 900.0, 1)
-    assert caps.holds_ms[0] == pytest.approx(540.0)  # a tenth of the way
-    assert caps.uses() == (4, 0)
-    assert caps.fits(now, 0, 0, 4)
+    caps.request_ended(now + 900.0, 1)
+    caps.request_ended(now + 900.0, 1)
+    assert caps.hold_ms_of_class[0] == pytest.approx(540.0)  # a tenth of the way
+    assert caps.in_use() == (4, 0)
+    assert caps.admits(now, 0, 0, 4)
     shares[:] = [3, 0]
-    assert not caps.fits(now, 0, 0, 4)  # and waits until a share has come here
-    assert all(each.wait_ms(4, 0.0, 0.0, 0.0) >= 1_000.0 for each in caps.binding(now, 0, 0))
-    caps.gives_up(0, 0, 4)
-    caps.ends(now, 2)
-    assert caps.uses() == (0, 0)
-    assert caps.wants(now + 60_000.0) == (0, 0)
+    assert not caps.admits(now, 0, 0, 4)  # and waits until a share has come here
+    assert all(each.wait_ms(4, 0.0, 0.0, 0.0) >= 1_000.0 for each in caps.forecast(now, 0, 0))
+    caps.request_abandoned(0, 0, 4)
+    caps.request_ended(now, 2)
+    assert caps.in_use() == (0, 0)
+    assert caps.wanted(now + 60_000.0) == (0, 0)
     for id in range(300):  # 50 a second that hold 500 ms each on 4 threads: 100 on average
-        caps.arrives(now + 20.0 * id, 0, 0, 4)
-    assert caps.wants(now + 6_000.0)[0] == 64
-    assert caps.wants(now + 15_000.0)[0] < 20
+        caps.request_waiting(now + 20.0 * id, 0, 0, 4)
+    assert caps.wanted(now + 6_000.0)[0] == 64
+    assert caps.wanted(now + 15_000.0)[0] < 20
 
 
 @FIXED
 @given(st.integers(0, 2**32), st.integers(1, 50))
 def test_a_rate_lets_out_at_most_its_share_a_burst_and_one_more(seed: int, share: int) -> None:
     rng, now, out = Random(seed), 0.0, 0
-    caps = Caps((Whole("rate", 100 * MILLI),), ["t"], ["s"], lambda now: [share * MILLI // 5])
+    caps = LocalLimits(
+        (FleetLimit("rate", 100 * UNITS_PER_REQUEST_PER_S),),
+        ["t"],
+        ["s"],
+        lambda now: [share * UNITS_PER_REQUEST_PER_S // 5],
+    )
     for id in range(400):
         now += rng.expovariate(1.0) * 30.0
-        caps.arrives(now, 0, 0, 1)
-        if caps.fits(now, 0, 0, 1):
-            caps.starts(now, id, 0, 0, 1)
+        caps.request_waiting(now, 0, 0, 1)
+        if caps.admits(now, 0, 0, 1):
+            caps.request_started(now, id, 0, 0, 1)
             out += 1
     assert out <= share / 5 * (now / 1_000.0 + 1.0) + 1.0
 
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -30,14 +30,14 @@
     """The audit finds no instant over the whole, over shares enough to be worth it."""
     audit = fleet.audit()
     assert sum(map(len, audit.spans.values())) >= spans
-    assert audit.over() == 0
+    assert audit.violations() == 0
     assert max(audit.peaks()) <= 1.0
 
 
 def test_members_that_join_and_leave_each_second_hold_no_more_than_the_whole() -> None:
     async def scene(folder: Path) -> None:
         async with members(folder, count=6, listed=3, seed=1) as fleet:
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             for turn in range(6):
                 if turn % 2:
                     await fleet.start("m4")
@@ -46,7 +46,7 @@
                 else:
                     await fleet.stop("m4")
                 await trio.sleep(1.0)
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             within(fleet)
 
     play(scene)
@@ -55,24 +55,24 @@
 def test_a_share_of_who_is_stopped_past_its_lease_is_reused_and_not_used_by_both() -> None:
     async def scene(folder: Path) -> None:
         async with members(folder, seed=2) as fleet:
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             leader = await fleet.leader()
             halted = [leader, *[name for name in fleet.names if name != leader][:1]]
             for name in halted:  # the leader among them
                 fleet.pause(name)
-            await trio.sleep(3.0 * fleet.plan.term_ms / 1e3)
+            await trio.sleep(3.0 * fleet.plan.lease_ms / 1e3)
             others = [name for name in fleet.names if name not in halted]
             with trio.fail_after(25.0):  # the three that are left have it all, but for the floors
                 while True:
-                    shares = await fleet.shares()
+                    shares = await fleet.allotments()
                     if sum(shares[name] for name in others) >= THREADS - 2 * fleet.plan.floors[0]:
                         break
                     await trio.sleep(0.1)
             for name in halted:
                 fleet.resume(name)
             await trio.sleep(1.0)
-            await fleet.until_whole(25.0)
-            assert all(fleet.lines(name, "budgets.lapsed") for name in halted)
+            await fleet.until_all_leased(25.0)
+            assert all(fleet.lines(name, "budgets.lease_expired") for name in halted)
             within(fleet)
 
     play(scene)
@@ -81,17 +81,17 @@
 def test_two_sides_of_a_partition_share_one_whole() -> None:
     async def scene(folder: Path) -> None:
         async with members(folder, seed=3) as fleet:
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             leader = await fleet.leader()
             small = {leader, next(name for name in fleet.names if name != leader)}
             fleet.relay.part(small, set(fleet.names) - small)
-            await trio.sleep(4.0 * fleet.plan.term_ms / 1e3)
-            shares = await fleet.shares()
+            await trio.sleep(4.0 * fleet.plan.lease_ms / 1e3)
+            shares = await fleet.allotments()
             assert all(shares[name] == fleet.plan.floors[0] for name in small)
             assert sum(shares[name] for name in shares if name not in small) > THREADS // 2
             fleet.relay.heal()
             await trio.sleep(1.0)
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             within(fleet)
 
     play(scene)
@@ -104,7 +104,7 @@
 def test_grants_that_are_lost_late_doubled_or_overtaken_add_nothing(faults: Faults) -> None:
     async def scene(folder: Path) -> None:
         async with members(folder, seed=4) as fleet:
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             fleet.relay.put("*", "*", faults)
             await trio.sleep(4.0)
             leader = await fleet.leader()
@@ -112,7 +112,7 @@
             await trio.sleep(4.0)
             fleet.relay.heal()
             await trio.sleep(1.0)
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             within(fleet)
 
     play(scene)
@@ -121,22 +121,27 @@
 def test_a_leader_that_is_killed_is_followed_by_one_that_grants_within_the_stated_time() -> None:
     async def scene(folder: Path) -> None:
         async with members(folder, seed=5) as fleet:
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             plan, names = fleet.plan, list(fleet.names)
             for _ in range(2):
                 leader = await fleet.leader()
                 fleet.kill(leader)
                 names.remove(leader)
                 # Promises run out, an election, then what the dead one granted; and some questions.
-                stated = (plan.reign_ms * plan.stretch + plan.reign_ms + plan.sure_ms + plan.term_ms) / 1e3
+                stated = (
+                    plan.leadership_ms * plan.drift_margin
+                    + plan.leadership_ms
+                    + plan.safe_expiry_ms
+                    + plan.lease_ms
+                ) / 1e3
                 with trio.fail_after(stated):
-                    while await fleet.leader() == leader or sum((await fleet.shares()).values()) < plan.pools[
-                        0
-                    ] + plan.floors[0] * len(names):
+                    while await fleet.leader() == leader or sum(
+                        (await fleet.allotments()).values()
+                    ) < plan.lendable[0] + plan.floors[0] * len(names):
                         await trio.sleep(0.05)
                 await fleet.start(leader)
                 names.append(leader)
-                await fleet.until_whole(25.0)
+                await fleet.until_all_leased(25.0)
             within(fleet)
 
     play(scene)
@@ -145,7 +150,7 @@
 def test_the_console_shows_own_shares_and_all_where_they_are_granted() -> None:
     async def scene(folder: Path) -> None:
         async with members(folder, count=3, listed=3, seed=8) as fleet:
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             with trio.fail_after(25.0):  # on a busy machine another one may have been elected meanwhile
                 while True:
                     leader = await fleet.leader()
@@ -184,14 +189,14 @@
             for name, rate in zip(fleet.names, (0.9, 1.1, 1.0, 0.9, 1.1), strict=True):
                 fleet.kill(name)
                 await fleet.start(name, rate)
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             for _ in range(2):
                 leader = await fleet.leader()
                 fleet.pause(leader)
-                await trio.sleep(2.0 * fleet.plan.term_ms / 1e3)
+                await trio.sleep(2.0 * fleet.plan.lease_ms / 1e3)
                 fleet.resume(leader)
                 await trio.sleep(1.0)
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             within(fleet)
 
     play(scene)
@@ -200,7 +205,7 @@
 def test_what_a_team_holds_at_engines_stays_within_the_whole_and_follows_demand() -> None:
     async def scene(folder: Path) -> None:
         async with members(folder, seed=7) as fleet:
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             # One member is asked for five times the others; together they are asked for more than there is.
             rates = dict.fromkeys(fleet.names, 8.0) | {"m0": 40.0}
             tallies, held = await fleet.traffic(rates, 8.0, 1_600.0)
@@ -222,7 +227,7 @@
 def test_a_quiet_member_s_lookups_go_at_once_while_another_asks_for_all_there_is() -> None:
     async def scene(folder: Path) -> None:
         async with members(folder, count=4, listed=3, seed=9) as fleet:
-            await fleet.until_whole(25.0)
+            await fleet.until_all_leased(25.0)
             # m3 is not listed and has no floor: what it has is lent, and m0 would take four times the whole.
             tallies, held = await fleet.traffic({"m0": 90.0}, 8.0, 1_600.0, lookups={"m3": 8.0})
             quiet = tallies["m3"]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -345,8 +345,8 @@
     part = operator_file.operator(read(good, whole=False)).shares
     assert part is not None
     assert part.member == "north"
-    assert part.plan.members == ("north",)
-    assert [(each.name, each.units, each.quantum) for each in part.plan.wholes] == [
+    assert part.plan.voters == ("north",)
+    assert [(each.name, each.units, each.quantum) for each in part.plan.limits] == [
         ("threads:karri-energy:*", 64, 4),
         ("rate:*:settlement", 2_500, 1),
     ]
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -82,4 +82,4 @@
     assert len(waits) >= 0.9 * len(records[1]) >= 9
     assert waits[len(waits) // 2] < 100.0
     assert site.fleet is not None
-    assert site.fleet.audit.over() == 0
+    assert site.fleet.audit.violations() == 0
--- a/tests/wires/recordings.py
+++ b/tests/wires/recordings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import re
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Sequence
 from contextlib import asynccontextmanager
 from functools import partial
 from hashlib import blake2b
@@ -116,7 +116,7 @@
     def _add_noted(self, name: str, node: Node) -> None:
         take = node.outgoing
 
-        def outgoing() -> list[tuple[str, bytes]]:
+        def outgoing() -> Sequence[tuple[str, bytes]]:
             out = take()
             for to, datagram in out:
                 self._note(f"{name}>{to}".encode(), datagram)
