--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -39,7 +39,7 @@
         limits,
         tuple(f"m{n}" for n in range(LISTED)),
         TERM_MS,
-        floor_factor=floor_part,
+        floor_share=floor_part,
         fleet_size=count,
     )
 
--- a/fordstair/budgets/plan.py
+++ b/fordstair/budgets/plan.py
@@ -52,7 +52,7 @@
     voters: tuple[str, ...]
     lease_ms: float = 5_000.0
     max_clock_drift: float = 0.01  # how far a clock's rate may be from the right one, either way
-    floor_factor: float = 0.2  # of an even share of a limit
+    floor_share: float = 0.2  # of an even share of a limit
     fleet_size: int = 0  # members among whom a share is even; at least the voters
 
     @property
@@ -85,7 +85,7 @@
         """Each voter's floor of each limit, in units: a multiple of ``min_useful``, which may be 0."""
         size = max(self.fleet_size, len(self.voters))
         return tuple(
-            int(limit.units * self.floor_factor) // size // limit.min_useful * limit.min_useful
+            int(limit.units * self.floor_share) // size // limit.min_useful * limit.min_useful
             for limit in self.limits
         )
 
@@ -116,7 +116,7 @@
             sorted(self.voters),
             self.lease_ms,
             self.max_clock_drift,
-            self.floor_factor,
+            self.floor_share,
             self.fleet_size,
         )
         text = f"({self.cluster!r}, ({limits}), " + repr(others)[1:]
--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -27,7 +27,7 @@
 FRONTS = 4  # of a member: MessagePack-RPC, OData, the fleet's and the budgets'
 THREADS = 64  # the fleet's limit for the team
 RATE = 400.0  # requests a second, likewise
-FLOOR_FACTOR = 0.35
+FLOOR_SHARE = 0.35
 KARRI = "karri-energy"
 SAMPLE_S = 0.02  # between two looks at the engine's threads
 
@@ -63,7 +63,7 @@
             tuple(self.names[:listed]),
             lease_ms,
             drift,
-            floor_factor=FLOOR_FACTOR,
+            floor_share=FLOOR_SHARE,
         )
 
     async def open_fronts(self) -> None:
@@ -81,7 +81,7 @@
             f'[fleet]\ncluster = "trial"\nmember = "{name}"\nlisten = "127.0.0.1:0"\n'
             f'[fleet.budgets]\nlisten = "127.0.0.1:0"\nmembers = {{ {listed} }}\n'
             f"term_ms = {self.plan.lease_ms}\ndrift = {self.plan.max_clock_drift}\n"
-            f"floor_part = {FLOOR_FACTOR}\n"
+            f"floor_part = {FLOOR_SHARE}\n"
             f'audit = "{self.folder / name}.{life}.audit"\n'
             f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nthreads = {THREADS}\n'
             f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nrequests_per_s = {RATE}\n'
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -10,17 +10,19 @@
 
 import trio
 
-from fordstair.configuration.platform import Config, ConfigError
+from fordstair.configuration.errors import ConfigError
+from fordstair.configuration.platform import Config
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import Engine, Transport
 from fordstair.core.start_times import StartTimes
 from fordstair.decisions.engine_list import EngineState, ListUpdateKind
 from fordstair.held_signals import deliver
+from fordstair.net.clients.client_limits import RPC_MAX_STATEMENT_BYTES
 from fordstair.net.clients.listener import ClientListener, Serve, open_listeners
 from fordstair.net.clients.poll_watch import PollWatch
-from fordstair.net.clients.rpc_front import LARGEST_STATEMENT, RpcFront
+from fordstair.net.clients.rpc_front import RpcFront
 from fordstair.net.command_channel import CommandChannel
-from fordstair.net.engines.pool import Pool
+from fordstair.net.engines.pool import ConnectionPool
 from fordstair.net.engines.rest import RestTransport
 from fordstair.runtime.clock import AnchoredClock, WallClock
 from fordstair.runtime.counters import Counters
@@ -74,7 +76,7 @@
             from fordstair.net.identity import Identity, read_files
 
             self.identity = Identity(read_files(operator.identity), self.deadlines, self.counters)
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             self.deadlines,
             self.counters,
             tls=self.tls,
@@ -89,7 +91,7 @@
         self.coordinator = Coordinator(
             config.settings, config.seed, transports, self.deadlines, self.counters
         )
-        self.pool.unreached = self.coordinator.unreached
+        self.pool.unreached = self.coordinator.engine_unreachable
         if config.budgets is not None:
             from fordstair.core.admission_queue import AdmissionQueue
             from fordstair.scheduling.scheduler import Scheduler
@@ -184,13 +186,13 @@
         """Pass the register's news on, with the protocols that the operator has set."""
         for engine in engines:
             name = engine.entry.engine
-            started_ms = self.start_times.moment(name, engine.started, announced=announced)
+            started_ms = self.start_times.moment(name, engine.started_at, announced=announced)
             engine.entry = replace(engine.entry, started_ms=started_ms)
             if engine.entry.state is EngineState.GONE:
                 self.start_times.forget(name)
             if self.operator is not None:
                 engine.protocol = self.operator.engines.get(engine.entry.engine, engine.protocol)
-        self.coordinator.members(kind, engines)
+        self.coordinator.update_engines(kind, engines)
         self.listed.set()
 
     async def keep_engines(self, ledger: Service) -> None:
@@ -304,7 +306,7 @@
         """Log and count steps of the wall clock, for whoever reads times in logs."""
         while True:
             await self.deadlines.sleep(CLOCK_WATCH_MS)
-            if step_ms := self.wall_clock.look():
+            if step_ms := self.wall_clock.follow_step():
                 self.counters.add("clock.steps")
                 log.warning("clock.stepped", by_ms=round(step_ms))
 
@@ -316,7 +318,7 @@
             if secured is not None:
                 await self.odata.serve(secured)
         except Exception:  # one client's handshake must not end the others' connections
-            log.exception("odata.broke")
+            log.exception("odata.internal_error")
 
     async def signals(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """SIGHUP reads the configuration anew, SIGUSR1 prints the counters, SIGTERM and SIGINT end it."""
@@ -357,13 +359,14 @@
         """Share the limits on sockets and memory out, and set the times for connections."""
         clients_most = int(CLIENTS_PART * self.config.sockets)
         self.pool.resize(self.config.sockets - clients_most - SPARE_SOCKETS)
-        self.pool.connect_ms, self.pool.idle_ms = self.config.connect_timeout_ms, self.config.idle_ms
-        self.rpc.clients_most = clients_most if self.odata is None else clients_most // 2
+        self.pool.connect_timeout_ms = self.config.connect_timeout_ms
+        self.pool.idle_timeout_ms = self.config.idle_ms
+        self.rpc.max_clients = clients_most if self.odata is None else clients_most // 2
         if self.odata is not None:
-            self.odata.clients_most = clients_most - self.rpc.clients_most
+            self.odata.max_clients = clients_most - self.rpc.max_clients
         # all clients' half-sent statements together must not fill the memory
-        held = STATEMENTS_PART * self.config.memory_mb * 2**20 / self.rpc.clients_most
-        self.rpc.largest_statement = max(SMALLEST_BOUND, min(LARGEST_STATEMENT, int(held)))
+        held = STATEMENTS_PART * self.config.memory_mb * 2**20 / self.rpc.max_clients
+        self.rpc.max_statement_bytes = max(SMALLEST_BOUND, min(RPC_MAX_STATEMENT_BYTES, int(held)))
 
     async def accept(self, name: str, listen: tuple[str, int], serve: Serve, scope: trio.CancelScope) -> None:
         """Accept clients until the scope is cancelled; their connections outlive it."""
@@ -397,9 +400,9 @@
             await deadlines.sleep(1.0)
         for scope in accepting:
             scope.cancel()
-        while deadlines.clock() < kill_ms - ANSWER_MS and coordinator.open:
+        while deadlines.clock() < kill_ms - ANSWER_MS and coordinator.open_count:
             await deadlines.sleep(20.0)
-        coordinator.close()
+        coordinator.withdraw_all()
         self.rpc.close()
         while deadlines.clock() < kill_ms - ANSWER_MS + FLUSH_MS and (
             self.rpc.clients or coordinator.live or (self.odata is not None and not self.odata.idle)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("least", [1, 4])
 def test_who_lacks_a_quantum_takes_turns_with_who_has_one(least: int) -> None:
     limits = (FleetLimit("threads", 80, "karri", quantum=4, min_useful=least), LIMITS[1])
-    fleet = BudgetFleet(plan(limits=limits, lease_ms=1_000.0, floor_factor=0.0), 40, 1)  # that all want 20
+    fleet = BudgetFleet(plan(limits=limits, lease_ms=1_000.0, floor_share=0.0), 40, 1)  # that all want 20
     fleet.wanted = lambda name: (20, 0)
     fleet.run(4_000)
     had = set[str]()
@@ -210,7 +210,7 @@
 
 
 def test_what_is_given_back_is_lent_again_only_once_that_is_sure() -> None:
-    told = plan(lease_ms=1_000.0, floor_factor=0.0, max_clock_drift=0.0)
+    told = plan(lease_ms=1_000.0, floor_share=0.0, max_clock_drift=0.0)
     book = LeaseGrants(told, 0.0)
     a, b = MemberId("a", 1), MemberId("b", 1)
     now = 1_001.0
@@ -239,7 +239,7 @@
 
 
 def test_a_new_leader_grants_no_more_than_members_have_until_it_has_learned() -> None:
-    told = plan(lease_ms=1_000.0, floor_factor=0.0, max_clock_drift=0.1)
+    told = plan(lease_ms=1_000.0, floor_share=0.0, max_clock_drift=0.1)
     book = LeaseGrants(told, 0.0)
     assert book.grant(10.0, MemberId("a", 1), ask(7, 64, applied=6, has=20)) == (20, 0)
     assert book.grant(10.0, MemberId("b", 1), ask(1, 64)) == (0, 0)
@@ -322,19 +322,19 @@
 
 @pytest.mark.parametrize(("members", "floor_part"), [(1, 0.2), (3, 0.0), (7, 1.0), (64, 0.33)])
 def test_floors_and_what_is_lent_are_the_whole_by_construction(members: int, floor_part: float) -> None:
-    told = plan(members, floor_factor=floor_part)
+    told = plan(members, floor_share=floor_part)
     for whole, floor, pool in zip(told.limits, told.floors, told.lendable, strict=True):
         assert floor >= 0
         assert pool >= 0
         assert floor * members + pool == whole.units
     assert told.floors_of("stranger") == (0, 0)
-    large = plan(members, floor_factor=floor_part, size=10 * members)
+    large = plan(members, floor_share=floor_part, size=10 * members)
     for floor, whole in zip(large.floors, LIMITS, strict=True):
         assert 10 * floor <= whole.units // members
 
 
 def test_the_audit_counts_floors_and_overlaps() -> None:
-    told = plan(5, floor_factor=0.0)
+    told = plan(5, floor_share=0.0)
     audit = Audit(told)
     audit.leased("a", 0.0, 100.0, (40, 0))
     audit.leased("b", 100.0, 200.0, (40, 0))
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -8,6 +8,7 @@
 import time
 from collections import Counter
 from contextlib import suppress
+from random import Random
 from typing import Any
 
 import pytest
@@ -15,16 +16,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fordstair.configuration.operator_file import load_file
-from fordstair.configuration.operator_file import settings as site_settings
+from fordstair.configuration.operator_file import decision_settings, read_operator_file
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import Engine
 from fordstair.decisions.engine_list import ListUpdateKind
 from fordstair.decisions.events import Status
-from fordstair.decisions.gateway import SOUND
+from fordstair.decisions.outlier_detection import BELIEVABLE_RELIABILITY
 from fordstair.lab.machine import Job, Machine
-from fordstair.logs.repeats import Repeats
-from fordstair.logs.setup import Log
+from fordstair.logs.handler import EventLogHandler
+from fordstair.logs.repeat_filter import RepeatFilter
 from fordstair.logs.sink import Sink
 from fordstair.overrides.register import (
     BringBack,
@@ -53,7 +53,7 @@
     follow,
     step,
 )
-from tests.helpers import CLASSES, Rig, entry
+from tests.helpers import CLASSES, Rig, entry, selection_factor
 from tests.test_settings import APPLIANCE
 
 many = settings(max_examples=150, derandomize=True, deadline=None)
@@ -134,13 +134,14 @@
 
 def test_what_the_module_avoids_is_never_called_ready_and_looking_changes_nothing() -> None:
     """Two modules of the same seed, one of them looked at all the time: they decide alike."""
-    told = site_settings(load_file(str(APPLIANCE), whole=True))
+    told = decision_settings(read_operator_file(str(APPLIANCE), require_site=True))
     plain, watched = (Coordinator(told, 7, {}, Deadlines(lambda: 0.0), Counters()) for _ in range(2))
     observer = Observer("x", watched, Ledger(), WallClock())
     named = set()
     for one in (plain, watched):
-        one.members(ListUpdateKind.FULL, [Engine(entry(n), f"127.0.0.1:{n}") for n in range(1, 4)])
+        one.update_engines(ListUpdateKind.FULL, [Engine(entry(n), f"127.0.0.1:{n}") for n in range(1, 4)])
     sent: dict[int, list[str]] = {0: [], 1: []}
+    draws = Random(7), Random(7)
     for turn in range(400):
         now = 1_000.0 + turn * 37.0
         for number, one in enumerate((plain, watched)):
@@ -148,12 +149,15 @@
             gateway.now = now
             for k, e in enumerate(gateway.engines.values()):
                 if turn % 90 == 20 + k:
-                    gateway.strike(e, 0.5 * (1 + turn % 4))
+                    gateway.outliers.record_silence(e, 0.5 * (1 + turn % 4))
                 if turn % 120 == 60 and k == 0:
-                    e.down_at = now
-            drawn = gateway.random.choices(
+                    e.unreachable_at = now
+            drawn = draws[number].choices(
                 list(gateway.engines),
-                [gateway.health(e) * gateway.warmth(e) for e in gateway.engines.values()],
+                [
+                    selection_factor(gateway, e) * gateway.slow_start.warm_up_factor(gateway.now, e)
+                    for e in gateway.engines.values()
+                ],
             )[0]
             sent[number].append(drawn)
         observer.look(now)
@@ -161,8 +165,11 @@
             believed = watched.gateway.engines[view.id]
             named.add(view.state)
             if view.state == "ready":
-                assert watched.gateway.warmth(believed) >= 1.0
-                assert 0.2 ** min(3.0, believed.strikes) >= SOUND - 1e-9 or believed.faded_at < now - 250.0
+                assert watched.gateway.slow_start.warm_up_factor(watched.gateway.now, believed) >= 1.0
+                assert (
+                    0.2 ** min(3.0, believed.silence_score) >= BELIEVABLE_RELIABILITY - 1e-9
+                    or believed.scores_decayed_at < now - 250.0
+                )
     assert sent[0] == sent[1]
     assert named >= {"ready", "silent", "warming"}
 
@@ -263,14 +270,14 @@
 @many
 @given(st.lists(st.tuples(st.sampled_from("abcdefgh"), st.floats(-50.0, 400.0)), max_size=80))
 def test_every_line_is_shown_or_counted_once(lines: list[tuple[str, float]]) -> None:
-    repeats, now, told = Repeats(500.0, most=4), 0.0, Counter[str]()
+    repeats, now, told = RepeatFilter(500.0, max_keys=4), 0.0, Counter[str]()
     for key, ahead in lines:
         now += ahead
-        for ended, held in repeats.ended(now):
+        for ended, held in repeats.take_ended(now):
             told[str(ended)] += held
-        told[key] += repeats.show(key, now)
+        told[key] += repeats.admit(key, now)
         assert len(repeats) <= 5
-    for ended, held in repeats.rest():
+    for ended, held in repeats.take_all():
         told[str(ended)] += held
     assert told == Counter(key for key, _ in lines)
 
@@ -278,9 +285,9 @@
 def test_the_log_counts_equal_lines_and_keeps_fields_apart() -> None:
     read, write = os.pipe()
     now = [0.0]
-    log = Log(Sink(write, 64), "json", 1_000.0, clock=lambda: now[0])
+    log = EventLogHandler(Sink(write, 64), "json", 1_000.0, clock=lambda: now[0])
     shown = list[tuple[float, str, str]]()
-    log.watchers.append(lambda *line: shown.append(line))
+    log.listeners.append(lambda *line: shown.append(line))
     logger = logging.getLogger("test.log")
     logger.addHandler(log)
     logger.propagate = False
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -175,8 +175,8 @@
     clocks.pass_time(500.0, step_ms)
     assert anchored.now() == UnixMs(1.7e12 + 500.0)
     assert anchored.monotonic(anchored.now()) == clocks.monotonic_ms
-    assert wall.look() == step_ms
-    assert wall.look() == 0.0
+    assert wall.follow_step() == step_ms
+    assert wall.follow_step() == 0.0
     assert wall.unix(clocks.monotonic_ms) == clocks.unix()
 
 
@@ -253,7 +253,7 @@
 def test_what_the_module_orders_against_the_rule_is_counted_and_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("fordstair.decisions.gateway.must_not_repeat", lambda request: False)
+    monkeypatch.setattr("fordstair.decisions.retries.must_not_be_retried", lambda request: False)
 
     async def scene() -> None:
         held = HeldEngine(LOST)
--- a/tests/wires/recordings.py
+++ b/tests/wires/recordings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import re
-from collections.abc import AsyncIterator, Sequence
+from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from functools import partial
 from hashlib import blake2b
@@ -116,8 +116,8 @@
     def _add_noted(self, name: str, node: Node) -> None:
         take = node.outgoing
 
-        def outgoing() -> Sequence[tuple[str, bytes]]:
-            out = take()
+        def outgoing() -> list[tuple[str, bytes]]:
+            out = list(take())
             for to, datagram in out:
                 self._note(f"{name}>{to}".encode(), datagram)
             return out
