--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -15,7 +15,8 @@
 from typing import Any
 
 from benchmarks.command import run as run_command
-from fordstair.lab.gossip import Heartbeats, Network, names_of, swim_fleet
+from fordstair.lab.membership_fleet import HeartbeatMember, fleet_addresses, swim_fleet
+from fordstair.lab.virtual_network import Network
 from fordstair.membership.configuration import MembershipConfig
 from fordstair.membership.local_health import LocalHealth
 from fordstair.membership.messages import MemberState
@@ -84,7 +85,7 @@
             # Heartbeats know members by their addresses.
             told = {
                 seen.observer: seen.at - at
-                for seen in reversed(network.seen)
+                for seen in reversed(network.observations)
                 if seen.at >= at
                 and seen.change.state == MemberState.DEAD
                 and seen.change.name.split(":")[0] == name
@@ -106,7 +107,7 @@
     network.run(seconds * 1000.0)
     died = {
         (seen.change.name, seen.change.incarnation, int(seen.at / 60_000.0))
-        for seen in network.seen
+        for seen in network.observations
         if seen.change.state == MemberState.DEAD
     }
     counts: Counter[str] = Counter()
@@ -134,7 +135,7 @@
         network.at(number * 130.0, lambda address=address: stall(address))  # type: ignore[misc]
     network.run(seconds * 1000.0)
     names = {address[:-2] for address in slow}
-    accused = Counter(seen.change.state for seen in network.seen if seen.change.name not in names)
+    accused = Counter(seen.change.state for seen in network.observations if seen.change.name not in names)
     return {"healthy_suspected": accused[MemberState.SUSPECT], "healthy_dead": accused[MemberState.DEAD]}
 
 
@@ -170,10 +171,10 @@
         return told | {"computed": True, "first": {"median_s": round((missed - 0.5) * period_ms / 1000.0, 1)}}
 
     def start(network: Network, seed: int) -> list[str]:
-        addresses = names_of(size.members)
+        addresses = fleet_addresses(size.members)
         for number, address in enumerate(addresses):
             others = [other for other in addresses if other != address]
-            network.add(address, Heartbeats(address, others, period_ms, missed, seed * 10_007 + number))
+            network.add(address, HeartbeatMember(address, others, period_ms, missed, seed * 10_007 + number))
         return addresses
 
     kills, together = (size.kills, size.together) if size.members <= 50 else (size.together, size.together)
--- a/fordstair/lab/budget_fleet.py
+++ b/fordstair/lab/budget_fleet.py
@@ -15,7 +15,7 @@
 from fordstair.budgets.member import BudgetMember
 from fordstair.budgets.plan import BudgetPlan
 from fordstair.lab.audit import Audit
-from fordstair.lab.gossip import Network
+from fordstair.lab.virtual_network import Network
 from fordstair.membership.member_table import MemberChanged
 
 STEP_MS = 50.0  # between two looks at demand
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from fordstair.lab.gossip import START, Network, swim_fleet
+from fordstair.lab.membership_fleet import member_states, swim_fleet
+from fordstair.lab.virtual_network import START, Network
 from fordstair.membership.configuration import MembershipConfig
 from fordstair.membership.invariants import check_invariants
 from fordstair.membership.messages import (
@@ -46,7 +47,7 @@
 def deaths(network: Network, since: float = 0.0) -> list[tuple[str, str]]:
     return [
         (seen.observer, seen.change.name)
-        for seen in network.seen
+        for seen in network.observations
         if seen.change.state == MemberState.DEAD and seen.at >= since
     ]
 
@@ -223,7 +224,7 @@
     network.kill(addresses[1])
     network.run(60_000.0)
     assert not deaths(network)
-    assert all(view[addresses[1][:-2]] == MemberState.LEFT for view in network.views().values())
+    assert all(view[addresses[1][:-2]] == MemberState.LEFT for view in member_states(network).values())
 
 
 def test_dead_members_are_forgotten_and_no_table_keeps_them() -> None:
--- a/tests/wires/recordings.py
+++ b/tests/wires/recordings.py
@@ -13,7 +13,7 @@
 import trio
 import ujson
 
-from fordstair.lab.gossip import Network, Node
+from fordstair.lab.virtual_network import Network, Node
 from tests.standins import RestEngine, Script
 
 FOLDER = Path(__file__).parent.parent / "data" / "wires"
--- a/tests/wires/test_membership.py
+++ b/tests/wires/test_membership.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from fordstair.lab.gossip import Network, swim_fleet
+from fordstair.lab.membership_fleet import swim_fleet
+from fordstair.lab.virtual_network import Network
 from fordstair.membership.configuration import MembershipConfig
 from fordstair.membership.messages import decode, encode
 from tests.wires.recordings import Datagrams, datagrams, recorded
