--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -1,10 +1,10 @@
-"""Budgets of the whole fleet: the sum of shares in force, what of the whole is used, how fast shares move.
+"""Budgets of the whole fleet: the sum of allotments in force, what of the limits is used, how fast it moves.
 
     .venv/bin/python -m benchmarks.fleet_budgets [--quick] [--seed N]
 
 In virtual time the real members run on a network with faults and clocks at their bounds, at 5, 40 and 200;
 on loopback five processes of the program take real traffic behind the relay. The last line is one JSON
-object; ``over`` counts instants at which shares in force passed a whole, and must be 0 everywhere.
+object; ``over`` counts instants at which allotments in force passed a limit, and must be 0 everywhere.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 from benchmarks.command import run as run_command
 from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, BudgetPlan, FleetLimit
 from fordstair.lab.budget_fleet import BudgetFleet
-from fordstair.lab.budget_trial import SAMPLE_S, THREADS, members
+from fordstair.lab.budget_trial import SAMPLE_S, THREADS, running_fleet
 
-LISTED = 5
-TERM_MS = 5_000.0
+VOTERS = 5
+LEASE_MS = 5_000.0
 
 
 def plan(count: int, floor_part: float = 0.2) -> BudgetPlan:
@@ -37,8 +37,8 @@
     return BudgetPlan(
         "bench",
         limits,
-        tuple(f"m{n}" for n in range(LISTED)),
-        TERM_MS,
+        tuple(f"m{n}" for n in range(VOTERS)),
+        LEASE_MS,
         floor_share=floor_part,
         fleet_size=count,
     )
@@ -50,7 +50,8 @@
     All together want 1.3 times the limits, each in whole requests; where skewed, one member in ten wants five
     times what the others do. Demand changes by up to 30 % each 3 s.
     """
-    fleet, rng = BudgetFleet(plan(count), count, seed, skewed=True), Random(seed)
+    fleet = BudgetFleet(plan(count), count, seed, skewed=True)
+    rng = Random(seed)
     weights = [5.0 if skewed and n % 10 == 0 else 1.0 for n in range(count)]
     mean = [1.3 * whole.units / sum(weights) for whole in fleet.plan.limits]
     wants = dict[str, tuple[int, ...]]()
@@ -80,7 +81,7 @@
 
 
 def moves(count: int, seed: int) -> dict[str, Any]:
-    """Return in how many seconds shares move to a member that joins, and from one that leaves or dies."""
+    """Return in how many seconds allotments move to a member that joins, and from one that leaves or dies."""
     fleet = BudgetFleet(plan(count), count, seed, skewed=True)
     hot = {f"m{count - 1}"}
     big = fleet.plan.lendable[0] // 2
@@ -90,27 +91,28 @@
     fleet.run(20_000)
 
     def until(name: str) -> float:
-        began, least = fleet.now, 0.8 * (fleet.plan.lendable[0] - 4 * (len(fleet.members) - 1)) / 1.2
+        began = fleet.now
+        least = 0.8 * (fleet.plan.lendable[0] - 4 * (len(fleet.members) - 1)) / 1.2
         while fleet.allotments()[name][0] < min(big, least) and fleet.now - began < 60_000:
             fleet.run(50)
         return round((fleet.now - began) / 1_000.0, 2)
 
-    told = dict[str, float]()
+    figures = dict[str, float]()
     hot.clear()
     hot.add("late")
     fleet.start("late")
-    told["join_s"] = until("late")
+    figures["join_s"] = until("late")
     hot.clear()
     hot.add(f"m{count - 2}")
-    told["demand_moves_s"] = until(f"m{count - 2}")
+    figures["demand_moves_s"] = until(f"m{count - 2}")
     fleet.leave(f"m{count - 2}")
     hot.clear()
     hot.add(f"m{count - 3}")
-    told["after_leave_s"] = until(f"m{count - 3}")
+    figures["after_leave_s"] = until(f"m{count - 3}")
     fleet.kill(f"m{count - 3}")
     hot.clear()
     hot.add("late")
-    told["after_death_s"] = until("late")
+    figures["after_death_s"] = until("late")
     for name in fleet.plan.voters:
         if name not in fleet.members:
             fleet.start(name)
@@ -121,22 +123,23 @@
     fleet.kill(leader)
     while fleet.leader is None and fleet.now - began < 60_000:
         fleet.run(50)
-    told["next_leader_s"] = round((fleet.now - began) / 1_000.0, 2)
+    figures["next_leader_s"] = round((fleet.now - began) / 1_000.0, 2)
     hot.clear()
     mover = (
         next(name for name in fleet.members if name not in fleet.plan.voters and name != "late")
-        if count > LISTED
+        if count > VOTERS
         else next(name for name in fleet.members if name not in ("late", fleet.leader))
     )
     hot.add(mover)
     until(mover)
-    told["after_leaders_death_s"] = round((fleet.now - began) / 1_000.0, 2)
-    return told | {"over": fleet.audit.violations(), "peak": round(max(fleet.audit.peaks()), 4)}
+    figures["after_leaders_death_s"] = round((fleet.now - began) / 1_000.0, 2)
+    return figures | {"over": fleet.audit.violations(), "peak": round(max(fleet.audit.peaks()), 4)}
 
 
 def faults(count: int, seed: int, steps: int) -> dict[str, Any]:
     """Play kills, starts, pauses past the lease, cuts and losses at random; return the greatest sum."""
-    fleet, rng = BudgetFleet(plan(count), count, seed, skewed=True, loss=0.05), Random(seed)
+    fleet = BudgetFleet(plan(count), count, seed, skewed=True, loss=0.05)
+    rng = Random(seed)
     names = list(fleet.members)
     wants = {name: (rng.randrange(40), rng.randrange(60_000)) for name in names}
     fleet.wanted = lambda name: wants.get(name, (0, 0))
@@ -149,7 +152,7 @@
                 fleet.start(name)
         elif act < 0.4:
             for name in [name for name in names if name in fleet.members][: count // 2]:
-                fleet.network.pause(name, 1.5 * TERM_MS)
+                fleet.network.pause(name, 1.5 * LEASE_MS)
         elif act < 0.6:
             side = set(rng.sample(names, rng.randint(1, count - 1)))
             fleet.network.cut = lambda a, b, side=side: (a in side) != (b in side)  # type: ignore[misc]
@@ -171,9 +174,9 @@
 
 
 async def programs(seconds: float, seed: int) -> dict[str, Any]:
-    """Five programs, one asked for five times the mean of the others, together for twice the whole."""
+    """Five programs, one asked for five times the mean of the others, together for twice the limit."""
     with tempfile.TemporaryDirectory(prefix="bud") as folder:
-        async with members(Path(folder), seed=seed) as fleet:
+        async with running_fleet(Path(folder), seed=seed) as fleet:
             first = await fleet.until_all_leased(20.0)
             rates = dict.fromkeys(fleet.names, 8.0) | {"m0": 40.0}
             tallies, held = await fleet.traffic(rates, seconds, 1_600.0)
@@ -195,23 +198,24 @@
 
 def measure(quick: bool, seed: int) -> dict[str, Any]:
     """Return all figures."""
-    told: dict[str, Any] = {}
+    figures: dict[str, Any] = {}
     for count in (5, 40) if quick else (5, 40, 200):
         began = time.monotonic()
-        seconds, steps = (10, 15) if quick else (30, 40)
-        told[str(count)] = {
+        seconds = 10 if quick else 30
+        steps = 15 if quick else 40
+        figures[str(count)] = {
             "even": steady(count, seed, False, seconds),
             "skewed": steady(count, seed, True, seconds),
             "moves": moves(count, seed),
             "faults": faults(count, seed, steps),
         }
         took = time.monotonic() - began
-        print(f"{count} members, {took:.0f} s: {json.dumps(told[str(count)])}", flush=True)
-    told["programs"] = trio.run(programs, 8.0 if quick else 30.0, seed)
-    print(f"programs: {json.dumps(told['programs'])}", flush=True)
-    parts = [each for count in told if count.isdigit() for each in told[count].values()]
-    told["over"] = sum(part["over"] for part in [*parts, told["programs"]])
-    return told
+        print(f"{count} members, {took:.0f} s: {json.dumps(figures[str(count)])}", flush=True)
+    figures["programs"] = trio.run(programs, 8.0 if quick else 30.0, seed)
+    print(f"programs: {json.dumps(figures['programs'])}", flush=True)
+    parts = [each for count in figures if count.isdigit() for each in figures[count].values()]
+    figures["over"] = sum(part["over"] for part in [*parts, figures["programs"]])
+    return figures
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_service.py
+++ b/benchmarks/fleet_service.py
@@ -31,7 +31,11 @@
 from fordstair.lab.site import Queueing, Server, Site
 from fordstair.lab.virtual import Record
 
-ENGINES_EACH, RATE_EACH, LISTED, WARM_MS, TERM_MS = 4, 40.0, 5, 15_000.0, 5_000.0
+ENGINES_EACH = 4  # of a coordinator
+RATE_EACH = 40.0  # requests a second, of a coordinator
+VOTERS = 5
+WARM_MS = 15_000.0
+LEASE_MS = 5_000.0
 
 
 def plan(count: int) -> BudgetPlan:
@@ -42,7 +46,7 @@
         for share, team in zip(SHARES, TEAMS, strict=True)
     )
     return BudgetPlan(
-        "bench", limits, tuple(f"m{n}" for n in range(min(LISTED, count))), TERM_MS, fleet_size=count
+        "bench", limits, tuple(f"m{n}" for n in range(min(VOTERS, count))), LEASE_MS, fleet_size=count
     )
 
 
@@ -103,7 +107,7 @@
             fleet.network.cut = lambda source, to: on
 
         site.at(seconds * 1e3 / 3.0, partial(cut, True))
-        site.at(seconds * 1e3 / 3.0 + 2.0 * TERM_MS, partial(cut, False))
+        site.at(seconds * 1e3 / 3.0 + 2.0 * LEASE_MS, partial(cut, False))
 
     return figures(*run(count, seconds, seed, fleet=True, script=script), count)
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -70,7 +70,8 @@
     seed: int,
 ) -> dict[str, Any]:
     """Kill members one after the other; return the times until the first and until all others know."""
-    first, everybody = list[float](), list[float]()
+    first: list[float] = []
+    everybody: list[float] = []
     for run in range(max(1, kills // together)):
         network = Network(seed + run)
         addresses = start(network, seed + run)
@@ -83,7 +84,7 @@
         network.run(network.now + 2.0 * spaced_ms)
         for name, at in died.items():
             # Heartbeats know members by their addresses.
-            told = {
+            delays = {
                 seen.observer: seen.at - at
                 for seen in reversed(network.observations)
                 if seen.at >= at
@@ -91,10 +92,10 @@
                 and seen.change.name.split(":")[0] == name
                 and seen.observer in network.nodes
             }
-            if told:
-                first.append(min(told.values()))
-            if len(told) == members - len(died):
-                everybody.append(max(told.values()))
+            if delays:
+                first.append(min(delays.values()))
+            if len(delays) == members - len(died):
+                everybody.append(max(delays.values()))
     return {"first": quantiles(first), "all": quantiles(everybody)}
 
 
@@ -119,8 +120,8 @@
 def stalled(members: int, seconds: float, kind: type[SwimMember], seed: int) -> dict[str, Any]:
     """A tenth run for 0.2 s and stand still for 1.5 s, over and over, with 5 % lost: who accuses whom?"""
     network = Network(seed, loss=0.05)
-    told = CONFIG if kind is SwimMember else replace(CONFIG, suspicion_max_factor=1.0)
-    addresses = swim_fleet(network, members, told, seed, kind=kind)
+    config = CONFIG if kind is SwimMember else replace(CONFIG, suspicion_max_factor=1.0)
+    addresses = swim_fleet(network, members, config, seed, kind=kind)
     if kind is PlainSwimMember:
         for node in network.nodes.values():
             assert isinstance(node, SwimMember)
@@ -145,30 +146,37 @@
     def swim(network: Network, seed: int) -> list[str]:
         return swim_fleet(network, size.members, CONFIG, seed)
 
-    told: dict[str, Any] = {"swim": detection(size.members, size.kills, size.together, swim, 25_000.0, seed)}
+    figures: dict[str, Any] = {
+        "swim": detection(size.members, size.kills, size.together, swim, 25_000.0, seed)
+    }
     rate, counts = false_deaths(size.members, size.lossy_s, 0.0, swim, seed)
     member_s = size.members * size.lossy_s
     load = counts["sent"] / member_s
-    told["swim"] |= {
+    figures["swim"] |= {
         "messages_per_member_s": round(load, 2),
         "bytes_per_member_s": round(counts["sent_bytes"] / member_s, 1),
     }
     rates = {0.0: rate}
     for loss in LOSSES[1:]:
         rates[loss], lossy = false_deaths(size.members, size.lossy_s, loss, swim, seed)
-        told["swim"][f"messages_at_loss_{loss}"] = round(lossy["sent"] / member_s, 2)
-    told["swim"]["false_deaths_per_member_hour"] = {str(loss): round(rate, 3) for loss, rate in rates.items()}
+        figures["swim"][f"messages_at_loss_{loss}"] = round(lossy["sent"] / member_s, 2)
+    figures["swim"]["false_deaths_per_member_hour"] = {
+        str(loss): round(rate, 3) for loss, rate in rates.items()
+    }
     period_ms = (size.members - 1) / load * 1000.0
     for missed in MISSED:
-        told[f"heartbeats_{missed}"] = heartbeats(size, period_ms, missed, seed)
-    return told
+        figures[f"heartbeats_{missed}"] = heartbeats(size, period_ms, missed, seed)
+    return figures
 
 
 def heartbeats(size: Size, period_ms: float, missed: int, seed: int) -> dict[str, Any]:
     """Return the figures of heartbeats at a period; at 1,000 members only what follows from the period."""
-    told: dict[str, Any] = {"period_s": round(period_ms / 1000.0, 2)}
+    figures: dict[str, Any] = {"period_s": round(period_ms / 1000.0, 2)}
     if size.members > 200:  # the last beat came up to a period before the death
-        return told | {"computed": True, "first": {"median_s": round((missed - 0.5) * period_ms / 1000.0, 1)}}
+        return figures | {
+            "computed": True,
+            "first": {"median_s": round((missed - 0.5) * period_ms / 1000.0, 1)},
+        }
 
     def start(network: Network, seed: int) -> list[str]:
         addresses = fleet_addresses(size.members)
@@ -178,25 +186,25 @@
         return addresses
 
     kills, together = (size.kills, size.together) if size.members <= 50 else (size.together, size.together)
-    told |= detection(size.members, kills, together, start, (missed + 2.0) * period_ms, seed)
+    figures |= detection(size.members, kills, together, start, (missed + 2.0) * period_ms, seed)
     seconds = max(size.lossy_s, 10.0 * period_ms / 1000.0)
-    told["false_deaths_per_member_hour"] = {
+    figures["false_deaths_per_member_hour"] = {
         str(loss): round(false_deaths(size.members, seconds, loss, start, seed)[0], 3) for loss in LOSSES
     }
-    return told
+    return figures
 
 
 def measure_all(quick: bool, seed: int) -> dict[str, Any]:
     """Return all figures."""
-    told: dict[str, Any] = {"probe_ms": CONFIG.probe_interval_ms, "seed": seed, "members": {}}
+    figures: dict[str, Any] = {"probe_ms": CONFIG.probe_interval_ms, "seed": seed, "members": {}}
     for size in QUICK if quick else FULL:
         began = time.monotonic()
-        told["members"][size.members] = measure(size, seed)
+        figures["members"][size.members] = measure(size, seed)
         print(f"{size.members} members: {time.monotonic() - began:.0f} s", flush=True)
     seconds = 60.0 if quick else 600.0
     kinds: dict[str, type[SwimMember]] = {"lifeguard": SwimMember, "plain": PlainSwimMember}
-    told["a_tenth_stalled"] = {name: stalled(50, seconds, kind, seed) for name, kind in kinds.items()}
-    return told
+    figures["a_tenth_stalled"] = {name: stalled(50, seconds, kind, seed) for name, kind in kinds.items()}
+    return figures
 
 
 if __name__ == "__main__":
--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -1,6 +1,6 @@
-"""Several running coordinators on one fleet's budgets, with faults between them, and their audit.
+"""Several running coordinators under one fleet's budgets, with faults between them, and their audit.
 
-What the tests and ``benchmarks.fleet_budgets`` share. Each member is a process of the program behind a front
+Shared by the tests and ``benchmarks.fleet_budgets``. Each member is a process of the program behind a front
 of the relay; one stand-in engine serves all, and tells how many threads a class holds at it.
 """
 
@@ -25,6 +25,8 @@
 from fordstair.lab.traffic import Kind, Tally, Traffic
 
 FRONTS = 4  # of a member: MessagePack-RPC, OData, the fleet's and the budgets'
+SETTLEMENT_THREADS = 4  # as the operator's file says
+CONSOLE_TIMEOUT_S = 0.3  # a stopped member answers nothing
 THREADS = 64  # the fleet's limit for the team
 RATE = 400.0  # requests a second, likewise
 FLOOR_SHARE = 0.35
@@ -32,37 +34,38 @@
 SAMPLE_S = 0.02  # between two looks at the engine's threads
 
 
-class Members:
-    """Running members by name; ``listed`` of them may lead and have floors."""
+class RunningFleet:
+    """Running members by name; the first ``voters`` of them may lead and have floors."""
 
     def __init__(
         self,
         folder: Path,
         nursery: trio.Nursery,
         count: int,
-        listed: int,
+        voters: int,
         seed: int,
         lease_ms: float,
-        drift: float,
+        max_clock_drift: float,
     ) -> None:
-        self.folder, self.nursery, self.seed = folder, nursery, seed
+        self.folder = folder
+        self.seed = seed
         self.relay = Relay(nursery, seed)
         self.engine = StandIn("e-1", Machine(512.0), sessions=8_192)
         self.names = [f"m{number}" for number in range(count)]
         self.fronts: dict[str, str] = {}
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.ports: dict[str, dict[str, int]] = {}
-        self.starts: dict[str, int] = {}
-        # as the program makes it of the file below: a settlement takes 4 threads
+        self.starts: dict[str, int] = {}  # how often each was started
+        # As the program makes it of the file below.
         self.plan = BudgetPlan(
             "trial",
             (
-                FleetLimit("threads", THREADS, KARRI, quantum=4),
+                FleetLimit("threads", THREADS, KARRI, quantum=SETTLEMENT_THREADS),
                 FleetLimit("rate", int(RATE * UNITS_PER_REQUEST_PER_S), KARRI),
             ),
-            tuple(self.names[:listed]),
+            tuple(self.names[:voters]),
             lease_ms,
-            drift,
+            max_clock_drift,
             floor_share=FLOOR_SHARE,
         )
 
@@ -73,16 +76,18 @@
 
     async def start(self, name: str, clock_rate: float = 1.0) -> None:
         """Start a member, or one of this name anew; its leases' clock may run at another rate."""
-        self.starts[name] = life = self.starts.get(name, 0) + 1
-        file, log = self.folder / f"{name}.toml", self.folder / f"{name}.{life}.log"
-        listed = ", ".join(f'{other} = "{self.fronts[other]}"' for other in self.plan.voters)
+        start = self.starts.get(name, 0) + 1
+        self.starts[name] = start
+        file = self.folder / f"{name}.toml"
+        log = self.folder / f"{name}.{start}.log"
+        voters = ", ".join(f'{other} = "{self.fronts[other]}"' for other in self.plan.voters)
         file.write_text(
             operator_file([self.engine], self.folder / f"{name}.sock") + "[budgets]\nthreads_a_core = 4.0\n"
             f'[fleet]\ncluster = "trial"\nmember = "{name}"\nlisten = "127.0.0.1:0"\n'
-            f'[fleet.budgets]\nlisten = "127.0.0.1:0"\nmembers = {{ {listed} }}\n'
+            f'[fleet.budgets]\nlisten = "127.0.0.1:0"\nmembers = {{ {voters} }}\n'
             f"term_ms = {self.plan.lease_ms}\ndrift = {self.plan.max_clock_drift}\n"
             f"floor_part = {FLOOR_SHARE}\n"
-            f'audit = "{self.folder / name}.{life}.audit"\n'
+            f'audit = "{self.folder / name}.{start}.audit"\n'
             f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nthreads = {THREADS}\n'
             f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nrequests_per_s = {RATE}\n'
         )
@@ -90,17 +95,18 @@
             ["-m", "fordstair"] if clock_rate == 1.0 else ["-m", "fordstair.lab.skewed", str(clock_rate)]
         )
         with log.open("wb") as opened:
-            self.processes[name] = process = subprocess.Popen(
+            process = subprocess.Popen(
                 [sys.executable, *program, "--operator", str(file)],
                 stdout=subprocess.DEVNULL,
                 stderr=opened,
                 stdin=subprocess.DEVNULL,
             )
+        self.processes[name] = process
         self.ports[name] = await ports_of(process, log, FRONTS)
         self.relay.behind(name, f"127.0.0.1:{self.ports[name]['budgets']}")
 
     def kill(self, name: str) -> None:
-        """End a member without a word."""
+        """End a member without notice."""
         process = self.processes.pop(name)
         process.send_signal(signal.SIGKILL)
         process.wait()
@@ -118,12 +124,12 @@
         self.processes[name].send_signal(signal.SIGCONT)
 
     async def ask(self, name: str, command: str) -> list[dict[str, Any]]:
-        """Return a table from a member's console door."""
+        """Return a table from a member's console."""
         rows: list[dict[str, Any]] = await ask_door(self.folder / f"{name}.sock", command)
         return rows
 
     def audit(self) -> Audit:
-        """Return the audit of all lives so far."""
+        """Return the audit of all processes so far."""
         return read_audit(self.plan, sorted(self.folder.glob("*.audit")))
 
     def lines(self, name: str, event: str) -> list[str]:
@@ -133,20 +139,20 @@
 
     async def allotments(self) -> dict[str, int]:
         """Return the threads that each running member may use now, floor included; 0 of a stopped one."""
-        shares = dict[str, int]()
+        allotments: dict[str, int] = {}
         for name in self.processes:
-            shares[name] = 0
-            with trio.move_on_after(0.3):
+            allotments[name] = 0
+            with trio.move_on_after(CONSOLE_TIMEOUT_S):
                 rows = [row for row in await self.ask(name, "shares") if row["own"]]
-                shares[name] = round(next(row["share"] for row in rows if "threads" in row["budget"]))
-        return shares
+                allotments[name] = round(next(row["share"] for row in rows if "threads" in row["budget"]))
+        return allotments
 
     async def leader(self) -> str:
         """Return who grants, by its own word; wait until somebody does."""
         with trio.fail_after(20.0):
             while True:
                 for name in self.processes:
-                    with trio.move_on_after(0.3):
+                    with trio.move_on_after(CONSOLE_TIMEOUT_S):
                         if any(row["own"] and row["leads"] for row in await self.ask(name, "shares")):
                             return name
                 await trio.sleep(0.05)
@@ -154,10 +160,11 @@
     async def until_all_leased(self, within_s: float) -> float:
         """Wait until running members together hold all of the limit that can be had; return how long it took.
 
-        The floors of listed members that do not run stay reserved.
+        The floors of voters that do not run stay reserved.
         """
-        began, plan = trio.current_time(), self.plan
-        wanted = plan.lendable[0] + plan.floors[0] * sum(name in plan.voters for name in self.processes)
+        began = trio.current_time()
+        running_voters = sum(name in self.plan.voters for name in self.processes)
+        wanted = self.plan.lendable[0] + self.plan.floors[0] * running_voters
         with trio.fail_after(within_s):
             while sum((await self.allotments()).values()) < wanted:
                 await trio.sleep(0.05)
@@ -179,9 +186,10 @@
             kinds[name].append(Kind("settlement", KARRI, rate, work_ms, 4_000.0))
         for name, rate in (lookups or {}).items():
             kinds[name].append(Kind("lookup", KARRI, rate, 20.0, 4_000.0))
-        tallies, held = dict[str, Tally](), list[int]()
+        tallies: dict[str, Tally] = {}
+        held: list[int] = []
 
-        async def look() -> None:
+        async def sample() -> None:
             while True:
                 held.append(self.threads_held())
                 await trio.sleep(SAMPLE_S)
@@ -191,42 +199,42 @@
             each = Traffic("127.0.0.1", self.ports[name]["listens"], kinds[name], seed, lines=64)
             tallies[name] = await each.run(seconds)
 
-        async with trio.open_nursery() as looks:
-            looks.start_soon(look)
+        async with trio.open_nursery() as sampling:
+            sampling.start_soon(sample)
             async with trio.open_nursery() as nursery:
                 for name in (name for name in self.names if kinds[name]):
                     nursery.start_soon(send, name)
-            looks.cancel_scope.cancel()
+            sampling.cancel_scope.cancel()
         return tallies, held
 
     def threads_held(self) -> int:
         """Return how many threads the team's settlements hold at the engine now."""
         self.engine.held()
-        return 4 * sum(run.class_name == "settlement" for run in self.engine.runs.values())
+        return SETTLEMENT_THREADS * sum(run.class_name == "settlement" for run in self.engine.runs.values())
 
 
 @asynccontextmanager
-async def members(
+async def running_fleet(
     folder: Path,
     count: int = 5,
-    listed: int = 5,
+    voters: int = 5,
     seed: int = 1,
     *,
     lease_ms: float = 2_500.0,
-    drift: float = 0.01,
-) -> AsyncIterator[Members]:
-    """That many members, running; their shares come once a leader has learned."""
+    max_clock_drift: float = 0.01,
+) -> AsyncIterator[RunningFleet]:
+    """Run that many members; their leases come once a leader has learned."""
     async with trio.open_nursery() as nursery:
-        all_of = Members(folder, nursery, count, listed, seed, lease_ms, drift)
-        await nursery.start(all_of.engine.serve)
-        await all_of.open_fronts()
+        fleet = RunningFleet(folder, nursery, count, voters, seed, lease_ms, max_clock_drift)
+        await nursery.start(fleet.engine.serve)
+        await fleet.open_fronts()
         try:
             async with trio.open_nursery() as starts:
-                for name in all_of.names:
-                    starts.start_soon(all_of.start, name)
-            yield all_of
+                for name in fleet.names:
+                    starts.start_soon(fleet.start, name)
+            yield fleet
         finally:
-            for process in all_of.processes.values():
+            for process in fleet.processes.values():
                 process.kill()
                 process.wait()
             nursery.cancel_scope.cancel()
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 
-from fordstair.lab.budget_trial import THREADS, Members, members
+from fordstair.lab.budget_trial import THREADS, RunningFleet, running_fleet
 from fordstair.lab.relay import Faults
 from tests.test_platform import play as bounded
 
@@ -26,7 +26,7 @@
     bounded(in_a_folder, 100.0)
 
 
-def within(fleet: Members, spans: int = 20) -> None:
+def within(fleet: RunningFleet, spans: int = 20) -> None:
     """The audit finds no instant over the whole, over shares enough to be worth it."""
     audit = fleet.audit()
     assert sum(map(len, audit.spans.values())) >= spans
@@ -36,7 +36,7 @@
 
 def test_members_that_join_and_leave_each_second_hold_no_more_than_the_whole() -> None:
     async def scene(folder: Path) -> None:
-        async with members(folder, count=6, listed=3, seed=1) as fleet:
+        async with running_fleet(folder, count=6, voters=3, seed=1) as fleet:
             await fleet.until_all_leased(25.0)
             for turn in range(6):
                 if turn % 2:
@@ -54,7 +54,7 @@
 
 def test_a_share_of_who_is_stopped_past_its_lease_is_reused_and_not_used_by_both() -> None:
     async def scene(folder: Path) -> None:
-        async with members(folder, seed=2) as fleet:
+        async with running_fleet(folder, seed=2) as fleet:
             await fleet.until_all_leased(25.0)
             leader = await fleet.leader()
             halted = [leader, *[name for name in fleet.names if name != leader][:1]]
@@ -80,7 +80,7 @@
 
 def test_two_sides_of_a_partition_share_one_whole() -> None:
     async def scene(folder: Path) -> None:
-        async with members(folder, seed=3) as fleet:
+        async with running_fleet(folder, seed=3) as fleet:
             await fleet.until_all_leased(25.0)
             leader = await fleet.leader()
             small = {leader, next(name for name in fleet.names if name != leader)}
@@ -103,7 +103,7 @@
 )
 def test_grants_that_are_lost_late_doubled_or_overtaken_add_nothing(faults: Faults) -> None:
     async def scene(folder: Path) -> None:
-        async with members(folder, seed=4) as fleet:
+        async with running_fleet(folder, seed=4) as fleet:
             await fleet.until_all_leased(25.0)
             fleet.relay.put("*", "*", faults)
             await trio.sleep(4.0)
@@ -120,7 +120,7 @@
 
 def test_a_leader_that_is_killed_is_followed_by_one_that_grants_within_the_stated_time() -> None:
     async def scene(folder: Path) -> None:
-        async with members(folder, seed=5) as fleet:
+        async with running_fleet(folder, seed=5) as fleet:
             await fleet.until_all_leased(25.0)
             plan, names = fleet.plan, list(fleet.names)
             for _ in range(2):
@@ -149,7 +149,7 @@
 
 def test_the_console_shows_own_shares_and_all_where_they_are_granted() -> None:
     async def scene(folder: Path) -> None:
-        async with members(folder, count=3, listed=3, seed=8) as fleet:
+        async with running_fleet(folder, count=3, voters=3, seed=8) as fleet:
             await fleet.until_all_leased(25.0)
             with trio.fail_after(25.0):  # on a busy machine another one may have been elected meanwhile
                 while True:
@@ -185,7 +185,7 @@
 
 def test_clocks_at_their_bounds_add_nothing() -> None:
     async def scene(folder: Path) -> None:
-        async with members(folder, seed=6, drift=0.1) as fleet:
+        async with running_fleet(folder, seed=6, max_clock_drift=0.1) as fleet:
             for name, rate in zip(fleet.names, (0.9, 1.1, 1.0, 0.9, 1.1), strict=True):
                 fleet.kill(name)
                 await fleet.start(name, rate)
@@ -204,7 +204,7 @@
 
 def test_what_a_team_holds_at_engines_stays_within_the_whole_and_follows_demand() -> None:
     async def scene(folder: Path) -> None:
-        async with members(folder, seed=7) as fleet:
+        async with running_fleet(folder, seed=7) as fleet:
             await fleet.until_all_leased(25.0)
             # One member is asked for five times the others; together they are asked for more than there is.
             rates = dict.fromkeys(fleet.names, 8.0) | {"m0": 40.0}
@@ -226,7 +226,7 @@
 
 def test_a_quiet_member_s_lookups_go_at_once_while_another_asks_for_all_there_is() -> None:
     async def scene(folder: Path) -> None:
-        async with members(folder, count=4, listed=3, seed=9) as fleet:
+        async with running_fleet(folder, count=4, voters=3, seed=9) as fleet:
             await fleet.until_all_leased(25.0)
             # m3 is not listed and has no floor: what it has is lent, and m0 would take four times the whole.
             tallies, held = await fleet.traffic({"m0": 90.0}, 8.0, 1_600.0, lookups={"m3": 8.0})
