--- a/fordstair/net/clients/odata_loads.py
+++ b/fordstair/net/clients/odata_loads.py
@@ -14,7 +14,7 @@
 from fordstair.net.clients.odata_preferences import Preferences
 from fordstair.net.clients.odata_sql import insert_statement, read_resource
 from fordstair.net.clients.odata_statements import Statement, StatementRunner
-from fordstair.net.clients.repeatable_requests import Repeats
+from fordstair.net.clients.repeatable_requests import IdempotencyStore
 
 _REQUEST_ID = "repeatability-request-id"
 _REPEATABILITY_ACCEPTED = {"Repeatability-Result": "accepted"}
@@ -25,7 +25,7 @@
     """Answers POST requests of one connection for entities."""
 
     def __init__(
-        self, root: str, sets: Mapping[str, EntitySet], repeats: Repeats, statements: StatementRunner
+        self, root: str, sets: Mapping[str, EntitySet], repeats: IdempotencyStore, statements: StatementRunner
     ) -> None:
         self._root = root
         self._sets = sets
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -11,7 +11,6 @@
     "fordstair/lab/site.py",
     "fordstair/net/console_server.py",
     "fordstair/program.py",
-    "fordstair/replication/service.py",
 }
 
 
