--- a/fordstair/budgets/lease_client.py
+++ b/fordstair/budgets/lease_client.py
@@ -77,7 +77,7 @@
         if recipient is None:
             return
         self._answer_timeout_ms = now_ms + self._timeout_ms
-        self._context.counts["asks"] += 1
+        self._context.counts["lease_requests"] += 1
         self._context.outbox.send(recipient, request)
 
     def receive_grant(self, now_ms: float, grant: LeaseGrant) -> None:
@@ -85,7 +85,7 @@
         before = self.holder.leased if now_ms < self.holder.until_ms else ()
         allotment = self.holder.apply_grant(now_ms, grant.sequence, grant.units)
         if allotment is None:
-            self._context.counts["answers_late"] += 1
+            self._context.counts["grants_late"] += 1
             return
         self._context.known_leader = grant.sender
         self._answer_timeout_ms = math.inf
@@ -111,7 +111,7 @@
 
     def _unanswered(self, now_ms: float) -> None:
         """Ask another voter who leads, with a longer timeout: on a slow path answers come later."""
-        self._context.counts["unanswered"] += 1
+        self._context.counts["requests_unanswered"] += 1
         self._context.known_leader = ""
         self._answer_timeout_ms = math.inf
         self._request_due_ms = now_ms
--- a/fordstair/budgets/lease_grants.py
+++ b/fordstair/budgets/lease_grants.py
@@ -102,7 +102,7 @@
         if lessee is not None:
             return lessee if request.sequence > lessee.sequence else None
         if len(self.lessees) >= MAX_LESSEES:
-            self._counts["turned_away"] += 1
+            self._counts["lessees_rejected"] += 1
             return None
         nothing = self._plan.nothing
         lessee = Lessee(request.sequence, nothing, nothing, now_ms, nothing, nothing, [now_ms] * len(nothing))
@@ -194,4 +194,4 @@
                 self._set_leases(lessee, [lease for lease in lessee.leases if lease.until_ms > now_ms])
             if not lessee.leases and now_ms - lessee.heard_ms > self._plan.safe_expiry_ms:
                 del self.lessees[member]
-                self._counts["lapsed"] += 1
+                self._counts["lessees_expired"] += 1
--- a/fordstair/membership/indirect_probes.py
+++ b/fordstair/membership/indirect_probes.py
@@ -37,7 +37,7 @@
     def receive_request(self, request: IndirectPing, source: str) -> None:
         """Ping the target for the requester at that address; refused beyond MAX_RELAYED_PROBES."""
         if len(self._relayed) >= MAX_RELAYED_PROBES:
-            self._context.counts["relays_refused"] += 1
+            self._context.counts["relays_rejected"] += 1
             return
         config = self._context.config
         sequence = self._context.next_sequence()
--- a/fordstair/membership/member_table.py
+++ b/fordstair/membership/member_table.py
@@ -140,7 +140,7 @@
         if update.state != MemberState.ALIVE:
             return False
         if len(self.members) >= self._context.config.max_members:
-            self._context.counts["members_refused"] += 1
+            self._context.counts["members_rejected"] += 1
             return False
         member = Member(
             update.name,
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -28,6 +28,7 @@
 from fordstair.budgets.voter import Voter
 from fordstair.lab.audit import Audit
 from fordstair.lab.budget_fleet import BudgetFleet
+from fordstair.runtime.invariants import InvariantViolationError
 from fordstair.runtime.message_codec import MalformedMessageError
 from fordstair.scheduling.later import Places
 from fordstair.scheduling.scheduler import Refused, Room, Scheduler, Told
@@ -315,7 +316,7 @@
     member.receive(1.0, encode(LeaseGrant(told.digest, "m1", 1, 1, 1, (64,))), "x")  # of another width
     assert member.allotment(1.0) == told.floors
     assert member.counts["other_plan"] == 1
-    assert member.counts["malformed"] + member.counts["answers_late"] >= 1
+    assert member.counts["malformed"] + member.counts["grants_late"] >= 1
     with pytest.raises(MalformedMessageError):
         decode(noise + b"\xc1")
 
@@ -333,6 +334,18 @@
         assert 10 * floor <= whole.units // members
 
 
+def test_a_leader_that_miscounts_its_leases_is_found() -> None:
+    fleet = BudgetFleet(plan(3), 3, 1)
+    fleet.run(15_000.0)
+    assert fleet.leader is not None
+    leader = fleet.members[fleet.leader]
+    check_invariants(leader.member, leader.own_ms(fleet.time))
+    assert leader.member.election.grants is not None
+    leader.member.election.grants.reserved[0] += 1
+    with pytest.raises(InvariantViolationError, match="miscounts"):
+        check_invariants(leader.member, leader.own_ms(fleet.time))
+
+
 def test_the_audit_counts_floors_and_overlaps() -> None:
     told = plan(5, floor_share=0.0)
     audit = Audit(told)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -25,6 +25,7 @@
 )
 from fordstair.membership.suspicion import Suspicion
 from fordstair.membership.swim import SwimMember
+from fordstair.runtime.invariants import InvariantViolationError
 from fordstair.runtime.message_codec import MalformedMessageError
 
 CONFIG = MembershipConfig("gardens", "x", "x:1")
@@ -415,7 +416,7 @@
             "h:1",
         )
     assert sorted(swim.members) == ["a", "b"]
-    assert swim.counts["members_refused"] == 2
+    assert swim.counts["members_rejected"] == 2
 
 
 def test_no_datagram_is_larger_than_is_read() -> None:
@@ -431,3 +432,14 @@
     sizes += [len(datagram) for _, datagram in node.outgoing()]
     assert len(sizes) > 10
     assert max(sizes) <= MAX_DATAGRAM_BYTES
+
+
+def test_a_state_that_contradicts_itself_is_found() -> None:
+    network, addresses = fleet(3)
+    network.run(5_000.0)
+    node = network.nodes[addresses[0]]
+    assert isinstance(node, SwimMember)
+    check_invariants(node)
+    node.members[addresses[1][:-2]].state = MemberState.SUSPECT
+    with pytest.raises(InvariantViolationError, match="suspicion of"):
+        check_invariants(node)
