--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -19,7 +19,7 @@
 from fordstair.net.engine_list_wire import EngineListEvent
 
 if TYPE_CHECKING:
-    from fordstair.budgets.whole import Part, Whole
+    from fordstair.budgets.plan import FleetBudgetsConfig, FleetLimit
     from fordstair.membership.configuration import MembershipConfig
     from fordstair.replication.settings import ReplicationSettings
 
@@ -215,21 +215,21 @@
     )
 
 
-def _shares(file: File) -> Part | None:
+def _shares(file: File) -> FleetBudgetsConfig | None:
     if file.fleet is None or (table := file.fleet.budgets) is None:
         return None
-    from fordstair.budgets.whole import Part, Plan
+    from fordstair.budgets.plan import BudgetPlan, FleetBudgetsConfig
 
-    plan = Plan(
+    plan = BudgetPlan(
         file.fleet.cluster,
-        tuple(_fleet_budget(file, budget) for budget in table.budgets),
+        tuple(_fleet_limit(file, budget) for budget in table.budgets),
         tuple(sorted(table.members)),
         table.lease_ms,
         table.max_clock_drift,
         table.floor_share,
         table.fleet_size,
     )
-    return Part(
+    return FleetBudgetsConfig(
         plan,
         member_of(file),
         address(table.listen, "fleet.budgets.listen"),
@@ -238,15 +238,15 @@
     )
 
 
-def _fleet_budget(file: File, budget: WholeTable) -> Whole:
-    from fordstair.budgets.whole import MILLI, Whole
+def _fleet_limit(file: File, budget: WholeTable) -> FleetLimit:
+    from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, FleetLimit
 
     scope = (budget.team or "", budget.class_name or "")
     if budget.threads is None:
-        return Whole("rate", int(MILLI * (budget.requests_per_s or 0.0)), *scope)
-    # A share that no request fits into would be of no use.
+        return FleetLimit("rate", int(UNITS_PER_REQUEST_PER_S * (budget.requests_per_s or 0.0)), *scope)
+    # An allotment that no request fits into would be of no use.
     needs = [each.threads for each in file.classes if budget.class_name in (None, each.name)] or [1]
-    return Whole("threads", budget.threads, *scope, quantum=max(needs), least=min(needs))
+    return FleetLimit("threads", budget.threads, *scope, quantum=max(needs), min_useful=min(needs))
 
 
 def _admission_queue(file: File) -> AdmissionQueueSettings | None:
--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -14,7 +14,7 @@
 from fordstair.scheduling.waits import Cap, Meter
 
 if TYPE_CHECKING:
-    from fordstair.budgets.caps import Caps
+    from fordstair.budgets.local_limits import LocalLimits
     from fordstair.core.coordinator import Coordinator
 
 CHECK_INTERVAL_MS = 20.0  # while something waits: capacity also returns without an end, as pressure falls
@@ -37,7 +37,7 @@
         coordinator: Coordinator,
         scheduler: Scheduler,
         threads_a_core: float,
-        caps: Caps | None = None,
+        caps: LocalLimits | None = None,
         seed: int = 1,
     ) -> None:
         self.coordinator = coordinator
@@ -59,7 +59,7 @@
         self._resize()
         admission = self.scheduler.arrive(request, now)
         if self.caps is not None:
-            self.caps.arrives(now, request.team, request.class_index, request.threads)
+            self.caps.request_waiting(now, request.team, request.class_index, request.threads)
         if admission.refused is not None:
             self._withdraw_demand(live)
             return self._reject(live, admission.refused, admission.wait.likely_ms)
@@ -88,7 +88,9 @@
         while (released := self.scheduler.release(now, self._room)) is not None:
             live = self._waiting.pop(released.id)
             if self.caps is not None:
-                self.caps.starts(now, released.id, released.team, released.class_index, released.threads)
+                self.caps.request_started(
+                    now, released.id, released.team, released.class_index, released.threads
+                )
             self.coordinator.counters.add("admission_queue.released")
             self.coordinator.dispatch(self.coordinator.arrival_event(live))
             live.wakeup.set()
@@ -98,7 +100,7 @@
         self.remove(live)
         now = self._now()
         if self.caps is not None:
-            self.caps.ends(now, live.id)
+            self.caps.request_ended(now, live.id)
         self.scheduler.ended(live.id, now, live.used_thread_ms)
         self.release()
 
@@ -125,7 +127,7 @@
         work_ms = self.coordinator.gateway.predicted_cost(arrival)
         caps: tuple[Cap | Meter, ...] = ()
         if self.caps is not None:
-            caps = self.caps.binding(now, arrival.tenant, arrival.class_index)
+            caps = self.caps.forecast(now, arrival.tenant, arrival.class_index)
         return Told(
             live.id,
             arrival.tenant,
@@ -138,7 +140,7 @@
 
     def _room(self, item: Item) -> Room:
         """Return whether a request could go now: to the fleet's budgets first, then to the engines."""
-        if self.caps is not None and not self.caps.fits(
+        if self.caps is not None and not self.caps.admits(
             self._now(), item.team, item.class_index, item.threads
         ):
             return Room.BUDGET_FULL
@@ -171,7 +173,7 @@
         if self.caps is not None:
             query = live.query
             threads = self.coordinator.settings.classes[query.class_index].threads
-            self.caps.gives_up(query.tenant_index, query.class_index, threads)
+            self.caps.request_abandoned(query.tenant_index, query.class_index, threads)
 
     def _resize(self) -> None:
         """Follow the capacity of the engines that take new work."""
