--- a/benchmarks/console_cost.py
+++ b/benchmarks/console_cost.py
@@ -40,14 +40,15 @@
 
 
 @contextmanager
-def consoles(door: str, following: int, stopped: int) -> Iterator[None]:
+def consoles(socket_path: str, following: int, stopped: int) -> Iterator[None]:
     """Hold consoles open in a process of their own; a stopped one reads nothing (SIGSTOP)."""
     with ExitStack() as stack:
         for count, stop in ((following, False), (stopped, True)):
             if not count:
                 continue
             process = subprocess.Popen(
-                [sys.executable, "-m", "benchmarks.followers", door, str(count)], stdout=subprocess.PIPE
+                [sys.executable, "-m", "benchmarks.followers", socket_path, str(count)],
+                stdout=subprocess.PIPE,
             )
             stack.callback(process.wait)
             stack.callback(process.kill)
@@ -60,15 +61,15 @@
 
 async def measured(running: Appliance, seed: int, seconds: float) -> tuple[Tally, float]:
     """Send lookups for a slice; return the tally and the appliance's processor seconds."""
-    before = running.cpu_s
+    before = running.process.cpu_s
     tally = await Traffic("127.0.0.1", running.ports["listens"], [LOOKUP], seed, lines=4).run(seconds)
-    return tally, running.cpu_s - before
+    return tally, running.process.cpu_s - before
 
 
 async def closed_loop(running: Appliance, seconds: float, in_flight: int) -> tuple[int, float, Any]:
     """Keep so many lookups in flight; return how many were served, the processor seconds, the latencies."""
     traffic = Traffic("127.0.0.1", running.ports["listens"], [LOOKUP], 9, lines=2)
-    before, until, served = running.cpu_s, trio.current_time() + seconds, 0
+    before, until, served = running.process.cpu_s, trio.current_time() + seconds, 0
     async with trio.open_nursery() as nursery:
         while trio.current_time() < until:
             while sum(len(line.open) for line in traffic.lines) < in_flight:
@@ -78,7 +79,7 @@
                 await trio.sleep(0)
         served = traffic.tally.counts["served"]
         nursery.cancel_scope.cancel()
-    return served, running.cpu_s - before, traffic.tally.latency
+    return served, running.process.cpu_s - before, traffic.tally.latency
 
 
 async def direct(engine: StandIn, calls: int, salt: int) -> Any:
@@ -123,7 +124,7 @@
             rounds = max(2, round(seconds * 0.8 / (len(MODES) * (SLICE_S + SETTLE_S))))
             for turn in range(rounds):
                 for mode in random.sample(list(MODES), len(MODES)):
-                    with consoles(running.door, *MODES[mode]):
+                    with consoles(running.console_socket, *MODES[mode]):
                         await trio.sleep(SETTLE_S)
                         totals[mode].append(await measured(running, turn, SLICE_S))
                 print(f"round {turn + 1} of {rounds}", file=sys.stderr, flush=True)
--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -21,7 +21,7 @@
 
 from benchmarks.command import run as run_command
 from fordstair.budgets.whole import MILLI, Plan, Whole
-from fordstair.lab.budget_trial import LOOK_S, THREADS, members
+from fordstair.lab.budget_trial import SAMPLE_S, THREADS, members
 from fordstair.lab.shares import Fleet
 
 LISTED = 5
@@ -169,7 +169,7 @@
             tallies, held = await fleet.traffic(rates, seconds, 1_600.0)
             audit = fleet.audit()
     # as it began and ended, less was asked for
-    busy = held[round(2.0 / LOOK_S) : round((seconds - 1.0) / LOOK_S)]
+    busy = held[round(2.0 / SAMPLE_S) : round((seconds - 1.0) / SAMPLE_S)]
     return {
         "seconds": seconds,
         "first_share_s": round(first, 2),
--- a/fordstair/cli/app.py
+++ b/fordstair/cli/app.py
@@ -165,7 +165,7 @@
 ) -> None:
     """Run an appliance with stand-in engines and light traffic, and open the console on it."""
     from fordstair.cli.demo import Demo
-    from fordstair.lab.appliance import NotStartedError
+    from fordstair.lab.coordinator_process import NotStartedError
 
     try:
         demo_run = Demo(engines, rate, seed, trouble)
--- a/fordstair/cli/demo.py
+++ b/fordstair/cli/demo.py
@@ -14,7 +14,8 @@
 
 import trio
 
-from fordstair.lab.appliance import NotStartedError, appliance
+from fordstair.lab.appliance import appliance
+from fordstair.lab.coordinator_process import NotStartedError
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
 from fordstair.lab.odata_traffic import ODataTraffic
--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -6,31 +6,31 @@
 
 from __future__ import annotations
 
-import signal
-import subprocess
-import sys
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
-from typing import Any
 
 import trio
 
 from fordstair.budgets.whole import MILLI, Plan, Whole
-from fordstair.lab.appliance import ask_door, end, operator_file, ports_of
+from fordstair.lab.appliance import operator_file
 from fordstair.lab.audit import Audit, of_files
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
-from fordstair.lab.relay import Relay
 from fordstair.lab.traffic import Kind, Tally, Traffic
+from fordstair.lab.trial_members import TrialMembers
 
-FRONTS = 4  # of a member: MessagePack-RPC, OData, the fleet's and the budgets'
-THREADS, RATE, FLOOR_PART = 64, 400.0, 0.35
-KARRI = "karri-energy"
-LOOK_S = 0.02
+THREADS = 64  # of the fleet's budget
+RATE_PER_S = 400.0  # of the fleet's budget
+FLOOR_SHARE = 0.35
+SETTLEMENT_THREADS = 4  # as the operator's file has it
+TEAM = "karri-energy"
+SAMPLE_S = 0.02  # between two samples of the threads at the engine
+QUERY_TIMEOUT_S = 0.3  # of a console: the member may be paused
+POLL_S = 0.05
 
 
-class Members:
+class Members(TrialMembers):
     """Running members by name; ``listed`` of them may lead and have floors."""
 
     def __init__(
@@ -43,22 +43,17 @@
         term_ms: float,
         drift: float,
     ) -> None:
-        self.folder, self.nursery, self.seed = folder, nursery, seed
-        self.relay = Relay(nursery, seed)
-        self.engine = StandIn("e-1", Machine(512.0), sessions=8_192)
-        self.names = [f"m{number}" for number in range(count)]
-        self.fronts: dict[str, str] = {}
-        self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.ports: dict[str, dict[str, int]] = {}
-        self.starts: dict[str, int] = {}
-        # as the program makes it of the file below: a settlement takes 4 threads
-        self.plan = Plan(
+        super().__init__(folder, nursery, count, seed, StandIn("e-1", Machine(512.0), sessions=8_192))
+        self.plan = Plan(  # as the program makes it of the operator's file
             "trial",
-            (Whole("threads", THREADS, KARRI, "", 4), Whole("rate", int(RATE * MILLI), KARRI)),
+            (
+                Whole("threads", THREADS, TEAM, "", SETTLEMENT_THREADS),
+                Whole("rate", int(RATE_PER_S * MILLI), TEAM),
+            ),
             tuple(self.names[:listed]),
             term_ms,
             drift,
-            floor_part=FLOOR_PART,
+            floor_part=FLOOR_SHARE,
         )
 
     async def open_fronts(self) -> None:
@@ -68,61 +63,40 @@
 
     async def start(self, name: str, clock_rate: float = 1.0) -> None:
         """Start a member, or one of this name anew; its leases' clock may run at another rate."""
-        self.starts[name] = life = self.starts.get(name, 0) + 1
-        file, log = self.folder / f"{name}.toml", self.folder / f"{name}.{life}.log"
-        listed = ", ".join(f'{other} = "{self.fronts[other]}"' for other in self.plan.members)
-        file.write_text(
-            operator_file([self.engine], self.folder / f"{name}.sock") + "[budgets]\nthreads_a_core = 4.0\n"
+        self.starts[name] += 1
+        program = ["-m", "fordstair"]
+        if clock_rate != 1.0:
+            program = ["-m", "fordstair.lab.skewed", str(clock_rate)]
+        await self.launch(name, self._operator_file(name), program)
+        self.relay.behind(name, f"127.0.0.1:{self.ports[name]['budgets']}")
+
+    def _operator_file(self, name: str) -> str:
+        members = ", ".join(f'{other} = "{self.fronts[other]}"' for other in self.plan.members)
+        return (
+            operator_file([self.engine], self.console_socket(name)) + "[budgets]\nthreads_a_core = 4.0\n"
             f'[fleet]\ncluster = "trial"\nmember = "{name}"\nlisten = "127.0.0.1:0"\n'
-            f'[fleet.budgets]\nlisten = "127.0.0.1:0"\nmembers = {{ {listed} }}\n'
-            f"term_ms = {self.plan.term_ms}\ndrift = {self.plan.drift}\nfloor_part = {FLOOR_PART}\n"
-            f'audit = "{self.folder / name}.{life}.audit"\n'
-            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nthreads = {THREADS}\n'
-            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nrequests_per_s = {RATE}\n'
+            f'[fleet.budgets]\nlisten = "127.0.0.1:0"\nmembers = {{ {members} }}\n'
+            f"term_ms = {self.plan.term_ms}\ndrift = {self.plan.drift}\nfloor_part = {FLOOR_SHARE}\n"
+            f'audit = "{self.path_of(name, "audit")}"\n'
+            f'[[fleet.budgets.whole]]\nteam = "{TEAM}"\nthreads = {THREADS}\n'
+            f'[[fleet.budgets.whole]]\nteam = "{TEAM}"\nrequests_per_s = {RATE_PER_S}\n'
         )
-        program = (
-            ["-m", "fordstair"] if clock_rate == 1.0 else ["-m", "fordstair.lab.skewed", str(clock_rate)]
-        )
-        with log.open("wb") as opened:
-            self.processes[name] = process = subprocess.Popen(
-                [sys.executable, *program, "--operator", str(file)],
-                stdout=subprocess.DEVNULL,
-                stderr=opened,
-                stdin=subprocess.DEVNULL,
-            )
-        self.ports[name] = await ports_of(process, log, FRONTS)
-        self.relay.behind(name, f"127.0.0.1:{self.ports[name]['budgets']}")
 
     def kill(self, name: str) -> None:
-        """End a member without a word."""
-        process = self.processes.pop(name)
-        process.send_signal(signal.SIGKILL)
-        process.wait()
+        """End a member without notice; it counts as no member from now on."""
+        self.processes.pop(name).kill()
 
     async def stop(self, name: str) -> None:
-        """End a member in order."""
-        await end(self.processes.pop(name))
-
-    def pause(self, name: str) -> None:
-        """Stop a member's process (SIGSTOP)."""
-        self.processes[name].send_signal(signal.SIGSTOP)
-
-    def resume(self, name: str) -> None:
-        """Let it go on."""
-        self.processes[name].send_signal(signal.SIGCONT)
-
-    async def ask(self, name: str, command: str) -> list[dict[str, Any]]:
-        """Return a table from a member's console door."""
-        rows: list[dict[str, Any]] = await ask_door(self.folder / f"{name}.sock", command)
-        return rows
+        """End a member in order; it counts as no member from now on."""
+        await self.processes.pop(name).stop()
 
     def audit(self) -> Audit:
-        """Return the audit of all lives so far."""
+        """Return the audit of all starts so far."""
         return of_files(self.plan, sorted(self.folder.glob("*.audit")))
 
     def lines(self, name: str, event: str) -> list[str]:
         """Return the lines of that event in a member's present log."""
-        text = (self.folder / f"{name}.{self.starts[name]}.log").read_text()
+        text = self.path_of(name, "log").read_text()
         return [line for line in text.splitlines() if event in line]
 
     async def shares(self) -> dict[str, int]:
@@ -130,8 +104,8 @@
         shares = dict[str, int]()
         for name in self.processes:
             shares[name] = 0
-            with trio.move_on_after(0.3):
-                rows = [row for row in await self.ask(name, "shares") if row["own"]]
+            with trio.move_on_after(QUERY_TIMEOUT_S):
+                rows = [row for row in await self.query(name, "shares") if row["own"]]
                 shares[name] = round(next(row["share"] for row in rows if "threads" in row["budget"]))
         return shares
 
@@ -140,21 +114,22 @@
         with trio.fail_after(20.0):
             while True:
                 for name in self.processes:
-                    with trio.move_on_after(0.3):
-                        if any(row["own"] and row["leads"] for row in await self.ask(name, "shares")):
+                    with trio.move_on_after(QUERY_TIMEOUT_S):
+                        if any(row["own"] and row["leads"] for row in await self.query(name, "shares")):
                             return name
-                await trio.sleep(0.05)
+                await trio.sleep(POLL_S)
 
     async def until_whole(self, within_s: float) -> float:
         """Wait until running members together hold all of the whole that can be had; return how long it took.
 
         The floors of listed members that do not run stay reserved.
         """
-        began, plan = trio.current_time(), self.plan
-        wanted = plan.pools[0] + plan.floors[0] * sum(name in plan.members for name in self.processes)
+        began = trio.current_time()
+        running_listed = sum(name in self.plan.members for name in self.processes)
+        wanted = self.plan.pools[0] + self.plan.floors[0] * running_listed
         with trio.fail_after(within_s):
             while sum((await self.shares()).values()) < wanted:
-                await trio.sleep(0.05)
+                await trio.sleep(POLL_S)
         return trio.current_time() - began
 
     async def traffic(
@@ -166,37 +141,38 @@
     ) -> tuple[dict[str, Tally], list[int]]:
         """Send settlements, and lookups, of one team through members, at rates a second.
 
-        Return what became of them, and how many threads they held at the engine, each LOOK_S.
+        Return what became of them, and how many threads they held at the engine, each SAMPLE_S.
         """
         kinds: dict[str, list[Kind]] = {name: [] for name in self.names}
         for name, rate in rates.items():
-            kinds[name].append(Kind("settlement", KARRI, rate, work_ms, 4_000.0))
+            kinds[name].append(Kind("settlement", TEAM, rate, work_ms, 4_000.0))
         for name, rate in (lookups or {}).items():
-            kinds[name].append(Kind("lookup", KARRI, rate, 20.0, 4_000.0))
-        tallies, held = dict[str, Tally](), list[int]()
+            kinds[name].append(Kind("lookup", TEAM, rate, 20.0, 4_000.0))
+        tallies: dict[str, Tally] = {}
+        held: list[int] = []
 
-        async def look() -> None:
+        async def sample() -> None:
             while True:
                 held.append(self.threads_held())
-                await trio.sleep(LOOK_S)
+                await trio.sleep(SAMPLE_S)
 
         async def send(name: str) -> None:
             seed = self.seed * 1_000 + self.names.index(name)  # no two clients use one id
             each = Traffic("127.0.0.1", self.ports[name]["listens"], kinds[name], seed, lines=64)
             tallies[name] = await each.run(seconds)
 
-        async with trio.open_nursery() as looks:
-            looks.start_soon(look)
+        async with trio.open_nursery() as samples:
+            samples.start_soon(sample)
             async with trio.open_nursery() as nursery:
                 for name in (name for name in self.names if kinds[name]):
                     nursery.start_soon(send, name)
-            looks.cancel_scope.cancel()
+            samples.cancel_scope.cancel()
         return tallies, held
 
     def threads_held(self) -> int:
         """Return how many threads the team's settlements hold at the engine now."""
         self.engine.held()
-        return 4 * sum(run.class_name == "settlement" for run in self.engine.runs.values())
+        return SETTLEMENT_THREADS * sum(run.class_name == "settlement" for run in self.engine.runs.values())
 
 
 @asynccontextmanager
@@ -211,16 +187,14 @@
 ) -> AsyncIterator[Members]:
     """That many members, running; their shares come once a leader has learned."""
     async with trio.open_nursery() as nursery:
-        all_of = Members(folder, nursery, count, listed, seed, term_ms, drift)
-        await nursery.start(all_of.engine.serve)
-        await all_of.open_fronts()
+        fleet = Members(folder, nursery, count, listed, seed, term_ms, drift)
+        await nursery.start(fleet.engine.serve)
+        await fleet.open_fronts()
         try:
             async with trio.open_nursery() as starts:
-                for name in all_of.names:
-                    starts.start_soon(all_of.start, name)
-            yield all_of
+                for name in fleet.names:
+                    starts.start_soon(fleet.start, name)
+            yield fleet
         finally:
-            for process in all_of.processes.values():
-                process.kill()
-                process.wait()
+            fleet.kill_all()
             nursery.cancel_scope.cancel()
--- /dev/null
+++ b/fordstair/lab/coordinator_process.py
@@ -0,0 +1,135 @@
+"""A coordinator as a process of its own: start it, wait until it listens, read its log, end it."""
+
+from __future__ import annotations
+
+import os
+import subprocess
+import sys
+from collections.abc import Mapping, Sequence
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import trio
+
+START_TIMEOUT_S = 15.0
+STOP_TIMEOUT_S = 10.0
+POLL_S = 0.02
+LISTENING = "listening"  # the log event that names the port of a front
+READ_BYTES = 65_536
+CLOCK_TICKS_PER_S = 100.0  # of the processor times in /proc
+
+
+class NotStartedError(Exception):
+    """The program did not start, or did not stay; with the last line of its log."""
+
+
+class CoordinatorProcess:
+    """One process of the program; its standard error goes to a file, and it reads no input."""
+
+    def __init__(
+        self,
+        arguments: Sequence[str],
+        log: Path,
+        environ: Mapping[str, str] | None = None,
+        *,
+        append: bool = False,
+    ) -> None:
+        """Start ``python ARGUMENTS`` with variables beside those of this process."""
+        self.log = log
+        with log.open("ab" if append else "wb") as opened:
+            self._process = subprocess.Popen(
+                [sys.executable, *arguments],
+                env=os.environ | (environ or {}),
+                stdin=subprocess.DEVNULL,
+                stdout=subprocess.DEVNULL,
+                stderr=opened,
+            )
+
+    @property
+    def pid(self) -> int:
+        """The process's number."""
+        return self._process.pid
+
+    @property
+    def returncode(self) -> int | None:
+        """The exit status; None while it runs."""
+        return self._process.poll()
+
+    @property
+    def cpu_s(self) -> float:
+        """Processor seconds that it has used so far."""
+        fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
+
+    def log_lines(self) -> list[str]:
+        """Return the lines of its log so far, without a last one that is not complete."""
+        return self.log.read_text(errors="replace").rpartition("\n")[0].splitlines()
+
+    async def wait_listening(self, front_count: int, timeout_s: float = START_TIMEOUT_S) -> dict[str, int]:
+        """Wait until so many fronts listen; return their ports by name. Raise NotStartedError."""
+        with trio.move_on_after(timeout_s):
+            while len(ports := listening_ports(self.log_lines())) < front_count:
+                if self.returncode is not None:
+                    break
+                await trio.sleep(POLL_S)
+            else:
+                return ports
+        lines = self.log.read_text(errors="replace").splitlines()
+        raise NotStartedError(
+            f"the appliance has not started: {lines[-1] if lines else 'it has said nothing'}"
+        )
+
+    async def wait(self) -> int:
+        """Wait for the end; return the exit status."""
+        while (status := self.returncode) is None:
+            await trio.sleep(POLL_S)
+        return status
+
+    def send_signal(self, number: int) -> None:
+        """Send a signal, unless the process has ended."""
+        self._process.send_signal(number)
+
+    def terminate(self) -> None:
+        """Ask it to end, as a platform does."""
+        self._process.terminate()
+
+    def kill(self) -> None:
+        """End it without notice (SIGKILL), and wait until it has gone."""
+        self._process.kill()
+        self._process.wait()
+
+    async def stop(self) -> None:
+        """End it in order, by force only where it does not end by itself."""
+        await stop_process(self._process)
+
+
+async def stop_process(process: subprocess.Popen[bytes]) -> None:
+    """End a process in order, by force only where it does not end by itself."""
+    process.terminate()
+    with trio.move_on_after(STOP_TIMEOUT_S):
+        while process.poll() is None:
+            await trio.sleep(POLL_S)
+    if process.poll() is None:
+        process.kill()
+        process.wait()
+
+
+def listening_ports(lines: Sequence[str]) -> dict[str, int]:
+    """Return the ports that a log names, by front."""
+    ports: dict[str, int] = {}
+    for line in lines:
+        fields = dict(part.split("=", 1) for part in line.split() if "=" in part)
+        if LISTENING in line and fields.get("port", "").isdecimal():
+            ports[fields.get("front", "")] = int(fields["port"])
+    return ports
+
+
+async def query_console(socket_path: Path, table: str) -> Any:
+    """Ask a program's console socket for a table; return its rows."""
+    async with await trio.open_unix_socket(socket_path) as stream:
+        await stream.send_all(msgspec.json.encode({"command": table}) + b"\n")
+        answer = b""
+        while not answer.endswith(b"\n") and (chunk := await stream.receive_some(READ_BYTES)):
+            answer += chunk
+    return msgspec.json.decode(answer)[table]
--- a/fordstair/lab/ledger_trial.py
+++ b/fordstair/lab/ledger_trial.py
@@ -9,10 +9,7 @@
 import random
 import re
 import resource
-import signal
 import socket
-import subprocess
-import sys
 from collections import Counter
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
@@ -22,48 +19,44 @@
 import msgspec
 import trio
 
-from fordstair.lab.appliance import ask_door, end, operator_file, ports_of
+from fordstair.lab.appliance import operator_file
 from fordstair.lab.engine import StandIn
 from fordstair.lab.history import How, Operation
 from fordstair.lab.machine import Machine
-from fordstair.lab.relay import Faults, Relay
+from fordstair.lab.relay import Faults
+from fordstair.lab.trial_members import TrialMembers
 from fordstair.replication.ledger import Entry
 from fordstair.replication.records import CLAIM, of_entry
 from fordstair.runtime.clock import unix_now
 from fordstair.store.disk import Disk, Record, Spoilt
 
-FRONTS = 4  # of a member: MessagePack-RPC, OData, the fleet's and the ledger's
-ANSWER_S = 8.0
-_CAUGHT = re.compile(r"ledger.caught_up .*?entries=(\d+)")
-_ID = re.compile(rb"'(load-[0-9a-z-]+)'")
+ANSWER_TIMEOUT_S = 8.0
+POLL_S = 0.05
+_CAUGHT_UP = re.compile(r"ledger.caught_up .*?entries=(\d+)")
+_LOAD_ID = re.compile(rb"'(load-[0-9a-z-]+)'")
 
 
-class Trial:
+class Trial(TrialMembers):
     """The members by name, the operations so far, and how often each load was begun."""
 
     def __init__(self, folder: Path, nursery: trio.Nursery, count: int, seed: int, more: str) -> None:
-        self.folder, self.random, self.more = folder, random.Random(seed), more
-        self.relay = Relay(nursery, seed)
-        self.engine = StandIn("e-1", Machine(200.0), sessions=4_096)
+        super().__init__(folder, nursery, count, seed, StandIn("e-1", Machine(200.0), sessions=4_096))
+        self.random = random.Random(seed)
+        self.more = more
         self.engine.on_start = self._began
-        self.names = [f"m{number}" for number in range(count)]
         # a host of its own for each, and for each trial that runs beside this one
         self.hosts = {
             name: f"127.{10 + seed % 200}.{1 + seed // 200 % 200}.{number + 1}"
             for number, name in enumerate(self.names)
         }
-        self.fronts: dict[str, str] = {}
-        self.own: dict[str, str] = {}
-        self.ledgers: dict[str, str] = {}
-        self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.ports: dict[str, dict[str, int]] = {}
+        self.own_addresses: dict[str, str] = {}  # of the ledger's front
+        self.ledger_fronts: dict[str, str] = {}  # of the relay, before these
         self.operations: list[Operation] = []
         self.runs: Counter[str] = Counter()
-        self.starts: Counter[str] = Counter()
         self._ids = 0
 
     def _began(self, class_name: str, statement: bytes) -> None:
-        if (found := _ID.search(statement)) is not None:
+        if (found := _LOAD_ID.search(statement)) is not None:
             self.runs[found[1].decode()] += 1
 
     async def open_fronts(self) -> None:
@@ -72,39 +65,28 @@
             self.fronts[name] = await self.relay.front(name)
             with socket.socket() as probe:
                 probe.bind((host, 0))
-                self.own[name] = f"{host}:{probe.getsockname()[1]}"
-            self.ledgers[name] = await self.relay.tcp_front(name, self.own[name], host)
+                self.own_addresses[name] = f"{host}:{probe.getsockname()[1]}"
+            self.ledger_fronts[name] = await self.relay.tcp_front(name, self.own_addresses[name], host)
 
     async def start(self, name: str) -> None:
         """Start a member, or start it anew on what its store has kept."""
         self.starts[name] += 1
-        file, log = self.folder / f"{name}.toml", self.folder / f"{name}.{self.starts[name]}.log"
-        holders = ", ".join(f'{other} = "{address}"' for other, address in self.ledgers.items())
+        await self.launch(name, self._operator_file(name))
+        self.relay.behind(name, f"{self.hosts[name]}:{self.ports[name]['fleet']}")
+
+    def _operator_file(self, name: str) -> str:
+        holders = ", ".join(f'{other} = "{address}"' for other, address in self.ledger_fronts.items())
         seeds = ", ".join(f'"{front}"' for other, front in self.fronts.items() if other != name)
-        site = operator_file([self.engine], self.folder / f"{name}.sock")
-        file.write_text(
-            site + f'[[set]]\nname = "Readings"\ntable = "readings_2.intervals"\nread = "settlement"\n'
+        return (
+            operator_file([self.engine], self.console_socket(name))
+            + '[[set]]\nname = "Readings"\ntable = "readings_2.intervals"\nread = "settlement"\n'
             f'columns = ["meter", "started", "kwh"]\nwrite = "meter-load"\n'
             f'[fleet]\ncluster = "trial"\nmember = "{name}"\nlisten = "{self.hosts[name]}:0"\n'
             f'advertise = "{self.fronts[name]}"\nseeds = [{seeds}]\nprobe_ms = 300\ntimeout_ms = 100\n'
-            f'sync_ms = 2000\n[fleet.ledger]\nlisten = "{self.own[name]}"\n'
+            f'sync_ms = 2000\n[fleet.ledger]\nlisten = "{self.own_addresses[name]}"\n'
             f'store = "{self.folder / name}.ledger"\nholders = {{ {holders} }}\n'
             f"exchange_ms = 500\n{self.more}\n"
         )
-        with log.open("wb") as opened:
-            self.processes[name] = process = subprocess.Popen(
-                [sys.executable, "-m", "fordstair", "--operator", str(file)],
-                stdout=subprocess.DEVNULL,
-                stderr=opened,
-                stdin=subprocess.DEVNULL,
-            )
-        self.ports[name] = await ports_of(process, log, FRONTS)
-        self.relay.behind(name, f"{self.hosts[name]}:{self.ports[name]['fleet']}")
-
-    def kill(self, name: str) -> None:
-        """End a member without a word."""
-        self.processes[name].send_signal(signal.SIGKILL)
-        self.processes[name].wait()
 
     def fill_disk(self, name: str) -> None:
         """Let a member's files grow no further, as on a disk that is full: EFBIG stands in for ENOSPC."""
@@ -137,11 +119,11 @@
         disk.close()
 
     async def logged(self, name: str, text: str, within_s: float = 20.0) -> str:
-        """Wait until a member's present life has logged a text; return its whole log."""
-        log = self.folder / f"{name}.{self.starts[name]}.log"
+        """Wait until a member's present start has logged a text; return its whole log."""
+        log = self.path_of(name, "log")
         with trio.fail_after(within_s):
             while text not in (told := log.read_text()):
-                await trio.sleep(0.05)
+                await trio.sleep(POLL_S)
         return told
 
     def preload(self, name: str, count: int) -> None:
@@ -163,8 +145,8 @@
         )
 
     async def members(self, name: str) -> dict[str, dict[str, Any]]:
-        """Return what a member shows of all members on its console's door."""
-        return {row["name"]: row for row in await ask_door(self.folder / f"{name}.sock", "members")}
+        """Return what a member shows of all members on its console."""
+        return {row["name"]: row for row in await self.query(name, "members")}
 
     async def alike(self, within_s: float) -> float:
         """Wait until all members remember as many loads, and no ranges differ; return how long that took."""
@@ -175,13 +157,14 @@
                 entries = {view[name]["entries"] for view, name in views}
                 if len(entries) == 1 and not any(row["behind"] for view, _ in views for row in view.values()):
                     return trio.current_time() - began
-                await trio.sleep(0.05)
+                await trio.sleep(POLL_S)
 
     async def caught_up(self, name: str, count: int) -> float:
-        """Wait until a member's present life has caught up on so many entries; return how long that took."""
-        began, log = trio.current_time(), self.folder / f"{name}.{self.starts[name]}.log"
-        while sum(map(int, _CAUGHT.findall(log.read_text()))) < count:
-            await trio.sleep(0.05)
+        """Wait until a member's present start has caught up on so many entries; return how long that took."""
+        began = trio.current_time()
+        log = self.path_of(name, "log")
+        while sum(map(int, _CAUGHT_UP.findall(log.read_text()))) < count:
+            await trio.sleep(POLL_S)
         return trio.current_time() - began
 
     def new_id(self) -> str:
@@ -193,7 +176,7 @@
         """Send the load of this id through a member, and note what became of it."""
         invoked = trio.current_time()
         how: How = "unknown"
-        with trio.move_on_after(ANSWER_S):
+        with trio.move_on_after(ANSWER_TIMEOUT_S):
             try:
                 status = await self._post(name, id)
                 how = "ok" if status in (201, 204) else "fail" if status == 503 else "unknown"
@@ -238,7 +221,7 @@
         await trio.sleep(settle_s)
         async with trio.open_nursery() as nursery:
             for process in self.processes.values():
-                nursery.start_soon(end, process)
+                nursery.start_soon(process.stop)
         copies = dict[str, dict[str, bytes]]()
         for name in self.names:
             for key, entry in stored(str(self.folder / f"{name}.ledger")).items():
@@ -275,9 +258,7 @@
             await one.until_granting()
             yield one
         finally:
-            for process in one.processes.values():
-                process.kill()
-                process.wait()
+            one.kill_all()
             nursery.cancel_scope.cancel()
 
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -2,11 +2,6 @@
 
 from __future__ import annotations
 
-import os
-import re
-import signal
-import subprocess
-import sys
 import tempfile
 from collections import Counter
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -22,6 +17,7 @@
 
 from fordstair.configuration.platform import parse
 from fordstair.lab import platform_settings
+from fordstair.lab.coordinator_process import CoordinatorProcess
 from fordstair.program import Program as Coordination
 
 ROOT = Path(__file__).parent.parent
@@ -205,10 +201,20 @@
 class Program:
     """The real program, started with a configuration."""
 
-    def __init__(self, process: trio.Process, log: list[str]) -> None:
-        self.process, self.log = process, log
-        self.path = Path()  # its configuration
+    def __init__(self, process: CoordinatorProcess, path: Path) -> None:
+        self.process = process
+        self.path = path  # of its configuration
         self.ports: dict[str, int] = {}
+        self._last_log: list[str] | None = None
+
+    @property
+    def log(self) -> list[str]:
+        """The lines of its log so far, after its end as well."""
+        return self.process.log_lines() if self._last_log is None else self._last_log
+
+    def close_log(self) -> None:
+        """Keep the lines: the file goes with its folder."""
+        self._last_log = self.process.log_lines()
 
     async def client(self) -> Client:
         """Connect a client."""
@@ -216,7 +222,7 @@
 
     async def stop(self) -> int:
         """Send SIGTERM and wait for the end."""
-        self.process.send_signal(signal.SIGTERM)
+        self.process.terminate()
         with trio.fail_after(20.0):
             return await self.process.wait()
 
@@ -236,42 +242,18 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(ujson.dumps(told))
-        environ = os.environ | {"RELAY_CONFIG": str(path)} | (environ or {})
-        async with trio.open_nursery() as nursery:
-            process = await nursery.start(
-                lambda task_status: trio.run_process(
-                    [sys.executable, "-m", module, *arguments],
-                    env=environ,
-                    cwd=ROOT,
-                    check=False,
-                    stderr=subprocess.PIPE,
-                    capture_stderr=False,
-                    task_status=task_status,
-                )
-            )
-            one, ready = Program(process, []), trio.Event()
-            one.path = path
-            nursery.start_soon(_follow, one, ready, fronts or 1 + len(arguments) // 2)
-            with trio.fail_after(20.0):
-                await ready.wait()
+        process = CoordinatorProcess(
+            ["-m", module, *arguments],
+            Path(folder) / "log",
+            {"RELAY_CONFIG": str(path), **(environ or {})},
+        )
+        one = Program(process, path)
+        try:
+            one.ports = await process.wait_listening(fronts or 1 + len(arguments) // 2, timeout_s=20.0)
             yield one
-            if process.returncode is None:
-                process.kill()
-
-
-async def _follow(one: Program, ready: trio.Event, fronts: int) -> None:
-    assert one.process.stderr is not None
-    text = b""
-    async for chunk in one.process.stderr:
-        text += chunk
-        *lines, text = text.split(b"\n")
-        for line in lines:
-            one.log.append(line.decode())
-            if match := re.search(r"front=(\w+) host=\S+ port=(\d+)", line.decode()):
-                one.ports[match[1]] = int(match[2])
-                if len(one.ports) >= fronts:
-                    ready.set()
-    ready.set()
+        finally:
+            process.kill()
+            one.close_log()
 
 
 @asynccontextmanager
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -151,7 +151,7 @@
                     leader = await fleet.leader()
                     rows = [
                         row
-                        for row in await fleet.ask(leader, "shares")
+                        for row in await fleet.query(leader, "shares")
                         if row["budget"].startswith("threads")
                     ]
                     if {row["member"] for row in rows} == set(fleet.names) and sum(
@@ -162,7 +162,7 @@
             assert rows[0]["whole"] == THREADS
             assert rows[0]["until_ms"] > 0.0
             other = next(name for name in fleet.names if name != leader)
-            own = await fleet.ask(other, "shares")
+            own = await fleet.query(other, "shares")
             assert {row["member"] for row in own} == {other}
             assert len(own) == 2
             assert own[0]["own"]
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -21,7 +21,8 @@
 
 from fordstair.console.app import ConsoleApp, Question, Table
 from fordstair.console.connection import ConsoleConnectionError, send_command
-from fordstair.lab.appliance import Appliance, appliance, end, operator_file
+from fordstair.lab.appliance import Appliance, appliance, operator_file
+from fordstair.lab.coordinator_process import stop_process
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
 from fordstair.lab.traffic import Kind, Tally, Traffic
@@ -47,11 +48,11 @@
     """An appliance with stand-in engines."""
 
     def __init__(self, running: Appliance, engines: list[StandIn]) -> None:
-        self.engines, self.door = engines, running.door
+        self.engines, self.console_socket = engines, running.console_socket
         self.process, self.ports = running.process, running.ports
 
     def told(self, table: str) -> dict[str, dict[str, Any]]:
-        rows = send_command(self.door, table)[table]
+        rows = send_command(self.console_socket, table)[table]
         return {row.get("id", row.get("name", row.get("target"))): row for row in rows}
 
     async def until(self, wanted: Callable[[], object], within_s: float = 10.0) -> None:
@@ -85,7 +86,7 @@
             await one.until(lambda: all(row["state"] == "ready" for row in one.told("engines").values()))
 
             # Set aside: nothing new from 500 ms on, and the view says who did it.
-            answer = await command("set-aside", first.name, "--socket", one.door, "--json")
+            answer = await command("set-aside", first.name, "--socket", one.console_socket, "--json")
             assert ujson.loads(answer.stdout)["verdict"] == "done"
             await trio.sleep(0.5)
             before = first.counts["POST"]
@@ -103,24 +104,24 @@
             second.come_back_cold()
             await one.until(lambda: one.told("engines")[second.name]["state"] in ("ready", "warming"), 20.0)
 
-            answer = await command("bring-back", first.name, "--socket", one.door)
+            answer = await command("bring-back", first.name, "--socket", one.console_socket)
             assert answer.returncode == 0
             posts = first.counts["POST"]
             await one.until(lambda: first.counts["POST"] > posts)
-            answer = await command("limit", "settlement", "8", "--socket", one.door)
+            answer = await command("limit", "settlement", "8", "--socket", one.console_socket)
             assert answer.returncode == 0
             assert one.told("classes")["settlement"]["limit"] == 8
             await done.wait()
             # Drain, by a console that is killed in the middle of it, while requests still come.
             nursery.start_soon(traffic.run, 0.4)
             with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as door:
-                door.connect(one.door)
+                door.connect(one.console_socket)
                 door.sendall(b'{"command":"drain","confirmed":true}\n')
             with trio.fail_after(15.0):
-                while one.process.poll() is None:
+                while one.process.returncode is None:
                     await trio.sleep(0.02)
             assert one.process.returncode == 0
-            assert not Path(one.door).exists()
+            assert not Path(one.console_socket).exists()
             counts = traffic.tally.counts
             answered = counts["served"] + counts["refused"] + counts["failed"]
             assert answered == counts["asked"]
@@ -150,7 +151,7 @@
                     each.name: len(each.held()) for each in one.engines
                 }
                 held = {txn: each.name for each in one.engines for txn in each.held()}
-                told = send_command(one.door, "requests")["requests"]
+                told = send_command(one.console_socket, "requests")["requests"]
                 assert {row["txn"]: row["engine"] for row in told} == held
                 assert one.told("teams")["karri-energy"]["threads"] == 12
                 nursery.cancel_scope.cancel()
@@ -162,7 +163,7 @@
     """Textual's pilot against the real program: adjust, confirm, be told of a conflict, see STALE in time."""
 
     async def watched(one: Site) -> None:
-        app = ConsoleApp(one.door)
+        app = ConsoleApp(one.console_socket)
         async with app.run_test(size=(80, 24)) as pilot:
 
             async def until(wanted: Callable[[], object], within_s: float = 5.0) -> float:
@@ -189,9 +190,9 @@
             await until(lambda: "engine:engine-0" in app.picture.table("adjustments"))
             # Another operator is first: this console acts on what it has seen, and is told so.
             stale_revision = app.picture.site.revision
-            send_command(one.door, "bring-back", engine="engine-0")
+            send_command(one.console_socket, "bring-back", engine="engine-0")
             answer = send_command(
-                one.door, "set-aside", engine="engine-0", seen=stale_revision, confirmed=True
+                one.console_socket, "set-aside", engine="engine-0", seen=stale_revision, confirmed=True
             )
             assert answer["verdict"] == "conflict"
             await pilot.press("question_mark")
@@ -225,7 +226,7 @@
             pictures, told = [Picture()] * 7, [0] * 7
 
             async def reads(number: int) -> None:
-                stream, buffer = await trio.open_unix_socket(one.door), b""
+                stream, buffer = await trio.open_unix_socket(one.console_socket), b""
                 await stream.send_all(b'{"command":"follow"}\n')
                 async for chunk in stream:
                     *lines, buffer = (buffer + chunk).split(b"\n")
@@ -234,18 +235,20 @@
                         told[number] += 1
                         await stream.send_all(b"\n")
 
-            stopped = await trio.open_unix_socket(one.door)
+            stopped = await trio.open_unix_socket(one.console_socket)
             await stopped.send_all(b'{"command":"follow"}\n')
             for number in range(7):
                 nursery.start_soon(reads, number)
-            await one.until(lambda: send_command(one.door, "status")["status"]["watchers"] == 8)
+            await one.until(lambda: send_command(one.console_socket, "status")["status"]["watchers"] == 8)
             with pytest.raises(ConsoleConnectionError, match="8 consoles follow"):
-                send_command(one.door, "follow")
-            await one.until(lambda: send_command(one.door, "counters")["counters"].get("console.cut"), 30.0)
-            assert send_command(one.door, "status")["status"]["watchers"] == 7
+                send_command(one.console_socket, "follow")
+            await one.until(
+                lambda: send_command(one.console_socket, "counters")["counters"].get("console.cut"), 30.0
+            )
+            assert send_command(one.console_socket, "status")["status"]["watchers"] == 7
             # Each is told on its own, five times a second: the one that makes a picture keeps it from nobody.
             assert all(15 <= frames <= 28 for frames in told), told
-            held = send_command(one.door, "classes")["classes"][0]
+            held = send_command(one.console_socket, "classes")["classes"][0]
             assert pictures[0].table("classes")["lookup"].served <= held["served"]
             await one.until(lambda: traffic.tally.counts["asked"] and not traffic.lines, 30.0)
             assert traffic.tally.counts["served"] == traffic.tally.counts["asked"]
@@ -267,7 +270,7 @@
             done = await command("serve", file)  # in use: not taken
             assert done.returncode == 2
             assert b"another program listens there" in done.stderr
-            assert send_command(one.door, "status")["status"]["name"] == "demo"
+            assert send_command(one.console_socket, "status")["status"]["name"] == "demo"
         door.write_text("mine")
         done = await command("serve", str(tmp_path / "appliance.toml"))
         assert done.returncode == 2
@@ -310,7 +313,7 @@
                 assert tally.counts["served"] == tally.counts["asked"] > 40
                 assert tally.at(99.0) < 1_500.0
             finally:
-                await end(process)
+                await stop_process(process)
                 os.close(write)
                 os.close(read)
             nursery.cancel_scope.cancel()
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,7 +16,7 @@
 import trio
 import ujson
 
-from fordstair.lab.appliance import ask_door
+from fordstair.lab.coordinator_process import query_console
 from fordstair.lab.relay import Faults, Relay
 from fordstair.membership.messages import MemberState, TablePart, Update, encode
 from tests.standins import ROOT, Program, config, program
@@ -56,8 +56,8 @@
             await trio.sleep_forever()
 
     async def ask(self, name: str, command: str) -> Any:
-        """Ask one member's door."""
-        return await ask_door(self.folder / f"{name}.sock", command)
+        """Return a table of one member's console."""
+        return await query_console(self.folder / f"{name}.sock", command)
 
     async def view(self, name: str) -> dict[str, dict[str, Any]]:
         """Return what one member believes of all, itself among them."""
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -350,12 +350,12 @@
                 assert sum(engine.counts["POST"] for engine in engines) < 8  # the others wait
                 one.process.terminate()
                 with trio.fail_after(15.0):
-                    while one.process.poll() is None:
+                    while one.process.returncode is None:
                         await trio.sleep(0.02)
                 nursery.cancel_scope.cancel()
             counts = traffic.tally.counts
             assert one.process.returncode == 0
-            assert "Traceback" not in one.log.read_text()
+            assert "Traceback" not in one.process.log.read_text()
             assert counts["served"] + counts["refused"] + counts["failed"] == 8
             assert not counts["lost"]
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -189,7 +189,7 @@
 
                 async def logged(text: str) -> None:
                     with trio.fail_after(15.0):
-                        while text not in node.log.read_text():
+                        while text not in node.process.log.read_text():
                             await trio.sleep(0.05)
 
                 assert await ask(2.0, 1) > 0.95
