--- a/fordstair/lab/soak/__main__.py
+++ b/fordstair/lab/soak/__main__.py
@@ -6,7 +6,7 @@
 import sys
 from dataclasses import replace
 
-from fordstair.lab.soak.run import LAG_MOST_S, Plan, soak
+from fordstair.lab.soak.run import MAX_LAG_S, Plan, soak
 
 
 def main() -> int:
@@ -26,7 +26,7 @@
     for seed in range(int(first), int(last or first) + 1):
         report = soak(replace(plan, seed=seed))
         print(report, flush=True)
-        if report.record.worst_lag_s > LAG_MOST_S:
+        if report.record.worst_lag_s > MAX_LAG_S:
             late.append(seed)  # the machine was too busy to judge
         elif report.violations:
             broken.append(seed)
--- a/fordstair/lab/soak/clients.py
+++ b/fordstair/lab/soak/clients.py
@@ -8,7 +8,7 @@
 import msgpack
 import trio
 
-from fordstair.lab.soak.coordinators import HOST, CoordinatorProcess
+from fordstair.lab.soak.coordinators import HOST, SoakCoordinator
 from fordstair.lab.soak.records import RequestRecord, SoakRecord
 
 READ_BYTES = 65_536
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        coordinator: CoordinatorProcess,
+        coordinator: SoakCoordinator,
         record: SoakRecord,
         seed: int,
         rate_per_s: float,
--- a/fordstair/lab/soak/run.py
+++ b/fordstair/lab/soak/run.py
@@ -14,15 +14,16 @@
 
 from fordstair.lab.platform_settings import SETTINGS
 from fordstair.lab.soak.clients import Clients
-from fordstair.lab.soak.coordinators import CoordinatorProcess
+from fordstair.lab.soak.coordinators import SoakCoordinator
 from fordstair.lab.soak.discovery import DRAINING, READY, DiscoveryStandIn
 from fordstair.lab.soak.engines import WatchedEngine
 from fordstair.lab.soak.oracle import Oracle, Violation
 from fordstair.lab.soak.plan import Fault, FaultKind, draw_faults
 from fordstair.lab.soak.records import Drain, InjectedFault, SoakRecord, Span
 
-LAG_MOST_S = 0.5  # a run that was later than that itself judges nothing
-BEAT_S = 0.05
+MAX_LAG_S = 0.5  # a run that was itself later than that judges nothing
+WATCH_INTERVAL_S = 0.05
+SLOWNESS = 6.0  # times as long, at an engine that is slowed down
 FIRST_PORT = 20_000  # below those that the system hands out by itself
 
 
@@ -69,10 +70,12 @@
     """One run."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
-        self.plan, self.folder, self.record = plan, folder, SoakRecord()
+        self.plan = plan
+        self.folder = folder
+        self.record = SoakRecord()
         self.start_s = math.nan
         self.engines: dict[str, WatchedEngine] = {}
-        self.coordinators: dict[str, CoordinatorProcess] = {}
+        self.coordinators: dict[str, SoakCoordinator] = {}
         self.discovery = DiscoveryStandIn({})
         self._channel = 0  # which of discovery's ports is told
         self._starts = trio.CapacityLimiter(2)  # at a time: they would slow each other down
@@ -114,10 +117,10 @@
         settings = SETTINGS | {"instances": len(names)}
         async with trio.open_nursery() as nursery:
             for port, name in enumerate(names, FIRST_PORT):
-                self.coordinators[name] = CoordinatorProcess(name, port, self.folder, settings, self.record)
+                self.coordinators[name] = SoakCoordinator(name, port, self.folder, settings, self.record)
                 nursery.start_soon(self._start, self.coordinators[name])
 
-    async def _start(self, coordinator: CoordinatorProcess) -> None:
+    async def _start(self, coordinator: SoakCoordinator) -> None:
         async with self._starts:
             await coordinator.start(self.discovery.known(), self._address())
 
@@ -141,7 +144,7 @@
 
     async def _end_all(self) -> None:
         for coordinator in self.coordinators.values():
-            coordinator.look(self.now_s())
+            coordinator.check_running(self.now_s())
         async with trio.open_nursery() as nursery:
             for coordinator in self.coordinators.values():
                 coordinator.signal(signal.SIGCONT)
@@ -150,11 +153,11 @@
     async def _watch(self) -> None:
         """Look for ends that nobody wanted, and for how late this program is itself."""
         while True:
-            due_s = trio.current_time() + BEAT_S
+            due_s = trio.current_time() + WATCH_INTERVAL_S
             await trio.sleep_until(due_s)
             self.record.worst_lag_s = max(self.record.worst_lag_s, trio.current_time() - due_s)
             for coordinator in self.coordinators.values():
-                coordinator.look(self.now_s())
+                coordinator.check_running(self.now_s())
 
     async def _inject(self, fault: Fault) -> None:
         """Let a fault hold for its time, and write down when it did."""
@@ -178,7 +181,7 @@
 
     async def _shim_fault(self, fault: Fault) -> None:
         coordinator = self.coordinators[fault.name]
-        await coordinator.put(fault)
+        await coordinator.inject(fault)
         await trio.sleep(fault.lasts_s)
         await coordinator.lift(fault)
 
@@ -234,7 +237,7 @@
             await trio.sleep(fault.lasts_s)
             engine.speak_again()
         elif fault.kind is FaultKind.SLOW_DOWN:
-            engine.slow_down(6.0)
+            engine.slow_down(SLOWNESS)
             await trio.sleep(fault.lasts_s)
             engine.slow_down(1.0)
         elif fault.kind is FaultKind.FILL_UP:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -18,7 +18,7 @@
     SoakRecord,
     Span,
 )
-from fordstair.lab.soak.run import LAG_MOST_S, Plan, soak
+from fordstair.lab.soak.run import MAX_LAG_S, Plan, soak
 
 TXN = "a" * 16
 
@@ -99,7 +99,7 @@
 
 def test_ten_coordinators_break_no_rule_under_overlapping_faults() -> None:
     report = soak(Plan(seed=1, seconds=8.0, coordinators=10, faults_per_s=4.0, rate_per_s=5.0))
-    assert report.record.worst_lag_s < LAG_MOST_S, "the machine is too busy to judge"
+    assert report.record.worst_lag_s < MAX_LAG_S, "the machine is too busy to judge"
     assert not report.violations, str(report)
     assert report.answers["served"] > 100
     assert len(report.record.injected) > 15
