--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -23,8 +23,9 @@
 from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import TEAMS, Arrival, Shape, generate
 from fordstair.lab.machine import Machine
+from fordstair.lab.played_request import PlayedRequest
 from fordstair.lab.replay import priority_weight
-from fordstair.lab.virtual import FULL_FROM, Record, World
+from fordstair.lab.virtual import DAY_START_MS, World
 from fordstair.scheduling.scheduler import AGE_EVERY, Room, Scheduler, Told
 
 SHARES = (0.73, 0.16, 0.11)
@@ -66,7 +67,7 @@
     )
 
 
-def play(arrivals: list[Arrival], seed: int, scheduled: bool) -> tuple[World, list[Record]]:
+def play(arrivals: list[Arrival], seed: int, scheduled: bool) -> tuple[World, list[PlayedRequest]]:
     """Play a close; return the world at its end and what became of each request."""
     scheduler = (
         Scheduler(
@@ -104,14 +105,14 @@
     kept = windows = 0
     teams, asked = range(len(SHARES)), dict[int, list[float]]()
     for record in world.records.values():
-        span = int((FULL_FROM + record.arrival.at_ms) // 1000)
+        span = int((DAY_START_MS + record.arrival.at_ms) // 1000)
         asked.setdefault(span, [0.0] * len(SHARES))[record.team] += record.arrival.work_ms
-    first, last = int(FULL_FROM // 1000), max(world.held.spans, default=0)
+    first, last = int(DAY_START_MS // 1000), max(world.thread_time.spans, default=0)
     for start in range(first, last - WINDOW_S + 1):
         spans = range(start, start + WINDOW_S)
         if not all(world.backlog.get(span) for span in spans):
             continue
-        held = [sum(world.held.spans.get(span, {}).get(team, 0.0) for span in spans) for team in teams]
+        held = [sum(world.thread_time.spans.get(span, {}).get(team, 0.0) for span in spans) for team in teams]
         wanted = [sum(asked[span][team] for span in spans if span in asked) for team in teams]
         stretch = max(1.0, sum(held) / max(1.0, sum(wanted)))  # what is held takes longer than its work
         due = fair(SHARES, [want * stretch for want in wanted], sum(held))
@@ -121,7 +122,9 @@
     return (kept / windows if windows else 1.0), windows
 
 
-def waits_within(records: list[Record], spans: tuple[tuple[float, float], ...] = ()) -> tuple[float, int]:
+def waits_within(
+    records: list[PlayedRequest], spans: tuple[tuple[float, float], ...] = ()
+) -> tuple[float, int]:
     """Return the part of released requests whose wait was within 20% or 50 ms of the estimate."""
     asked = [
         record
--- a/benchmarks/console_cost.py
+++ b/benchmarks/console_cost.py
@@ -76,7 +76,7 @@
                 await traffic.send(LOOKUP, trio.current_time(), nursery)
             served = traffic.tally.counts["served"]
             while traffic.tally.counts["served"] == served and trio.current_time() < until:
-                await trio.sleep(0)
+                await trio.lowlevel.checkpoint()
         served = traffic.tally.counts["served"]
         nursery.cancel_scope.cancel()
     return served, running.process.cpu_s - before, traffic.tally.latency
--- a/benchmarks/fleet_service.py
+++ b/benchmarks/fleet_service.py
@@ -27,9 +27,10 @@
 from fordstair.lab.billing_close import TEAMS, Shape, generate
 from fordstair.lab.clockwork import play
 from fordstair.lab.machine import Machine
+from fordstair.lab.modelled_engine import ModelledEngine
+from fordstair.lab.played_request import PlayedRequest
 from fordstair.lab.replay import in_aim
-from fordstair.lab.site import Queueing, Server, Site
-from fordstair.lab.virtual import Record
+from fordstair.lab.site import Queueing, Site
 
 ENGINES_EACH, RATE_EACH, LISTED, WARM_MS, TERM_MS = 4, 40.0, 5, 15_000.0, 5_000.0
 
@@ -51,7 +52,7 @@
     *,
     fleet: bool,
     script: Callable[[Site], object] = lambda site: None,
-) -> tuple[Site, list[Record]]:
+) -> tuple[Site, list[PlayedRequest]]:
     """Play one site; return it and what became of all requests."""
     weights = [5.0 if n % 10 == 0 else 1.0 for n in range(count)]
     traffic = [
@@ -60,15 +61,15 @@
         )
         for n, weight in enumerate(weights)
     ]
-    servers = [Server(f"e-{n}", Machine(CORES)) for n in range(ENGINES_EACH * count)]
+    engines = [ModelledEngine(f"e-{n}", Machine(CORES)) for n in range(ENGINES_EACH * count)]
     site = Site(
-        told(), servers, count, seed, Queueing(dict(enumerate(SHARES))), plan(count) if fleet else None
+        told(), engines, count, seed, Queueing(dict(enumerate(SHARES))), plan(count) if fleet else None
     )
     records = play(partial(site.play, traffic, WARM_MS, script), seed)
     return site, [record for mine in records for record in mine]
 
 
-def figures(site: Site, records: list[Record], count: int) -> dict[str, Any]:
+def figures(site: Site, records: list[PlayedRequest], count: int) -> dict[str, Any]:
     """Return one play's figures."""
     mine = {team: [record for record in records if record.team == n] for n, team in enumerate(TEAMS)}
     wholes = [whole.units for whole in plan(count).wholes]
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -25,9 +25,10 @@
 from fordstair.lab.billing_close import Shape, generate
 from fordstair.lab.clockwork import play
 from fordstair.lab.machine import Machine
+from fordstair.lab.modelled_engine import ModelledEngine
+from fordstair.lab.played_request import PlayedRequest
 from fordstair.lab.replay import priority_weight
-from fordstair.lab.site import Server, Site
-from fordstair.lab.virtual import Record
+from fordstair.lab.site import Site
 
 HALLS = 3
 DARK_MS, LISTED_MS, BACK_MS = 10_000.0, 4_000.0, 20_000.0  # goes dark; off the list after that; comes back
@@ -49,7 +50,7 @@
 
 def script(site: Site) -> None:
     """Hall 1 goes dark, is taken off the list, and is back cold."""
-    lost = [server for server in site.servers.values() if server.entry.zone == 1]
+    lost = [server for server in site.engines.values() if server.entry.zone == 1]
 
     def dark() -> None:
         for server in lost:
@@ -58,20 +59,20 @@
     def back() -> None:
         for server in lost:
             server.come_back_cold()
-        site.tell(ListUpdateKind.FULL, site.servers, (100.0, 1_500.0))
+        site.announce(ListUpdateKind.FULL, site.engines, (100.0, 1_500.0))
 
     site.at(DARK_MS, dark)
-    left = [name for name, server in site.servers.items() if server not in lost]
-    site.at(DARK_MS + LISTED_MS, lambda: site.tell(ListUpdateKind.FULL, left, (0.0, 1_000.0)))
+    left = [name for name, server in site.engines.items() if server not in lost]
+    site.at(DARK_MS + LISTED_MS, lambda: site.announce(ListUpdateKind.FULL, left, (0.0, 1_000.0)))
     site.at(BACK_MS, back)
 
 
 def cold_peak(site: Site) -> float:
     """Return the most work that a cold engine got within FALL_MS, over what it may get by the settings."""
     most = 0.0
-    for server in site.servers.values():
+    for server in site.engines.values():
         start, cores = server.entry.started_ms, server.machine.cores
-        came = [(at, work) for at, work in server.came if start and start <= at < start + COLD_MS]
+        came = [(at, work) for at, work in server.arrived_work if start and start <= at < start + COLD_MS]
         held, first = 0.0, 0
         for at, work in came:
             held += work
@@ -83,7 +84,7 @@
     return most
 
 
-def figures(site: Site, records: Sequence[Record], seconds: float) -> dict[str, Any]:
+def figures(site: Site, records: Sequence[PlayedRequest], seconds: float) -> dict[str, Any]:
     """Return one play's figures."""
     settings = site.settings
 
@@ -94,10 +95,10 @@
 
     spans = [(at, at + 5_000.0) for at in range(0, int(seconds * 1e3) - 5_000, 1_000)]
     dark = [record for record in records if DARK_MS <= record.arrival.at_ms < DARK_MS + LISTED_MS]
-    outcomes = [desk.coordinator.counters.snapshot() for desk in site.desks]
+    outcomes = [each.coordinator.counters.snapshot() for each in site.coordinators]
     loads = Counter[str]()  # how often each began, anywhere
-    for server in site.servers.values():
-        loads.update(server.loads)
+    for server in site.engines.values():
+        loads.update(server.load_starts)
     return {
         "before": part(0.0, DARK_MS),
         "first_4s": part(DARK_MS, DARK_MS + LISTED_MS),
@@ -116,8 +117,8 @@
 
 
 def run(
-    coordinators: int, engines: int, seconds: float, seed: int, *, halls: bool
-) -> tuple[Site, list[Record]]:
+    coordinators: int, engines: int, seconds: float, seed: int, *, eject_silent_zones: bool
+) -> tuple[Site, list[PlayedRequest]]:
     """Play one site; return it and all records."""
     work = sum(part * ms for part, ms in zip(Shape().mix, Shape().work_ms, strict=True))
     rate = PART * CORES * engines * 1e3 / work / coordinators
@@ -126,10 +127,12 @@
         for n in range(coordinators)
     ]
     servers = [
-        Server(f"e-{n}", Machine(CORES, cold_part=COLD_FROM, warm_ms=COLD_MS), zone=n % HALLS)
+        ModelledEngine(f"e-{n}", Machine(CORES, cold_part=COLD_FROM, warm_ms=COLD_MS), zone=n % HALLS)
         for n in range(engines)
     ]
-    site = Site(site_settings(coordinators), servers, coordinators, seed, halls=halls)
+    site = Site(
+        site_settings(coordinators), servers, coordinators, seed, eject_silent_zones=eject_silent_zones
+    )
     records = play(partial(site.play, traffic, 1_000.0, script), seed)
     return site, [record for mine in records for record in mine]
 
@@ -139,8 +142,8 @@
     coordinators, engines, seconds = (6, 9, 30.0) if quick else (40, 60, 40.0)
     began = time.monotonic()
     found = {
-        how: figures(*run(coordinators, engines, seconds, seed, halls=halls), seconds)
-        for how, halls in (("present", False), ("halls", True))
+        how: figures(*run(coordinators, engines, seconds, seed, eject_silent_zones=ejects), seconds)
+        for how, ejects in (("present", False), ("halls", True))
     }
     print(f"{coordinators} coordinators, {engines} engines: {time.monotonic() - began:.0f} s", flush=True)
     return found
--- a/fordstair/lab/engine.py
+++ b/fordstair/lab/engine.py
@@ -15,18 +15,27 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 from functools import partial
+from typing import TypeAlias
 
 import h11
 import trio
 
+from fordstair.lab.engine_protocol import (
+    ABANDONED_AFTER_MS,
+    IDLE_WAKE_MS,
+    MIN_WORK_MS,
+    POLL_HOLD_MS,
+    PROGRESS_INTERVAL_MS,
+    REPORT_INTERVAL_MS,
+)
 from fordstair.lab.machine import Job, Machine
 from fordstair.runtime.clock import monotonic_now
 
 READ_BYTES = 65_536
-NEWS_MS, UNASKED_MS, NOTE_MS, REPORT_MS = 250.0, 2_000.0, 500.0, 250.0
-PAGE_BYTES = 6_000
-KEPT_MOST = 4_096  # ends that are told again
+MAX_PAGE_BYTES = 6_000
+MAX_ENDED_RUNS = 4_096  # that are still answered for
 _COSTS = re.compile(rb"/\* work=(\d+(?:\.\d+)?)(?: rows=(\d+))? \*/")
+Answer: TypeAlias = tuple[int, list[tuple[str, str]], bytes]  # status, headers, body
 _THREADS = {"lookup": 1, "settlement": 4, "meter-load": 2}
 
 
@@ -55,15 +64,22 @@
         clock: Callable[[], float] = monotonic_now,
         hall: str = "hall-a",
     ) -> None:
-        self.name, self.machine, self.sessions, self.clock, self.hall = name, machine, sessions, clock, hall
-        self.silent = self.draining = self.full = False
+        self.name = name
+        self.machine = machine
+        self.sessions = sessions
+        self.clock = clock
+        self.hall = hall
+        self.silent = False
+        self.draining = False
+        self.full = False
         self.address = ""
         self.runs: dict[str, Run] = {}  # those that run
         self.ended: dict[str, Run] = {}  # the latest ones that have
         self.started: Counter[str] = Counter()  # how often each id was started here
         self.counts: Counter[str] = Counter()
         self.on_start: Callable[[str, bytes], None] = lambda class_name, statement: None
-        self._report, self._report_ms = "", -math.inf
+        self._report = ""
+        self._report_ms = -math.inf
         self._woken = trio.Event()
         self._spoken = trio.Event()  # set while it is not silent
         self._spoken.set()
@@ -73,7 +89,8 @@
 
     def go_silent(self) -> None:
         """No reset, no answer: connections come up and stay open, and nothing is said on them."""
-        self.silent, self._spoken = True, trio.Event()
+        self.silent = True
+        self._spoken = trio.Event()
 
     def come_back_cold(self) -> None:
         """A new process under the same id and address: what ran is lost, connections are reset."""
@@ -127,9 +144,9 @@
         while True:
             self._advance()
             now = self.clock()
-            for run in [run for run in self.runs.values() if now - run.asked_ms > UNASKED_MS]:
+            for run in [run for run in self.runs.values() if now - run.asked_ms > ABANDONED_AFTER_MS]:
                 self._end(run, "unasked")
-            wait_ms = min(self.machine.next_end() - now, 500.0) if not self.silent else 500.0
+            wait_ms = IDLE_WAKE_MS if self.silent else min(self.machine.next_end() - now, IDLE_WAKE_MS)
             self._woken = trio.Event()
             with trio.move_on_after(max(0.0, wait_ms) / 1000.0 + 0.0005):
                 await self._woken.wait()
@@ -146,7 +163,7 @@
         if self.runs.pop(run.txn, None) is not None:
             self.machine.jobs.pop(run.txn, None)
         self.ended[run.txn] = run
-        while len(self.ended) > KEPT_MOST:
+        while len(self.ended) > MAX_ENDED_RUNS:
             del self.ended[next(iter(self.ended))]
 
     async def _serve(self, stream: trio.SocketStream) -> None:
@@ -182,40 +199,49 @@
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(stream)
 
-    async def _answer(self, request: h11.Request, body: bytes) -> tuple[int, list[tuple[str, str]], bytes]:
-        method, path = request.method.decode(), request.target.decode()
-        fields = _fields(request)
+    async def _answer(self, request: h11.Request, body: bytes) -> Answer:
+        method = request.method.decode()
+        path = request.target.decode()
         self.counts[method] += 1
         if method == "POST" and path == "/o":
-            return await self._post(fields, body)
+            return await self._post(_fields(request), body)
         _, _, rest = path.partition("/o/")
         txn, _, page = rest.partition("/")
         run = self.runs.get(txn) or self.ended.get(txn)
         if method == "DELETE":
-            if txn in self.runs:
-                self._end(self.runs[txn], "dropped")
-                self._woken.set()
-            return 204, [], b""
+            return self._delete(txn)
         if run is None or run.how in ("dropped", "unasked", "lost"):
             return 500, [self._gauges()], b""
         if method == "PUT":
-            if body.strip() in (b"0", b"1", b"2", b"3"):
-                self._advance()
-                if (job := self.machine.jobs.get(txn)) is not None:
-                    job.priority = int(body)
-                    self.counts["priorities"] += 1
-                    self._woken.set()
-                return 204, [], b""
-            return 500, [], b""
+            return self._put(txn, body)
         if method != "GET" or not page.isdecimal():
             return 500, [], b""
+        return await self._get(run, page)
+
+    def _delete(self, txn: str) -> Answer:
+        if txn in self.runs:
+            self._end(self.runs[txn], "dropped")
+            self._woken.set()
+        return 204, [], b""
+
+    def _put(self, txn: str, body: bytes) -> Answer:
+        if body.strip() not in (b"0", b"1", b"2", b"3"):
+            return 500, [], b""
+        self._advance()
+        if (job := self.machine.jobs.get(txn)) is not None:
+            job.priority = int(body)
+            self.counts["priorities"] += 1
+            self._woken.set()
+        return 204, [], b""
+
+    async def _get(self, run: Run, page: str) -> Answer:
         if page == "0":
-            return await self._news(run)
+            return await self._poll(run)
         if int(page) >= len(run.pages) or run.how != "served":
             return 500, [self._gauges()], b""
         return 200, [("X-Sheet", page), self._gauges()], run.pages[int(page)]
 
-    async def _post(self, fields: dict[str, str], body: bytes) -> tuple[int, list[tuple[str, str]], bytes]:
+    async def _post(self, fields: dict[str, str], body: bytes) -> Answer:
         txn, class_name = fields.get("x-txn", ""), fields.get("x-lane", "")
         urgency = fields.get("x-urgency", "1")
         if not txn or class_name not in _THREADS or urgency not in ("0", "1", "2", "3"):
@@ -239,16 +265,16 @@
         self.runs[txn] = run
         if work == 0.0:  # answered at once, for measurements of what stands before it
             self._end(run, "served")
-            return await self._news(run)
+            return await self._poll(run)
         self._advance()
-        self.machine.start(Job(txn, max(0.001, work), _THREADS[class_name], int(urgency)), now)
+        self.machine.start(Job(txn, max(MIN_WORK_MS, work), _THREADS[class_name], int(urgency)), now)
         self._woken.set()
-        return await self._news(run)
+        return await self._poll(run)
 
-    async def _news(self, run: Run) -> tuple[int, list[tuple[str, str]], bytes]:
+    async def _poll(self, run: Run) -> Answer:
         run.asked_ms = self.clock()
         if not run.over.is_set():
-            with trio.move_on_after(NEWS_MS / 1000.0):
+            with trio.move_on_after(POLL_HOLD_MS / 1000.0):
                 await run.over.wait()
         run.asked_ms = self.clock()
         if run.how == "served":
@@ -256,16 +282,16 @@
         if run.how != "runs":
             return 500, [self._gauges()], b""
         headers = [self._gauges()]
-        if run.asked_ms - max(run.started_ms, run.noted_ms) >= NOTE_MS:
+        if run.asked_ms - max(run.started_ms, run.noted_ms) >= PROGRESS_INTERVAL_MS:
             run.noted_ms = run.asked_ms
             job = self.machine.jobs.get(run.txn)
             headers += [("X-How", "p"), ("X-Val", f"{job.share_done if job else 1.0:.3f}")]
         return 202, headers, b""
 
     def _gauges(self) -> tuple[str, str]:
-        """The load report, as it stood up to REPORT_MS ago."""
+        """The load report, as it stood up to REPORT_INTERVAL_MS ago."""
         now = self.clock()
-        if now - self._report_ms >= REPORT_MS:
+        if now - self._report_ms >= REPORT_INTERVAL_MS:
             self._report = f"inflight:{len(self.runs)};util:{self.machine.util:.2f}"
             self._report_ms = now
         return "X-Gauges", self._report
@@ -280,7 +306,7 @@
     pages, page = list[bytes](), bytearray()
     for number in range(rows):
         row = b"%s\t%d\t%d.00\n" % (txn.encode(), number, number * 7 % 1000)
-        if len(page) + len(row) > PAGE_BYTES:
+        if len(page) + len(row) > MAX_PAGE_BYTES:
             pages.append(bytes(page))
             page = bytearray()
         page += row
--- a/fordstair/lab/replay.py
+++ b/fordstair/lab/replay.py
@@ -12,7 +12,8 @@
 from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import Arrival, read
 from fordstair.lab.machine import Machine
-from fordstair.lab.virtual import Record, World
+from fordstair.lab.played_request import PlayedRequest
+from fordstair.lab.virtual import World
 from fordstair.scheduling.scheduler import Scheduler
 
 
@@ -45,18 +46,18 @@
 
 def play(
     file: File, told: Settings, arrivals: list[Arrival], seed: int, scheduler: Scheduler | None
-) -> list[Record]:
+) -> list[PlayedRequest]:
     """Play the traffic once."""
     machines = {each.id: Machine(each.cores) for each in file.engines}
     return World(told, machines, seed, scheduler).run(arrivals)
 
 
-def priority_weight(records: list[Record], settings: Settings) -> float:
+def priority_weight(records: list[PlayedRequest], settings: Settings) -> float:
     """Return the worth served: whole within the wanted time, a part after it."""
     return sum(earned(record, settings) for record in records)
 
 
-def earned(record: Record, settings: Settings) -> float:
+def earned(record: PlayedRequest, settings: Settings) -> float:
     """Return the worth of one request, as it was served."""
     spec = settings.classes[record.class_index]
     if record.how != "served":
@@ -64,7 +65,7 @@
     return spec.priority_weight * (1.0 if in_aim(record, settings) else spec.late_weight)
 
 
-def in_aim(record: Record, settings: Settings) -> bool:
+def in_aim(record: PlayedRequest, settings: Settings) -> bool:
     """Whether a request was answered within its wanted time."""
     spec = settings.classes[record.class_index]
     aim_ms = (
@@ -73,7 +74,7 @@
     return record.how == "served" and record.answered_ms <= aim_ms
 
 
-def tables(records: list[Record], told: Settings) -> dict[str, dict[str, Any]]:
+def tables(records: list[PlayedRequest], told: Settings) -> dict[str, dict[str, Any]]:
     """Return the figures of each team, and of all."""
     groups = {
         tenant.name: [each for each in records if each.team == team]
--- a/fordstair/lab/soak/clients.py
+++ b/fordstair/lab/soak/clients.py
@@ -99,9 +99,9 @@
                 await trio.sleep(self._random.uniform(0.05, 0.3))
                 data = data[cut:]
             await connection.stream.send_all(data)
-            return True
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return False
+        return True
 
     async def _maybe_go(self, connection: Connection, number: int, request: RequestRecord) -> None:
         """Cancel the request, or leave with all that is open on its connection, or do neither."""
--- a/fordstair/lab/virtual.py
+++ b/fordstair/lab/virtual.py
@@ -1,6 +1,6 @@
 """A site in virtual time: the real decision module, a scheduler before it or none, and machines behind it.
 
-Deterministic by seed. What a request came to is one ``Record``; nothing here waits for a clock.
+Deterministic by seed. What became of a request is one ``PlayedRequest``; nothing here waits for a clock.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import heapq
 import math
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from functools import partial
 
 from fordstair.decisions.actions import (
     CancelAttempt,
@@ -31,49 +31,18 @@
 from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import Arrival
 from fordstair.lab.machine import Job, Machine
+from fordstair.lab.played_request import PlayedRequest, RunningAttempt, ThreadTime
 from fordstair.scheduling.preemption import Preemption, Runs
 from fordstair.scheduling.queues import Item
 from fordstair.scheduling.scheduler import Room, Scheduler, Told, last_start
 
-REPORT_MS, TURN_MS, PREEMPT_MS = 300.0, 20.0, 200.0
-FULL_FROM = 1_000_000.0  # the day starts there, so that no time is 0
-
-
-@dataclass(slots=True)
-class Record:
-    """What became of one request."""
-
-    arrival: Arrival
-    team: int
-    class_index: int
-    how: str = ""  # served, refused, failed
-    reason: str = ""
-    released_ms: float = math.nan  # from arrival to release
-    answered_ms: float = math.nan  # from arrival to answer
-    likely_ms: float = math.nan  # the estimate at admission
-    at_most_ms: float = math.nan
-    held: float = 0.0  # thread-milliseconds at engines
-    attempts: int = 0
-    out: tuple[str, int, float, int] | None = None  # engine, attempt, since, threads
-    urgency: int = 1
-
-
-@dataclass(slots=True)
-class Held:
-    """Thread-milliseconds held at engines, by team, in spans of time."""
-
-    span_ms: float = 1_000.0
-    spans: dict[int, dict[int, float]] = field(default_factory=dict)
-
-    def add(self, team: int, start: float, end: float, threads: int) -> None:
-        """Spread one attempt over the spans that it fell into."""
-        at = start
-        while at < end:
-            span = int(at // self.span_ms)
-            until = min(end, (span + 1) * self.span_ms)
-            row = self.spans.setdefault(span, {})
-            row[team] = row.get(team, 0.0) + (until - at) * threads
-            at = until if until > at else end
+REPORT_INTERVAL_MS = 300.0  # by which an engine's load report may be old
+TURN_MS = 20.0  # between two turns of the scheduler
+PREEMPT_MS = 200.0  # between two decisions on the priorities of what runs
+CANCEL_MS = 1.0  # until an engine has stopped a cancelled query
+LAST_TURNS_MS = 60_000.0  # the scheduler goes on for so long after the last arrival
+MEMORY_MB = 16.0  # that each request estimates
+DAY_START_MS = 1_000_000.0  # so that no time is 0
 
 
 class World:
@@ -87,13 +56,19 @@
         scheduler: Scheduler | None = None,
         slow: Callable[[float], float] = lambda _: 1.0,
     ) -> None:
-        self.settings, self.machines, self.scheduler, self.slow = settings, machines, scheduler, slow
+        self.settings = settings
+        self.machines = machines
+        self.scheduler = scheduler
+        self.slow = slow
         self.gateway = Gateway(settings, seed)
-        self.now, self._number = FULL_FROM, 0
-        self.records: dict[int, Record] = {}
-        self.open: dict[int, Record] = {}
-        self.held, self.backlog = Held(), dict[int, set[int]]()  # teams with something waiting, by span
-        self.preemption, self.changes = Preemption(), 0
+        self.now = DAY_START_MS
+        self._number = 0
+        self.records: dict[int, PlayedRequest] = {}
+        self.open: dict[int, PlayedRequest] = {}
+        self.thread_time = ThreadTime()
+        self.backlog: dict[int, set[int]] = {}  # teams with something waiting, by span
+        self.preemption = Preemption()
+        self.changes = 0  # of priorities, by preemption
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._jobs: dict[str, tuple[int, int]] = {}  # job: request, attempt
         self._reports: dict[str, tuple[float, tuple[float, float]]] = {}
@@ -117,23 +92,23 @@
                 self.machines.setdefault(name, Machine(cores))
             self._listed(listed)
 
-        self.at(FULL_FROM + time, tell)
+        self.at(DAY_START_MS + time, tell)
 
     def _listed(self, names: Iterable[str]) -> None:
         self._feed(EngineListChanged(ListUpdateKind.FULL, tuple(EngineEntry(name) for name in names)))
 
-    def run(self, arrivals: Iterable[Arrival]) -> list[Record]:
+    def run(self, arrivals: Iterable[Arrival]) -> list[PlayedRequest]:
         """Play the traffic to its end; return a record for each request."""
-        classes = {spec.name: k for k, spec in enumerate(self.settings.classes)}
-        teams = {tenant.name: t for t, tenant in enumerate(self.settings.tenants)}
-        number, last = 0, 0.0
+        classes = {spec.name: index for index, spec in enumerate(self.settings.classes)}
+        teams = {tenant.name: index for index, tenant in enumerate(self.settings.tenants)}
+        last = 0.0
         for number, arrival in enumerate(arrivals, 1):
-            record = Record(arrival, teams[arrival.team], classes[arrival.class_name])
+            record = PlayedRequest(arrival, teams[arrival.team], classes[arrival.class_name])
             self.records[number] = record
             last = max(last, arrival.at_ms)
-            self.at(FULL_FROM + arrival.at_ms, lambda id=number, one=record: self._arrive(id, one))  # type: ignore[misc]
+            self.at(DAY_START_MS + arrival.at_ms, partial(self._arrive, number, record))
         if self.scheduler is not None:
-            self.at(self.now, lambda: self._turn(FULL_FROM + last + 60_000.0))
+            self.at(self.now, lambda: self._turn(DAY_START_MS + last + LAST_TURNS_MS))
         while self._heap or any(machine.jobs for machine in self.machines.values()):
             next_end = min((machine.next_end() for machine in self.machines.values()), default=math.inf)
             if self._heap and self._heap[0][0] <= next_end:
@@ -147,16 +122,22 @@
     def _advance(self, time: float) -> None:
         self.now = max(self.now, time)
         for name, machine in self.machines.items():
-            machine.slowness = self.slow(self.now - FULL_FROM)
+            machine.slowness = self.slow(self.now - DAY_START_MS)
             for job in machine.advance(self.now):
                 request, attempt = self._jobs.pop(job.id)
                 self._end(request, attempt, name, Status.OK)
 
-    def _arrive(self, id: int, record: Record) -> None:
+    def _arrive(self, id: int, record: PlayedRequest) -> None:
         self.open[id] = record
         arrival, spec = record.arrival, self.settings.classes[record.class_index]
         event = RequestArrived(
-            id, record.class_index, arrival.limit_ms, record.team, arrival.told_ms, 16.0, float(arrival.group)
+            id,
+            record.class_index,
+            arrival.limit_ms,
+            record.team,
+            arrival.told_ms,
+            MEMORY_MB,
+            float(arrival.group),
         )
         self._arrived[id] = event
         if self.scheduler is None:
@@ -176,7 +157,7 @@
         for item in self.scheduler.overdue(self.now):
             self._answer(item.id, "refused", "it could not be reached in time")
         self._release()
-        span = int(self.now // self.held.span_ms)
+        span = int(self.now // self.thread_time.span_ms)
         waiting = set(self.scheduler.queues.waiting())
         self.backlog[span] = self.backlog.get(span, waiting) & waiting
         if self.now - self.preemption.at_ms >= PREEMPT_MS:
@@ -195,21 +176,21 @@
                 self._left(record),
             )
             for id, record in self.open.items()
-            if record.out is not None
+            if record.running is not None
         ]
         within = {team for team in self.scheduler.budgets.accounts if self.scheduler.budgets.within(team)}
         for id, lower in self.preemption.decide(self.now, running, within, waiting, {}):
             self.changes += 1
             record = self.open[id]
-            if record.out is not None:
-                job = self.machines[record.out[0]].jobs.get(f"{id}/{record.out[1]}")
+            if record.running is not None:
+                job = self.machines[record.running.engine].jobs.get(f"{id}/{record.running.number}")
                 if job is not None:
-                    job.priority = 0 if lower else record.urgency
+                    job.priority = 0 if lower else record.priority
 
-    def _left(self, record: Record) -> float:
-        assert record.out is not None
+    def _left(self, record: PlayedRequest) -> float:
+        assert record.running is not None
         spec = self.settings.classes[record.class_index]
-        return max(0.0, record.arrival.told_ms / spec.threads - (self.now - record.out[2]))
+        return max(0.0, record.arrival.told_ms / spec.threads - (self.now - record.running.since_ms))
 
     def _room(self, item: Item) -> Room:
         return Room.FITS if self.gateway.has_capacity(self._arrived[item.id]) else Room.FULL
@@ -218,7 +199,7 @@
         assert self.scheduler is not None
         while (item := self.scheduler.release(self.now, self._room)) is not None:
             record, event = self.open[item.id], self._arrived[item.id]
-            record.released_ms = self.now - FULL_FROM - record.arrival.at_ms
+            record.released_ms = self.now - DAY_START_MS - record.arrival.at_ms
             left = record.arrival.limit_ms - record.released_ms
             self._feed(
                 RequestArrived(
@@ -243,45 +224,46 @@
                     self._answer(request, "failed", reason)
                 case SetQueryResources(request, _, priority):
                     if request in self.open:
-                        self.open[request].urgency = priority
+                        self.open[request].priority = priority
                 case StartTimer(token, delay):
-                    self.at(self.now + delay, lambda token=token: self._feed(TimerFired(token)))  # type: ignore[misc]
+                    self.at(self.now + delay, partial(self._feed, TimerFired(token)))
                 case CancelAttempt(request, attempt):
-                    self.at(self.now + 1.0, lambda r=request, a=attempt: self._cancelled(r, a))  # type: ignore[misc]
+                    self.at(self.now + CANCEL_MS, partial(self._cancelled, request, attempt))
 
     def _send(self, id: int, engine: str) -> None:
         record = self.open[id]
         spec, attempt = self.settings.classes[record.class_index], record.attempts
         record.attempts += 1
-        record.out = (engine, attempt, self.now, spec.threads)
-        job = Job(f"{id}/{attempt}", record.arrival.work_ms, spec.threads, record.urgency)
+        record.running = RunningAttempt(engine, attempt, self.now, spec.threads)
+        job = Job(f"{id}/{attempt}", record.arrival.work_ms, spec.threads, record.priority)
         self._jobs[job.id] = (id, attempt)
         self.machines[engine].start(job, self.now)
 
     def _cancelled(self, id: int, attempt: int) -> None:
         record = self.records[id]
-        if record.out is not None and record.out[1] == attempt:
-            engine = record.out[0]
+        if record.running is not None and record.running.number == attempt:
+            engine = record.running.engine
             self.machines[engine].drop(f"{id}/{attempt}", self.now)
             self._jobs.pop(f"{id}/{attempt}", None)
             self._end(id, attempt, engine, Status.CANCELLED)
 
     def _end(self, id: int, attempt: int, engine: str, status: Status) -> None:
         record = self.records[id]
-        if record.out is None or record.out[1] != attempt:
+        running = record.running
+        if running is None or running.number != attempt:
             return
-        _, _, since, threads = record.out
-        record.out, machine = None, self.machines[engine]
-        record.held += (self.now - since) * threads
-        self.held.add(record.team, since, self.now, threads)
+        record.running = None
+        machine = self.machines[engine]
+        record.thread_ms += (self.now - running.since_ms) * running.threads
+        self.thread_time.add(record.team, running.since_ms, self.now, running.threads)
         at, report = self._reports.get(engine, (-math.inf, (0.0, 0.0)))
-        if self.now - at >= REPORT_MS:
+        if self.now - at >= REPORT_INTERVAL_MS:
             report = (machine.util, float(len(machine.jobs)))
             self._reports[engine] = (self.now, report)
         if status is Status.OK and id in self.open:
             self._answer(id, "served", "")
         elif self.scheduler is not None and id not in self.open:
-            self.scheduler.ended(id, self.now, record.held)
+            self.scheduler.ended(id, self.now, record.thread_ms)
         fields = dict(zip(("util", "inflight"), report, strict=True))
         self._feed(
             AttemptEnded(
@@ -289,7 +271,7 @@
                 attempt,
                 engine,
                 status,
-                self.now - since,
+                self.now - running.since_ms,
                 complete=id not in self.open,
                 report=tuple(fields[name] for name in self.settings.load_report_fields),
             )
@@ -300,9 +282,10 @@
     def _answer(self, id: int, how: str, reason: str) -> None:
         if (record := self.open.pop(id, None)) is None:
             return
-        record.how, record.reason = how, reason
-        record.answered_ms = self.now - FULL_FROM - record.arrival.at_ms
+        record.how = how
+        record.reason = reason
+        record.answered_ms = self.now - DAY_START_MS - record.arrival.at_ms
         if self.scheduler is not None:
             self.scheduler.leave(id)
-            if record.out is None:
-                self.scheduler.ended(id, self.now, record.held)
+            if record.running is None:
+                self.scheduler.ended(id, self.now, record.thread_ms)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -8,7 +8,6 @@
 LINES_MOST = 400
 STILL_LARGER = {
     "fordstair/core/coordinator.py",
-    "fordstair/lab/site.py",
     "fordstair/net/console_server.py",
     "fordstair/program.py",
     "fordstair/replication/service.py",
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -9,8 +9,9 @@
 from fordstair.lab.billing_close import Shape, generate
 from fordstair.lab.clockwork import DAY_MS, now_ms, play
 from fordstair.lab.machine import Machine
-from fordstair.lab.site import Queueing, Server, Site
-from fordstair.lab.virtual import Record
+from fordstair.lab.modelled_engine import ModelledEngine
+from fordstair.lab.played_request import PlayedRequest
+from fordstair.lab.site import Queueing, Site
 
 
 def test_a_play_is_repeated_exactly_by_its_seed() -> None:
@@ -70,13 +71,13 @@
     ]
     site = Site(
         told(),
-        [Server(f"e-{n}", Machine(8.0)) for n in range(20)],
+        [ModelledEngine(f"e-{n}", Machine(8.0)) for n in range(20)],
         5,
         1,
         Queueing(dict(enumerate((0.73, 0.16, 0.11)))),
         plan(5),
     )
-    records: list[list[Record]] = play(partial(site.play, [busy, quiet, [], [], []], 15_000.0), 1)
+    records: list[list[PlayedRequest]] = play(partial(site.play, [busy, quiet, [], [], []], 15_000.0), 1)
     assert sum(record.how == "refused" for record in records[0]) > 50  # far more than the team's whole
     waits = sorted(record.released_ms for record in records[1] if record.how == "served")
     assert len(waits) >= 0.9 * len(records[1]) >= 9
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -165,7 +165,7 @@
 
 
 def test_in_virtual_time_a_dark_hall_costs_fewer_connects_and_no_load_runs_twice() -> None:
-    rows = [figures(*run(9, 18, 24.0, 3, halls=halls), 24.0) for halls in (False, True)]
+    rows = [figures(*run(9, 18, 24.0, 3, eject_silent_zones=ejects), 24.0) for ejects in (False, True)]
     assert all(row["loads_run_twice"] == row["unanswered"] == 0 and row["loads"] > 20 for row in rows)
     assert rows[1]["connect_failed"] < 0.8 * rows[0]["connect_failed"]
     assert rows[1]["dark"] >= rows[0]["dark"] - 0.03
