--- a/benchmarks/console_cost.py
+++ b/benchmarks/console_cost.py
@@ -62,17 +62,19 @@
 async def measured(running: Appliance, seed: int, seconds: float) -> tuple[Tally, float]:
     """Send lookups for a slice; return the tally and the appliance's processor seconds."""
     before = running.process.cpu_s
-    tally = await Traffic("127.0.0.1", running.ports["listens"], [LOOKUP], seed, lines=4).run(seconds)
+    tally = await Traffic("127.0.0.1", running.ports["listens"], [LOOKUP], seed, max_connections=4).run(
+        seconds
+    )
     return tally, running.process.cpu_s - before
 
 
 async def closed_loop(running: Appliance, seconds: float, in_flight: int) -> tuple[int, float, Any]:
     """Keep so many lookups in flight; return how many were served, the processor seconds, the latencies."""
-    traffic = Traffic("127.0.0.1", running.ports["listens"], [LOOKUP], 9, lines=2)
+    traffic = Traffic("127.0.0.1", running.ports["listens"], [LOOKUP], 9, max_connections=2)
     before, until, served = running.process.cpu_s, trio.current_time() + seconds, 0
     async with trio.open_nursery() as nursery:
         while trio.current_time() < until:
-            while sum(len(line.open) for line in traffic.lines) < in_flight:
+            while sum(len(each.open) for each in traffic.connections) < in_flight:
                 await traffic.send(LOOKUP, trio.current_time(), nursery)
             served = traffic.tally.counts["served"]
             while traffic.tally.counts["served"] == served and trio.current_time() < until:
--- a/fordstair/cli/demo.py
+++ b/fordstair/cli/demo.py
@@ -33,7 +33,7 @@
     """One demonstration."""
 
     def __init__(self, engines: int, rate_per_s: float, seed: int, with_faults: bool) -> None:
-        self.engines = [StandIn(f"engine-{n + 1}", Machine(CORES)) for n in range(engines)]
+        self.engines = [StandIn(f"engine-{number}", Machine(CORES)) for number in range(1, engines + 1)]
         self.rate_per_s = rate_per_s
         self.seed = seed
         self.with_faults = with_faults
@@ -91,7 +91,8 @@
         kinds = mixed(self.rate_per_s * (1.0 - ODATA_SHARE))
         rpc = Traffic("127.0.0.1", ports["listens"], kinds, self.seed)
         odata = ODataTraffic("127.0.0.1", ports["odata"], self.rate_per_s * ODATA_SHARE, self.seed + 1)
-        rpc.tally = odata.tally = self.tally
+        rpc.tally = self.tally
+        odata.tally = self.tally
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rpc.run, seconds)
             nursery.start_soon(odata.run, seconds)
--- a/fordstair/lab/audit.py
+++ b/fordstair/lab/audit.py
@@ -64,7 +64,8 @@
 
 def of_files(plan: Plan, paths: Iterable[Path]) -> Audit:
     """Read what running programs wrote with ``fleet.budgets.audit``; all are on one machine's clock."""
-    audit, rows = Audit(plan), list[dict[str, object]]()
+    audit = Audit(plan)
+    rows = list[dict[str, object]]()
     for path in paths:
         for line in path.read_text().splitlines():
             try:
--- a/fordstair/lab/billing_close.py
+++ b/fordstair/lab/billing_close.py
@@ -17,7 +17,7 @@
 
 
 class Arrival(Struct, frozen=True, rename={"class_name": "lane"}):
-    """One request: what it asks, what its estimate says, and what it will in truth take."""
+    """One request: its class, its estimate, and what it will really take."""
 
     at_ms: float
     team: str
@@ -45,24 +45,26 @@
 
 def generate(shape: Shape, seed: int) -> list[Arrival]:
     """Return the requests of a close, in order of time."""
-    random, now, arrivals = Random(seed), 0.0, list[Arrival]()
+    random = Random(seed)
+    now = 0.0
+    arrivals = list[Arrival]()
     while True:
         twice = any(start <= now < end for start, end in shape.doubled)
         now += random.expovariate(shape.rate_per_s * (2.0 if twice else 1.0))
         if now >= shape.seconds:
             return arrivals
-        k = random.choices(range(3), shape.mix)[0]
+        class_index = random.choices(range(3), shape.mix)[0]
         team = random.choices(range(3), shape.shares)[0]
-        work = shape.work_ms[k] * random.lognormvariate(-(shape.tail**2) / 2.0, shape.tail)
+        work = shape.work_ms[class_index] * random.lognormvariate(-(shape.tail**2) / 2.0, shape.tail)
         told = work * random.lognormvariate(0.0, shape.estimate)
         arrivals.append(
             Arrival(
                 round(now * 1000.0, 3),
                 TEAMS[team],
-                CLASSES[k],
+                CLASSES[class_index],
                 round(work, 2),
                 round(told, 2),
-                shape.limits_ms[k],
+                shape.limits_ms[class_index],
                 int(random.random() ** 2 * shape.groups),
             )
         )
--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -158,7 +158,7 @@
 
         async def send(name: str) -> None:
             seed = self.seed * 1_000 + self.names.index(name)  # no two clients use one id
-            each = Traffic("127.0.0.1", self.ports[name]["listens"], kinds[name], seed, lines=64)
+            each = Traffic("127.0.0.1", self.ports[name]["listens"], kinds[name], seed, max_connections=64)
             tallies[name] = await each.run(seconds)
 
         async with trio.open_nursery() as samples:
--- a/fordstair/lab/clockwork.py
+++ b/fordstair/lab/clockwork.py
@@ -31,7 +31,8 @@
     """
     from trio._core import _run
 
-    before, state = _run._ALLOW_DETERMINISTIC_SCHEDULING, _run._r.getstate()
+    before = _run._ALLOW_DETERMINISTIC_SCHEDULING
+    state = _run._r.getstate()
     _run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
     _run._r.seed(seed)
     try:
--- a/fordstair/lab/engine.py
+++ b/fordstair/lab/engine.py
@@ -168,7 +168,8 @@
 
     async def _serve(self, stream: trio.SocketStream) -> None:
         http = h11.Connection(h11.SERVER)
-        request, body = None, bytearray()
+        request = None
+        body = bytearray()
         self._streams.add(stream)
         try:
             while True:
@@ -176,7 +177,8 @@
                 if event is h11.NEED_DATA:
                     http.receive_data(await stream.receive_some(READ_BYTES))
                 elif isinstance(event, h11.Request):
-                    request, body = event, bytearray()
+                    request = event
+                    body = bytearray()
                 elif isinstance(event, h11.Data):
                     body += event.data
                 elif isinstance(event, h11.EndOfMessage) and request is not None:
@@ -242,7 +244,8 @@
         return 200, [("X-Sheet", page), self._gauges()], run.pages[int(page)]
 
     async def _post(self, fields: dict[str, str], body: bytes) -> Answer:
-        txn, class_name = fields.get("x-txn", ""), fields.get("x-lane", "")
+        txn = fields.get("x-txn", "")
+        class_name = fields.get("x-lane", "")
         urgency = fields.get("x-urgency", "1")
         if not txn or class_name not in _THREADS or urgency not in ("0", "1", "2", "3"):
             self.counts["unusable"] += 1
@@ -303,7 +306,8 @@
 
 def pages_of(txn: str, rows: int) -> list[bytes]:
     """Return that many rows of three columns, as pages of whole rows."""
-    pages, page = list[bytes](), bytearray()
+    pages = list[bytes]()
+    page = bytearray()
     for number in range(rows):
         row = b"%s\t%d\t%d.00\n" % (txn.encode(), number, number * 7 % 1000)
         if len(page) + len(row) > MAX_PAGE_BYTES:
--- a/fordstair/lab/fault_shim.py
+++ b/fordstair/lab/fault_shim.py
@@ -59,14 +59,17 @@
         print(APPLIED, file=sys.stderr, flush=True)
 
     def _install_clock(self) -> None:
-        true_time, true_time_ns = time.time, time.time_ns
+        true_time = time.time
+        true_time_ns = time.time_ns
         time.time = lambda: true_time() + self.wall_step_ms / 1e3
         time.time_ns = lambda: true_time_ns() + int(self.wall_step_ms * 1e6)
 
     def _install_sockets(self) -> None:
         kind: Any = socket.socket
-        true_init, true_accept = kind.__init__, kind.accept
-        true_recv, true_send = kind.recv, kind.send
+        true_init = kind.__init__
+        true_accept = kind.accept
+        true_recv = kind.recv
+        true_send = kind.send
 
         def opened(
             sock: Any, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None
@@ -84,7 +87,8 @@
         kind.__init__ = opened
         kind.accept = self._failing("accept", true_accept)
         kind.connect = self._failing("connect", kind.connect)
-        kind.recv, kind.send = received, sent
+        kind.recv = received
+        kind.send = sent
 
     def _failing(self, name: str, call: Callable[..., Any]) -> Callable[..., Any]:
         def replaced(*arguments: Any) -> Any:
--- a/fordstair/lab/gossip.py
+++ b/fordstair/lab/gossip.py
@@ -1,6 +1,6 @@
 """A fleet's members in virtual time: the real state machine on a network that loses, delays, cuts and stalls.
 
-Deterministic by seed. ``Heartbeats`` is what SWIM is measured against: everybody tells everybody.
+Deterministic by seed. ``Heartbeats`` is what SWIM is measured against: all-to-all heartbeats.
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 from fordstair.membership.messages import MemberState, Update
 from fordstair.membership.swim import SwimMember
 
-START = 1_000_000.0  # the day starts there, so that no time is 0
+START = 1_000_000.0  # ms; the play starts there, so that no time is 0
+MAX_STALLED = 500  # datagrams that wait for a paused member: a socket's buffer is bounded too
 
 
 class Node(Protocol):
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """One member's word on another, at a time."""
+    """One member's observation of another, at a time."""
 
     at: float
     observer: str
@@ -61,7 +62,9 @@
     """Members by name, which is their address as well; all times in milliseconds from the day's start."""
 
     def __init__(self, seed: int, *, loss: float = 0.0, delay_ms: tuple[float, float] = (0.2, 2.0)) -> None:
-        self.random, self.loss, self.delay_ms = Random(seed), loss, delay_ms
+        self.random = Random(seed)
+        self.loss = loss
+        self.delay_ms = delay_ms
         self.now = 0.0
         self.nodes: dict[str, Node] = {}
         self.seen: list[Seen] = []
@@ -85,7 +88,7 @@
         self.carry_out(name)
 
     def kill(self, name: str) -> None:
-        """End a member without a word."""
+        """End a member without notice."""
         self.nodes.pop(name, None)
         self._stalled.pop(name, None)
 
@@ -127,7 +130,7 @@
 
     def _deliver(self, name: str, datagram: bytes, source: str) -> None:
         if name in self._stalled:
-            if len(self._stalled[name]) < 500:  # a socket's buffer is bounded too
+            if len(self._stalled[name]) < MAX_STALLED:
                 self._stalled[name].append((datagram, source))
         elif (node := self.nodes.get(name)) is not None:
             node.receive(START + self.now, datagram, source)
@@ -154,7 +157,8 @@
         self.seen += [Seen(self.now, name, change) for change in node.changes()]
         due = node.next_due
         if due is not None and self._wakes.get(name) != due - START:
-            at = self._wakes[name] = max(self.now, due - START)
+            at = max(self.now, due - START)
+            self._wakes[name] = at
             self.at(at, lambda: self._wake(name, at) if name in self.nodes else None)
 
 
@@ -162,9 +166,13 @@
     """All to all: a message to everybody each period; who is silent for ``missed`` periods is dead."""
 
     def __init__(self, name: str, others: Iterable[str], period_ms: float, missed: int, seed: int) -> None:
-        self.name, self.period_ms, self.missed = name, period_ms, missed
+        self.name = name
+        self.period_ms = period_ms
+        self.missed = missed
         self.counts: Counter[str] = Counter()
-        self._random, self._others, self._dead = Random(seed), dict.fromkeys(others, 0.0), set[str]()
+        self._random = Random(seed)
+        self._others = dict.fromkeys(others, 0.0)
+        self._dead = set[str]()
         self._next = 0.0
         self._out: list[tuple[str, bytes]] = []
         self._changes: list[MemberChanged] = []
@@ -206,12 +214,14 @@
 
     def outgoing(self) -> list[tuple[str, bytes]]:
         """Take the datagrams to send."""
-        out, self._out = self._out, []
+        out = self._out
+        self._out = []
         return out
 
     def changes(self) -> list[MemberChanged]:
         """Take what has changed."""
-        changes, self._changes = self._changes, []
+        changes = self._changes
+        self._changes = []
         return changes
 
 
--- a/fordstair/lab/machine.py
+++ b/fordstair/lab/machine.py
@@ -83,7 +83,8 @@
     def restart(self, now_ms: float) -> None:
         """Lose all that runs, and be cold."""
         self.jobs.clear()
-        self.now_ms = self.started_ms = now_ms
+        self.now_ms = now_ms
+        self.started_ms = now_ms
 
     def advance(self, now_ms: float) -> list[Job]:
         """Let time pass; return the jobs that have ended, in order."""
@@ -118,7 +119,8 @@
 
     def _share_out(self) -> None:
         """Give each job its share of the cores; no job can use more than its threads."""
-        left, open_jobs = self.capacity(), list(self.jobs.values())
+        left = self.capacity()
+        open_jobs = list(self.jobs.values())
         part = self.warmth() / self.slowness  # what one thread does of one core's work
         while open_jobs:
             weight = sum(SHARES[job.priority] * job.threads for job in open_jobs)
--- a/fordstair/lab/odata_traffic.py
+++ b/fordstair/lab/odata_traffic.py
@@ -1,4 +1,4 @@
-"""Light traffic over the second front: reads by key, one connection a request in turn, open loop."""
+"""Open-loop traffic over the OData front: reads by key, one request on a connection at a time."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from fordstair.lab.traffic import GRACE_S, READ_BYTES, Kind, Tally
 
-WAIT_S = 6
+WAIT_S = 6  # preferred of the coordinator
 KIND = Kind("lookup", "pindan-retail", 0.0, 0.0, WAIT_S * 1000.0)
-IDLE_MOST = 16
+MAX_IDLE = 16  # connections
 
 
 class ODataTraffic:
@@ -20,13 +20,18 @@
     def __init__(
         self, host: str, port: int, rate_per_s: float, seed: int, path: str = "/odata/Accounts"
     ) -> None:
-        self.host, self.port, self.rate, self.random, self.path = host, port, rate_per_s, Random(seed), path
+        self.host = host
+        self.port = port
+        self.rate = rate_per_s
+        self.random = Random(seed)
+        self.path = path
         self.tally = Tally()
         self._idle: list[tuple[trio.SocketStream, h11.Connection]] = []
 
     async def run(self, seconds: float) -> Tally:
         """Ask for that long; return the tally once all is answered."""
-        start, at = trio.current_time(), 0.0
+        start = trio.current_time()
+        at = 0.0
         async with trio.open_nursery() as nursery:
             while self.rate > 0.0 and (at := at + self.random.expovariate(self.rate)) < seconds:
                 await trio.sleep_until(start + at)
@@ -37,7 +42,7 @@
         return self.tally
 
     async def _ask(self, key: int, due_s: float) -> None:
-        self.tally.note(KIND, "asked")
+        self.tally.count(KIND, "asked")
         status = 0
         stream: trio.SocketStream | None = None
         with trio.move_on_after(WAIT_S + GRACE_S):
@@ -48,11 +53,7 @@
                     else (await trio.open_tcp_stream(self.host, self.port), h11.Connection(h11.CLIENT))
                 )
                 status = await self._exchange(stream, http, key)
-                if (
-                    http.our_state is h11.DONE
-                    and http.their_state is h11.DONE
-                    and len(self._idle) < IDLE_MOST
-                ):
+                if http.our_state is h11.DONE and http.their_state is h11.DONE and len(self._idle) < MAX_IDLE:
                     http.start_next_cycle()
                     self._idle.append((stream, http))
                     stream = None
@@ -61,7 +62,7 @@
         if stream is not None:
             await trio.aclose_forcefully(stream)
         what = {200: "served", 404: "served", 503: "refused", 504: "refused"}.get(status)
-        self.tally.note(KIND, what or ("failed" if status else "lost"), trio.current_time() - due_s)
+        self.tally.count(KIND, what or ("failed" if status else "lost"), trio.current_time() - due_s)
 
     async def _exchange(self, stream: trio.SocketStream, http: h11.Connection, key: int) -> int:
         out = (
--- a/fordstair/lab/relay.py
+++ b/fordstair/lab/relay.py
@@ -1,6 +1,6 @@
 """Faults between processes: a relay on loopback for UDP and TCP, with faults for each ordered pair.
 
-Each process has a front here, which is the address that the others know it by, and its own address behind.
+Each process has a front here, which is the address that the others know it by, and its own address behind it.
 A datagram for A's front that comes from B's own address is passed on to A from B's front, so that both sides
 see fronts alone and an answer takes the same way back. Over TCP a client is known by its host, so each
 process there needs a loopback host of its own (127.0.0.2, 127.0.0.3 ...).
@@ -23,7 +23,7 @@
 import trio
 
 READ_BYTES = 65_536
-HELD_MOST = 10_000  # datagrams on their way; more are dropped
+MAX_DELAYED = 10_000  # datagrams on their way; more are dropped
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,15 +47,17 @@
     """All fronts of one test; runs inside the nursery that it is given."""
 
     def __init__(self, nursery: trio.Nursery, seed: int = 1, host: str = "127.0.0.1") -> None:
-        self.host, self.counts = host, Counter[str]()
-        self._nursery, self._random = nursery, Random(seed)
+        self.host = host
+        self.counts = Counter[str]()
+        self._nursery = nursery
+        self._random = Random(seed)
         self._faults: dict[tuple[str, str], Faults] = {}
         self._socks: dict[str, trio.socket.SocketType] = {}
         self._own: dict[str, tuple[str, int]] = {}
         self._names: dict[tuple[str, int], str] = {}
         self._hosts: dict[str, str] = {}
         self._changed = trio.Event()
-        self._held = 0
+        self._delayed = 0
 
     # Faults
 
@@ -71,10 +73,10 @@
 
     def part(self, one: set[str], other: set[str]) -> None:
         """Cut all ways between two groups, in both directions."""
-        for a in one:
-            for b in other:
-                self.cut(a, b)
-                self.cut(b, a)
+        for source in one:
+            for to in other:
+                self.cut(source, to)
+                self.cut(to, source)
 
     def heal(self) -> None:
         """Take all faults away."""
@@ -83,7 +85,7 @@
         self._changed = trio.Event()
 
     def faults(self, source: str, to: str) -> Faults:
-        """Return what holds between two processes; the pair's own word goes before words on all."""
+        """Return what holds between two processes; the pair's own go before those of all."""
         for key in ((source, to), (source, "*"), ("*", to), ("*", "*")):
             if key in self._faults:
                 return self._faults[key]
@@ -119,7 +121,7 @@
                 continue
             faults = self.faults(source, to)
             self.counts["taken"] += 1
-            if faults.cut or self._random.random() < faults.drop or self._held >= HELD_MOST:
+            if faults.cut or self._random.random() < faults.drop or self._delayed >= MAX_DELAYED:
                 self.counts["dropped"] += 1
                 continue
             copies = 2 if self._random.random() < faults.duplicate else 1
@@ -128,14 +130,14 @@
                 if self._random.random() < faults.reorder:
                     wait_ms += faults.overtaken_ms
                 if wait_ms > 0.0:
-                    self._held += 1
-                    self._nursery.start_soon(self._later, wait_ms, source, to, datagram)
+                    self._delayed += 1
+                    self._nursery.start_soon(self._pass_on_later, wait_ms, source, to, datagram)
                 else:
                     await self._pass_on(source, to, datagram)
 
-    async def _later(self, wait_ms: float, source: str, to: str, datagram: bytes) -> None:
+    async def _pass_on_later(self, wait_ms: float, source: str, to: str, datagram: bytes) -> None:
         await trio.sleep(wait_ms / 1000.0)
-        self._held -= 1
+        self._delayed -= 1
         await self._pass_on(source, to, datagram)
 
     async def _pass_on(self, source: str, to: str, datagram: bytes) -> None:
--- a/fordstair/lab/replay.py
+++ b/fordstair/lab/replay.py
@@ -19,7 +19,8 @@
 
 def compare(path: Path, file: File, seed: int) -> dict[str, dict[str, Any]]:
     """Return figures by team and in all, without budgets and with the file's (or the default ones)."""
-    told, arrivals = decision_settings(file), list(read(path))
+    told = decision_settings(file)
+    arrivals = list(read(path))
     known = ({each.name for each in told.classes}, {each.name for each in told.tenants})
     for number, arrival in enumerate(arrivals, 1):
         if arrival.class_name not in known[0] or arrival.team not in known[1]:
--- a/fordstair/lab/shares.py
+++ b/fordstair/lab/shares.py
@@ -17,12 +17,17 @@
 from fordstair.lab.gossip import Network
 from fordstair.membership.member_table import MemberChanged
 
+DEMAND_MS = 50.0  # between two readings of what members could use
+
 
 class Member:
     """One member with a clock of its own, as the network drives it."""
 
     def __init__(self, node: Node, rate: float, offset_ms: float, audit: Audit) -> None:
-        self.node, self.rate, self.offset_ms, self.audit = node, rate, offset_ms, audit
+        self.node = node
+        self.rate = rate
+        self.offset_ms = offset_ms
+        self.audit = audit
         self.key = f"{node.name}|{node.incarnation}"
         node.on_share = self._lent
 
@@ -73,15 +78,19 @@
     """Members of one plan, named m0, m1 ..., the listed ones first; ``demand`` says what each could use."""
 
     def __init__(self, plan: Plan, count: int, seed: int, *, skewed: bool = False, loss: float = 0.0) -> None:
-        self.plan, self.skewed, self.random = plan, skewed, Random(seed)
+        self.plan = plan
+        self.skewed = skewed
+        self.random = Random(seed)
         self.network = Network(seed, loss=loss)
         self.audit = Audit(plan)
         self.members: dict[str, Member] = {}
-        self.demand: Callable[[str], tuple[int, ...]] = lambda name: tuple(w.units for w in plan.wholes)
+        self.demand: Callable[[str], tuple[int, ...]] = lambda name: tuple(
+            whole.units for whole in plan.wholes
+        )
         nothing = (0,) * len(plan.wholes)
         self.needs: Callable[[str], tuple[int, ...]] = lambda name: nothing  # what is out and waits there
         self.uses: Callable[[str], tuple[int, ...]] = lambda name: nothing  # what is out
-        self._lives = 0
+        self._starts = 0
         for number in range(count):
             self.start(f"m{number}")
 
@@ -94,15 +103,16 @@
         """Start a member, or one of this name anew."""
         if name in self.members:
             self.kill(name)
-        self._lives += 1
+        self._starts += 1
         node = Node(
             self.plan,
             name,
-            self._lives,
+            self._starts,
             {each: each for each in self.plan.members},
             self.random.randrange(2**32),
         )
-        node.wants, node.needs = lambda: self.demand(name), lambda: self.needs(name)
+        node.wants = lambda: self.demand(name)
+        node.needs = lambda: self.needs(name)
         node.uses = lambda: self.uses(name)
         drift = self.plan.drift
         rate = self.random.choice((1.0 - drift, 1.0, 1.0 + drift)) if self.skewed else 1.0
@@ -112,7 +122,7 @@
         return member
 
     def kill(self, name: str) -> None:
-        """End a member without a word."""
+        """End a member without notice."""
         member = self.members.pop(name)
         self.network.kill(name)
         self.audit.ended(member.key, self.right_now)
@@ -126,10 +136,10 @@
         self.network.kill(name)
 
     def run(self, ms: float) -> None:
-        """Let time pass; members look at their demand each 50 ms."""
+        """Let time pass; members read their demand each DEMAND_MS."""
         until = self.network.now + ms
         while self.network.now < until:
-            self.network.run(min(until, self.network.now + 50.0))
+            self.network.run(min(until, self.network.now + DEMAND_MS))
             for name, member in self.members.items():
                 if not self.network.paused(name):
                     member.node.demand(member.own(self.right_now))
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -79,7 +79,8 @@
         """As the scheduler does."""
         admission = super().arrive(told, now_ms)
         if admission.refused is None and (record := self.records.get(told.id)) is not None:
-            record.likely_ms, record.at_most_ms = admission.wait.likely_ms, admission.wait.at_most_ms
+            record.likely_ms = admission.wait.likely_ms
+            record.at_most_ms = admission.wait.at_most_ms
         return admission
 
     def release(self, now_ms: float, room: Callable[[Item], Room]) -> Item | None:
@@ -204,7 +205,8 @@
         ]
         self.fleet: Fleet | None = None
         if plan is not None:
-            self.fleet = fleet = Fleet(plan, coordinators, seed, skewed=True)
+            fleet = Fleet(plan, coordinators, seed, skewed=True)
+            self.fleet = fleet
             caps = {coordinator.name: coordinator.join(fleet) for coordinator in self.coordinators}
             fleet.demand = lambda name: caps[name].wants(now_ms())
             fleet.needs = lambda name: caps[name].needs()
--- a/fordstair/lab/skewed.py
+++ b/fordstair/lab/skewed.py
@@ -12,7 +12,9 @@
 
 def main() -> None:
     """Change the clock, and run the program on the remaining arguments."""
-    rate, start, right = float(sys.argv.pop(1)), transport.lease_ms(), transport.lease_ms
+    rate = float(sys.argv.pop(1))
+    start = transport.lease_ms()
+    right = transport.lease_ms
     transport.lease_ms = lambda: start + (right() - start) * rate
     transport.right_ms = lambda own: start + (own - start) / rate
     from fordstair.__main__ import main as program
--- a/fordstair/lab/soak/__main__.py
+++ b/fordstair/lab/soak/__main__.py
@@ -22,7 +22,8 @@
     told = parser.parse_args()
     first, _, last = told.seeds.partition("-")
     plan = Plan(0, told.seconds, told.coordinators, told.engines, told.faults_per_s, told.rate_per_s)
-    broken, late = list[int](), list[int]()
+    broken = list[int]()
+    late = list[int]()
     for seed in range(int(first), int(last or first) + 1):
         report = soak(replace(plan, seed=seed))
         print(report, flush=True)
--- a/fordstair/lab/soak/clients.py
+++ b/fordstair/lab/soak/clients.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgpack
 import trio
@@ -12,21 +12,42 @@
 from fordstair.lab.soak.records import RequestRecord, SoakRecord
 
 READ_BYTES = 65_536
-OPEN_MOST = 24  # on one connection
-LANES = (("lookup", 0.65, 40.0, 4.0), ("settlement", 0.1, 300.0, 6.0), ("meter-load", 0.25, 1_500.0, 6.0))
-TIGHT_SHARE, TIGHT_S = 0.05, 0.12  # requests with very little time left
-CANCEL_SHARE, LEAVE_SHARE, SLOW_SHARE = 0.04, 0.01, 0.04
+MAX_OPEN = 24  # requests on one connection
+REUSE_SHARE = 0.9  # of the requests, on an open connection
+GRACE_S = 3.0  # beyond the longest limit, for the last answers
+TIGHT_SHARE = 0.05  # of the requests, with very little time left
+TIGHT_S = 0.12
+CANCEL_SHARE = 0.04  # of the requests, cancelled by their client
+DISCONNECT_SHARE = 0.01  # of the requests, after which their client closes its connection
+SLOW_SHARE = 0.04  # of the requests, written in two pieces with a pause between them
 TEAM = "karri-energy"
 
 
+class RequestKind(NamedTuple):
+    """One kind of request that clients draw from."""
+
+    class_name: str
+    share: float
+    mean_work_ms: float
+    limit_s: float
+
+
+KINDS = (
+    RequestKind("lookup", 0.65, 40.0, 4.0),
+    RequestKind("settlement", 0.1, 300.0, 6.0),
+    RequestKind("meter-load", 0.25, 1_500.0, 6.0),
+)
+
+
 class Connection:
     """One connection of a client."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
-        self.stream, self.lock = stream, trio.Lock()
+        self.stream = stream
+        self.lock = trio.Lock()
         self.last = 0
         self.open: dict[int, RequestRecord] = {}
-        self.asked: dict[int, RequestRecord] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.over = False
 
 
@@ -41,10 +62,14 @@
         rate_per_s: float,
         start_s: float,
     ) -> None:
-        self._coordinator, self._record, self._rate = coordinator, record, rate_per_s
-        self._random, self._start_s = Random(seed), start_s
+        self._coordinator = coordinator
+        self._record = record
+        self._rate = rate_per_s
+        self._random = Random(seed)
+        self._start_s = start_s
         self._connections: list[Connection] = []
-        self._salt, self._number = self._random.getrandbits(32), 0
+        self._salt = self._random.getrandbits(32)
+        self._number = 0
 
     def _now_s(self) -> float:
         return trio.current_time() - self._start_s
@@ -55,22 +80,23 @@
             while self._now_s() < until_s:
                 await trio.sleep(self._random.expovariate(self._rate))
                 if self._coordinator.ready:
-                    nursery.start_soon(self._ask, nursery)
-            longest_s = max(limit_s for *_, limit_s in LANES)
-            with trio.move_on_after(longest_s + 3.0):
+                    nursery.start_soon(self._send, nursery)
+            longest_s = max(kind.limit_s for kind in KINDS)
+            with trio.move_on_after(longest_s + GRACE_S):
                 while any(each.open for each in self._connections):
                     await trio.sleep(0.02)
             nursery.cancel_scope.cancel()
 
-    async def _ask(self, nursery: trio.Nursery) -> None:
+    async def _send(self, nursery: trio.Nursery) -> None:
         if (connection := await self._connection(nursery)) is None:
             return
-        class_name, _, work_ms, limit_s = self._random.choices(LANES, [share for _, share, *_ in LANES])[0]
+        kind = self._random.choices(KINDS, [kind.share for kind in KINDS])[0]
+        limit_s = kind.limit_s
         if self._random.random() < TIGHT_SHARE:
             limit_s = TIGHT_S
         self._number += 1
         txn = f"{self._salt:08x}{self._number:08x}"
-        work_ms = self._random.expovariate(1.0 / work_ms)
+        work_ms = self._random.expovariate(1.0 / kind.mean_work_ms)
         fields = {
             "txn": txn,
             "limit": str(int(limit_s * 1e3)),
@@ -82,14 +108,15 @@
         async with connection.lock:
             connection.last += 1
             number = connection.last
-            request = RequestRecord(txn, class_name, self._coordinator.name, self._now_s(), limit_s)
-            connection.open[number] = connection.asked[number] = request  # the answer may come at once
-            if not await self._write(connection, msgpack.packb([0, number, class_name, [fields, body]])):
+            request = RequestRecord(txn, kind.class_name, self._coordinator.name, self._now_s(), limit_s)
+            connection.open[number] = request  # before it is written: the answer may come at once
+            connection.requests[number] = request
+            if not await self._write(connection, msgpack.packb([0, number, kind.class_name, [fields, body]])):
                 connection.open.pop(number, None)
-                return  # it was never written whole: nobody owes it an answer
+                return  # it was not completely written: nobody owes it an answer
             request.sent_s = min(self._now_s(), *(at_s for at_s, _ in request.answers), request.closed_s)
             self._record.requests.append(request)
-        await self._maybe_go(connection, number, request)
+        await self._maybe_leave(connection, number, request)
 
     async def _write(self, connection: Connection, data: bytes) -> bool:
         try:
@@ -103,10 +130,10 @@
             return False
         return True
 
-    async def _maybe_go(self, connection: Connection, number: int, request: RequestRecord) -> None:
+    async def _maybe_leave(self, connection: Connection, number: int, request: RequestRecord) -> None:
         """Cancel the request, or leave with all that is open on its connection, or do neither."""
         draw = self._random.random()
-        if draw > CANCEL_SHARE + LEAVE_SHARE:
+        if draw > CANCEL_SHARE + DISCONNECT_SHARE:
             return
         await trio.sleep(self._random.uniform(0.0, 0.3))
         if draw > CANCEL_SHARE:
@@ -122,8 +149,8 @@
                     connection.open.pop(number, None)
 
     async def _connection(self, nursery: trio.Nursery) -> Connection | None:
-        usable = [each for each in self._connections if len(each.open) < OPEN_MOST]
-        if usable and self._random.random() < 0.9:
+        usable = [each for each in self._connections if len(each.open) < MAX_OPEN]
+        if usable and self._random.random() < REUSE_SHARE:
             return self._random.choice(usable)
         try:
             stream = await trio.open_tcp_stream(HOST, self._coordinator.port)
@@ -151,7 +178,7 @@
     def _take(self, connection: Connection, message: Any) -> None:
         _, number, error, result = message
         connection.open.pop(number, None)
-        if (request := connection.asked.get(number)) is None:
+        if (request := connection.requests.get(number)) is None:
             return
         how = "served" if error is None else "refused" if error[0] == "Overloaded" else "failed"
         if how == "served" and result[0].count(request.txn.encode()) != 2:
--- a/fordstair/lab/soak/discovery.py
+++ b/fordstair/lab/soak/discovery.py
@@ -12,8 +12,11 @@
 from fordstair.net.command_channel import HEADER, RECORD
 
 BEAT_S = 1.0
-NOTHING, WHOLE_LIST, CHANGES = 0, 1, 2
-READY, DRAINING = 0, 1
+NOTHING = 0
+WHOLE_LIST = 1
+CHANGES = 2
+READY = 0
+DRAINING = 1
 _STATES = {READY: "ready", DRAINING: "draining"}
 
 
@@ -28,7 +31,8 @@
         self.number = 1
         self._changes: list[tuple[int, bytes]] = []
         self._streams: set[trio.SocketStream] = set()
-        self._spoken, self._news = trio.Event(), trio.Event()
+        self._spoken = trio.Event()
+        self._news = trio.Event()
         self._spoken.set()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
--- a/fordstair/lab/soak/engines.py
+++ b/fordstair/lab/soak/engines.py
@@ -18,7 +18,8 @@
 
     def __init__(self, name: str, record: SoakRecord, start_s: float) -> None:
         super().__init__(name, Machine(cores=CORES))
-        self._record, self._start_s = record, start_s
+        self._record = record
+        self._start_s = start_s
         self._latest: dict[str, AttemptRecord] = {}
 
     def _now_s(self) -> float:
@@ -39,13 +40,16 @@
     async def _post(self, fields: dict[str, str], body: bytes) -> tuple[int, list[tuple[str, str]], bytes]:
         attempt = self._latest[fields.get("x-txn", "")]
         before = self.started[attempt.txn]
-        attempt.started_s, attempt.how = self._now_s(), "runs"
+        attempt.started_s = self._now_s()
+        attempt.how = "runs"
         answered = await super()._post(fields, body)
         if self.started[attempt.txn] == before:
-            attempt.how, attempt.started_s = "refused", float("inf")
+            attempt.how = "refused"
+            attempt.started_s = float("inf")
         return answered
 
     def _end(self, run: Run, how: str) -> None:
         super()._end(run, how)
         if (attempt := self._latest.get(run.txn)) is not None and attempt.how == "runs":
-            attempt.how, attempt.ended_s = how, self._now_s()
+            attempt.how = how
+            attempt.ended_s = self._now_s()
--- a/fordstair/lab/soak/plan.py
+++ b/fordstair/lab/soak/plan.py
@@ -100,8 +100,11 @@
     seed: int, seconds: float, per_second: float, coordinators: Sequence[str], engines: Sequence[str]
 ) -> list[Fault]:
     """Draw the faults of a run, in order of time; they overlap freely."""
-    random, faults, at_s = Random(seed), list[Fault](), 0.5
-    kinds, weights = list(RECIPES), [recipe.weight for recipe in RECIPES.values()]
+    random = Random(seed)
+    faults = list[Fault]()
+    at_s = 0.5
+    kinds = list(RECIPES)
+    weights = [recipe.weight for recipe in RECIPES.values()]
     names = {Target.COORDINATOR: coordinators, Target.ENGINE: engines, Target.DISCOVERY: ("discovery",)}
     while (at_s := at_s + random.expovariate(per_second)) < seconds:
         kind = random.choices(kinds, weights)[0]
--- a/fordstair/lab/traffic.py
+++ b/fordstair/lab/traffic.py
@@ -1,7 +1,7 @@
 """Open-loop traffic over the platform's protocol: requests go out at their time, whatever is still open.
 
 Latency counts from the time at which a request was due, so that a coordinator that stalls cannot hide it.
-Every answer is accounted for: one that comes twice, or never, is told apart.
+Every answer is accounted for: one that comes twice, or never, is counted apart.
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-OPEN_MOST = 32  # on one connection, by the protocol
+MAX_OPEN = 32  # requests on one connection, by the protocol
+MAX_ANSWERED = 4_096  # remembered for each connection, to know a second answer by
 READ_BYTES = 65_536
 GRACE_S = 1.0  # beyond its limit, until a request without an answer counts as lost
 
@@ -39,17 +40,17 @@
     """What became of the requests."""
 
     counts: Counter[str] = field(default_factory=Counter)  # asked, served, refused, failed, lost, ...
-    by_kind: Counter[tuple[str, str, str]] = field(default_factory=Counter)  # lane, team, what
+    by_kind: Counter[tuple[str, str, str]] = field(default_factory=Counter)  # class, team, end
     latency: Any = field(default_factory=lambda: HdrHistogram(1, 120_000_000, 3))  # microseconds, served
     refusal: Any = field(default_factory=lambda: HdrHistogram(1, 120_000_000, 3))  # the same, refused
 
-    def note(self, kind: Kind, what: str, took_s: float = 0.0) -> None:
+    def count(self, kind: Kind, end: str, took_s: float = 0.0) -> None:
         """Count one end."""
-        self.counts[what] += 1
-        self.by_kind[kind.class_name, kind.team, what] += 1
-        if what == "served":
+        self.counts[end] += 1
+        self.by_kind[kind.class_name, kind.team, end] += 1
+        if end == "served":
             self.latency.record_value(max(1, int(took_s * 1e6)))
-        elif what == "refused":
+        elif end == "refused":
             self.refusal.record_value(max(1, int(took_s * 1e6)))
 
     def summary(self) -> dict[str, float]:
@@ -67,35 +68,45 @@
 
 
 @dataclass(slots=True)
-class _Asked:
+class _Request:
     kind: Kind
     due_s: float
     answered: bool = False
 
 
-class _Line:
+class _Connection:
     """One connection."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
-        self.stream, self.last, self.open = stream, 0, dict[int, _Asked]()
-        self.done: dict[int, _Asked] = {}  # answered, to know a second answer by
+        self.stream = stream
+        self.last = 0
+        self.open = dict[int, _Request]()
+        self.answered: dict[int, _Request] = {}  # answered, to know a second answer by
         self.unpacker = msgpack.Unpacker()
         self.lock = trio.Lock()
 
 
 class Traffic:
-    """Sends kinds of requests to one address until told otherwise."""
-
-    def __init__(self, host: str, port: int, kinds: Sequence[Kind], seed: int, lines: int = 8) -> None:
-        self.host, self.port, self.kinds, self.random = host, port, kinds, Random(seed)
-        self.most, self.tally = lines, Tally()
-        self.lines: list[_Line] = []  # the open connections
-        self._number, self._salt = 0, self.random.getrandbits(32)
+    """Sends kinds of requests to one address."""
+
+    def __init__(
+        self, host: str, port: int, kinds: Sequence[Kind], seed: int, max_connections: int = 8
+    ) -> None:
+        self.host = host
+        self.port = port
+        self.kinds = kinds
+        self.random = Random(seed)
+        self.max_connections = max_connections
+        self.tally = Tally()
+        self.connections: list[_Connection] = []  # the open connections
+        self._number = 0
+        self._salt = self.random.getrandbits(32)
 
     def schedule(self, seconds: float) -> Iterator[tuple[float, Kind]]:
         """Yield when each request is due, in seconds from the start, in order."""
         rate = sum(kind.rate_per_s for kind in self.kinds)
-        at, weights = 0.0, [kind.rate_per_s for kind in self.kinds]
+        at = 0.0
+        weights = [kind.rate_per_s for kind in self.kinds]
         while rate > 0.0:
             at += self.random.expovariate(rate)
             if at >= seconds:
@@ -111,35 +122,37 @@
                 await self.send(kind, start + at, nursery)
             longest = max((kind.limit_ms for kind in self.kinds), default=0.0) / 1000.0 + GRACE_S
             with trio.move_on_after(longest):
-                while any(line.open for line in self.lines):
+                while any(connection.open for connection in self.connections):
                     await trio.sleep(0.01)
             nursery.cancel_scope.cancel()
-        for line in self.lines:
-            for asked in line.open.values():
-                self.tally.note(asked.kind, "lost")
-            await trio.aclose_forcefully(line.stream)
-        self.lines.clear()
+        for connection in self.connections:
+            for asked in connection.open.values():
+                self.tally.count(asked.kind, "lost")
+            await trio.aclose_forcefully(connection.stream)
+        self.connections.clear()
         return self.tally
 
     async def send(self, kind: Kind, due_s: float, nursery: trio.Nursery) -> None:
         """Send one request on the least loaded connection; its answer is counted when it comes."""
-        line = min(self.lines, key=lambda each: len(each.open), default=None)
-        if line is None or (len(line.open) >= OPEN_MOST // 2 and len(self.lines) < self.most):
+        connection = min(self.connections, key=lambda each: len(each.open), default=None)
+        if connection is None or (
+            len(connection.open) >= MAX_OPEN // 2 and len(self.connections) < self.max_connections
+        ):
             try:
-                line = _Line(await trio.open_tcp_stream(self.host, self.port))
+                connection = _Connection(await trio.open_tcp_stream(self.host, self.port))
             except OSError:
-                self.tally.note(kind, "asked")
-                self.tally.note(kind, "unreachable")
+                self.tally.count(kind, "asked")
+                self.tally.count(kind, "unreachable")
                 return
-            self.lines.append(line)
-            nursery.start_soon(self._read, line)
-        if len(line.open) >= OPEN_MOST:
+            self.connections.append(connection)
+            nursery.start_soon(self._read, connection)
+        if len(connection.open) >= MAX_OPEN:
             self.tally.counts["held_back"] += 1  # by the protocol's own bound
             return
-        self.tally.note(kind, "asked")
-        line.last += 1
+        self.tally.count(kind, "asked")
+        connection.last += 1
         self._number += 1
-        line.open[line.last] = _Asked(kind, due_s)
+        connection.open[connection.last] = _Request(kind, due_s)
         work = self.random.expovariate(1.0 / kind.work_ms) if kind.work_ms > 0.0 else 0.0
         fields = {
             "txn": f"{self._salt:08x}{self._number:08x}",
@@ -149,49 +162,49 @@
             "need_mb": "16",
         }
         body = b"/* work=%.1f rows=%d */ SELECT a FROM t_%d.lines" % (work, kind.rows, kind.group)
-        data = msgpack.packb([0, line.last, kind.class_name, [fields, body]])
+        data = msgpack.packb([0, connection.last, kind.class_name, [fields, body]])
         try:
-            async with line.lock:
-                await line.stream.send_all(data)
+            async with connection.lock:
+                await connection.stream.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            self._lose(line)
+            self._lose(connection)
 
-    async def _read(self, line: _Line) -> None:
+    async def _read(self, connection: _Connection) -> None:
         try:
-            while chunk := await line.stream.receive_some(READ_BYTES):
-                line.unpacker.feed(chunk)
-                for message in line.unpacker:
-                    self._take(line, message)
+            while chunk := await connection.stream.receive_some(READ_BYTES):
+                connection.unpacker.feed(chunk)
+                for message in connection.unpacker:
+                    self._receive(connection, message)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        self._lose(line)
+        self._lose(connection)
 
-    def _take(self, line: _Line, message: Any) -> None:
+    def _receive(self, connection: _Connection, message: Any) -> None:
         _, number, error, result = message
-        if (asked := line.open.pop(number, None)) is None:
-            self.tally.counts["answered_twice" if number in line.done else "unasked"] += 1
+        if (asked := connection.open.pop(number, None)) is None:
+            self.tally.counts["answered_twice" if number in connection.answered else "unasked"] += 1
             return
-        line.done[number] = asked
-        if len(line.done) > 4_096:
-            del line.done[next(iter(line.done))]
+        connection.answered[number] = asked
+        if len(connection.answered) > MAX_ANSWERED:
+            del connection.answered[next(iter(connection.answered))]
         what = "served" if error is None else "refused" if error[0] == "Overloaded" else "failed"
         if what == "served" and result[0].count(b"\n") != asked.kind.rows:
             what = "spoilt"
-        self.tally.note(asked.kind, what, trio.current_time() - asked.due_s)
+        self.tally.count(asked.kind, what, trio.current_time() - asked.due_s)
 
-    def _lose(self, line: _Line) -> None:
-        if line in self.lines:
-            self.lines.remove(line)
-        for asked in line.open.values():
-            self.tally.note(asked.kind, "lost")
-        line.open.clear()
+    def _lose(self, connection: _Connection) -> None:
+        if connection in self.connections:
+            self.connections.remove(connection)
+        for asked in connection.open.values():
+            self.tally.count(asked.kind, "lost")
+        connection.open.clear()
 
 
 def mixed(
     rate_per_s: float,
     teams: Sequence[str] = ("karri-energy", "saltbush-power", "pindan-retail"),
 ) -> list[Kind]:
-    """Return light traffic in the Office's proportions, over its classes and teams."""
+    """Return light traffic of all classes, for each team by its share."""
     shares = (0.73, 0.16, 0.11)
     kinds = list[Kind]()
     for team, share in zip(teams, shares, strict=False):
--- a/fordstair/lab/virtual.py
+++ b/fordstair/lab/virtual.py
@@ -129,7 +129,8 @@
 
     def _arrive(self, id: int, record: PlayedRequest) -> None:
         self.open[id] = record
-        arrival, spec = record.arrival, self.settings.classes[record.class_index]
+        arrival = record.arrival
+        spec = self.settings.classes[record.class_index]
         event = RequestArrived(
             id,
             record.class_index,
@@ -149,7 +150,8 @@
         admission = self.scheduler.arrive(told, self.now)
         if admission.refused is not None:
             return self._answer(id, "refused", admission.refused.value)
-        record.likely_ms, record.at_most_ms = admission.wait.likely_ms, admission.wait.at_most_ms
+        record.likely_ms = admission.wait.likely_ms
+        record.at_most_ms = admission.wait.at_most_ms
         self._release()
 
     def _turn(self, until: float) -> None:
@@ -198,7 +200,8 @@
     def _release(self) -> None:
         assert self.scheduler is not None
         while (item := self.scheduler.release(self.now, self._room)) is not None:
-            record, event = self.open[item.id], self._arrived[item.id]
+            record = self.open[item.id]
+            event = self._arrived[item.id]
             record.released_ms = self.now - DAY_START_MS - record.arrival.at_ms
             left = record.arrival.limit_ms - record.released_ms
             self._feed(
@@ -232,7 +235,8 @@
 
     def _send(self, id: int, engine: str) -> None:
         record = self.open[id]
-        spec, attempt = self.settings.classes[record.class_index], record.attempts
+        spec = self.settings.classes[record.class_index]
+        attempt = record.attempts
         record.attempts += 1
         record.running = RunningAttempt(engine, attempt, self.now, spec.threads)
         job = Job(f"{id}/{attempt}", record.arrival.work_ms, spec.threads, record.priority)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -250,7 +250,7 @@
             assert all(15 <= frames <= 28 for frames in told), told
             held = send_command(one.console_socket, "classes")["classes"][0]
             assert pictures[0].table("classes")["lookup"].served <= held["served"]
-            await one.until(lambda: traffic.tally.counts["asked"] and not traffic.lines, 30.0)
+            await one.until(lambda: traffic.tally.counts["asked"] and not traffic.connections, 30.0)
             assert traffic.tally.counts["served"] == traffic.tally.counts["asked"]
             nursery.cancel_scope.cancel()
 
