--- a/fordstair/console/app.py
+++ b/fordstair/console/app.py
@@ -28,7 +28,7 @@
     headline,
 )
 from fordstair.snapshots.publishing import Freshness
-from fordstair.snapshots.snapshot import Picture
+from fordstair.snapshots.snapshot import Snapshot
 
 RECONNECT_S = 0.5  # between attempts to reach the program
 REFRESH_S = 0.25  # ages grow, and a lost feed is noticed, without a frame
@@ -69,7 +69,7 @@
         for name in self.pane.columns:
             self.add_column(name, key=name)
 
-    def show(self, picture: Picture, now_ms: float, stale: bool) -> None:
+    def show(self, picture: Snapshot, now_ms: float, stale: bool) -> None:
         """Bring the rows up to date; only cells that differ are touched."""
         rows = self.pane.rows(picture, now_ms, stale)
         keys = [key for key, _ in rows]
@@ -195,7 +195,7 @@
         super().__init__()
         self.path = path
         self.clock = clock
-        self.picture = Picture()
+        self.picture = Snapshot()
         self.freshness = Freshness()
         self.shown = ""  # the headline as it stands
 
@@ -216,27 +216,27 @@
         """Follow the feed, and let ages grow."""
         self.query_one("#engines").focus()
         self.set_interval(REFRESH_S, self.refresh_panes)
-        self.follow()
+        self.apply_delta()
         self.refresh_panes()
 
     @work(exclusive=True, group="feed")
-    async def follow(self) -> None:
+    async def apply_delta(self) -> None:
         """Take picture after picture; reach for the program again when it is lost."""
         while True:
             try:
                 async for picture in follow_snapshots(self.path):
                     self.picture = picture
-                    self.freshness.heard(self.clock()[0], picture.at_ms)
+                    self.freshness.delta_received(self.clock()[0], picture.at_ms)
                     self.refresh_panes()
             except ConsoleConnectionError as error:
-                self.freshness.broken(str(error))
+                self.freshness.disconnected(str(error))
             self.refresh_panes()
             await asyncio.sleep(RECONNECT_S)
 
     def refresh_panes(self) -> None:
         """Show the picture as it stands now."""
         mono, wall = self.clock()
-        stale = self.freshness.stale(mono, wall)
+        stale = self.freshness.staleness(mono, wall)
         line = self.query_one("#headline", Static)
         self.shown = headline(self.picture, wall, stale)
         line.update(self.shown)
@@ -275,7 +275,7 @@
         """Limit the marked class."""
         if not (class_name := self.query_one("#classes", Table).marked):
             return
-        limit = self.picture.table("classes")[class_name].limit
+        limit = self.picture.table("classes")[class_name].concurrency_limit
         text = await self.push_screen_wait(LimitBox(class_name, "no limit" if limit is None else str(limit)))
         if text is not None:
             threads = int(text) if text else None
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -115,7 +115,7 @@
         self.work_ms: dict[str, float] = {}  # by the client's id: the true work of each query
         self.admission_queue: AdmissionQueue | None = None
         if site.eject_silent_zones:
-            self.coordinator.zone_watch = ZoneWatch(self.coordinator)
+            self.coordinator.extensions.zone_watch = ZoneWatch(self.coordinator)
         if site.queueing is not None:
             queueing = site.queueing
             scheduler = RecordingScheduler(
@@ -125,7 +125,7 @@
             self.admission_queue = AdmissionQueue(
                 self.coordinator, scheduler, queueing.threads_a_core, seed=seed
             )
-            self.coordinator.admission_queue = self.admission_queue
+            self.coordinator.extensions.admission_queue = self.admission_queue
 
     def join(self, fleet: Fleet) -> Caps:
         """Take part in the fleet's budgets, as the program does where the operator's file says so."""
--- a/fordstair/net/clients/odata_front.py
+++ b/fordstair/net/clients/odata_front.py
@@ -31,8 +31,8 @@
     ) -> None:
         self.coordinator = coordinator
         self.operator = operator
-        self.results = StoredResults(operator.results_most, operator.result_ms, coordinator.deadlines)
-        self.repeats: IdempotencyStore = LocalIdempotencyStore(coordinator)
+        self.results = StoredResults(operator.max_results, operator.result_lifetime_ms, coordinator.deadlines)
+        self.idempotency_store: IdempotencyStore = LocalIdempotencyStore(coordinator)
         self.team_of = team_of
         self.connections = 0
         self.open_requests = 0
--- a/fordstair/program.py
+++ b/fordstair/program.py
@@ -21,7 +21,7 @@
 from fordstair.net.clients.listener import ClientListener, Serve, open_listeners
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.net.clients.rpc_front import RpcFront
-from fordstair.net.command_channel import CommandChannel
+from fordstair.net.engine_list_watch import EngineListWatch
 from fordstair.net.engines.pool import ConnectionPool
 from fordstair.net.engines.rest import RestTransport
 from fordstair.runtime.clock import AnchoredClock, WallClock
@@ -83,13 +83,13 @@
             accept=self.identity.check_engine if self.identity else lambda *_: None,
         )
         transport = (self.pool, self.deadlines, config.settings.load_report_fields)
-        transports: dict[str, Transport] = {"rest": RestTransport(*transport)}
+        self.transports: dict[str, Transport] = {"rest": RestTransport(*transport)}
         if operator is not None:
             from fordstair.net.engines.odata import ODataTransport
 
-            transports["odata"] = ODataTransport(*transport)
+            self.transports["odata"] = ODataTransport(*transport)
         self.coordinator = Coordinator(
-            config.settings, config.seed, transports, self.deadlines, self.counters
+            config.settings, config.seed, self.transports, self.deadlines, self.counters
         )
         self.pool.unreached = self.coordinator.engine_unreachable
         if config.budgets is not None:
@@ -105,11 +105,11 @@
                 debt_ms=told.debt_ms,
             )
             self.admission_queue = AdmissionQueue(self.coordinator, scheduler, told.threads_a_core)
-            self.coordinator.admission_queue = self.admission_queue
+            self.coordinator.extensions.admission_queue = self.admission_queue
         if operator is not None and operator.eject_silent_zones:
             from fordstair.core.zone_watch import ZoneWatch
 
-            self.coordinator.zone_watch = ZoneWatch(self.coordinator)
+            self.coordinator.extensions.zone_watch = ZoneWatch(self.coordinator)
         if operator is not None and operator.shares is not None:
             self.share_budgets(operator.shares)
         self.poll_watch = PollWatch()
@@ -125,7 +125,7 @@
 
             named = replace(operator.ledger, member=operator.ledger.member or config.name)
             ledger = self.ledger = ReplicationService(named, config.seed)
-            self.odata.repeats = ReplicatedIdempotencyStore(ledger.claims)
+            self.odata.idempotency_store = ReplicatedIdempotencyStore(ledger.claim_coordinator)
             self.counters.include("ledger", lambda: ledger.counts)
         if operator is not None and operator.fleet is not None:
             from fordstair.membership.transport import Membership
@@ -147,7 +147,7 @@
                 self.budgets,
             )
         self.bound()
-        self.command_channel = CommandChannel(
+        self.command_channel = EngineListWatch(
             config.channel, config.cursor, self.announced, self.deadlines, self.counters
         )
 
@@ -208,9 +208,9 @@
         restored = EngineRestorer(self.config.settings.slow_start_ms)
 
         def take_over() -> None:
-            if told or self.command_channel.heard_ms > 0.0:
+            if told or self.command_channel.last_received_ms > 0.0:
                 return
-            engines = restored.engines(self.anchor.now().value, ledger.state.engines)
+            engines = restored.engines(self.anchor.now().value, ledger.state.engine_set)
             here = {(each.entry, each.address) for each in self.coordinator.engines.values()}
             if engines and {(each.entry, each.address) for each in engines} != here:
                 log.warning("engines.restored", engines=len(engines))
@@ -219,15 +219,15 @@
         await ledger.loaded.wait()
         heard_ms = self.deadlines.clock()
         told = bool(self.coordinator.engines)
-        ledger.engines.on_received = take_over
+        ledger.engine_set_sync.on_received = take_over
         take_over()
         while True:
             self.listed = trio.Event()
-            heard_ms = max(heard_ms if told else 0.0, self.command_channel.heard_ms)
+            heard_ms = max(heard_ms if told else 0.0, self.command_channel.last_received_ms)
             if (
                 heard_ms > 0.0
                 and self.coordinator.engines
-                and not await ledger.engines.update_from_registry(
+                and not await ledger.engine_set_sync.update_from_registry(
                     self.anchor.unix(heard_ms).value, replicated_engines(self.coordinator.engines.values())
                 )
             ):
@@ -242,16 +242,16 @@
         gateway = self.coordinator.gateway
 
         def take_over() -> None:
-            if taken := restore_values(gateway, ledger.registers.values()):
+            if taken := restore_values(gateway, ledger.register_sync.values()):
                 log.info("costs.taken_over", values=taken)
 
         await ledger.loaded.wait()
-        ledger.registers.on_received = take_over
+        ledger.register_sync.on_received = take_over
         take_over()
         while True:
             await self.deadlines.sleep(SHARE_MS)
-            values, known = list(learned_values(gateway)), ledger.registers.values()
-            await ledger.registers.set_values(
+            values, known = list(learned_values(gateway)), ledger.register_sync.values()
+            await ledger.register_sync.set_values(
                 [(key, value) for key, value in values if differs_enough(known.get(key), value)]
             )
 
@@ -345,8 +345,8 @@
         self.config = replace(config, **{name: getattr(self.config, name) for name in fixed})
         self.bound()
         for event in config.known:
-            self.command_channel.take(*event)
-        self.command_channel.move(config.channel)
+            self.command_channel.apply(event)
+        self.command_channel.reconnect(config.channel)
         if self.admission_queue is not None and config.budgets is not None:
             shares = dict(config.budgets.shares)
             self.admission_queue.scheduler.set_shares(shares, self.deadlines.clock())
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -7,8 +7,6 @@
 ROOT = Path(__file__).parent.parent
 LINES_MOST = 400
 STILL_LARGER = {
-    "fordstair/core/coordinator.py",
-    "fordstair/net/console_server.py",
     "fordstair/program.py",
 }
 
