--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -1,41 +1,37 @@
-"""Several running coordinators under one fleet's budgets, with faults between them, and their audit.
+"""Several running coordinators on one fleet's budgets, with faults between them, and their audit.
 
-Shared by the tests and ``benchmarks.fleet_budgets``. Each member is a process of the program behind a front
+What the tests and ``benchmarks.fleet_budgets`` share. Each member is a process of the program behind a front
 of the relay; one stand-in engine serves all, and tells how many threads a class holds at it.
 """
 
 from __future__ import annotations
 
-import signal
-import subprocess
-import sys
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
-from typing import Any
 
 import trio
 
 from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, BudgetPlan, FleetLimit
-from fordstair.lab.appliance import ask_door, end, operator_file, ports_of
+from fordstair.lab.appliance import operator_file
 from fordstair.lab.audit import Audit, read_audit
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
-from fordstair.lab.relay import Relay
 from fordstair.lab.traffic import Kind, Tally, Traffic
+from fordstair.lab.trial_members import TrialMembers
 
-FRONTS = 4  # of a member: MessagePack-RPC, OData, the fleet's and the budgets'
-SETTLEMENT_THREADS = 4  # as the operator's file says
-CONSOLE_TIMEOUT_S = 0.3  # a stopped member answers nothing
-THREADS = 64  # the fleet's limit for the team
-RATE = 400.0  # requests a second, likewise
+THREADS = 64  # of the fleet's budget
+RATE_PER_S = 400.0  # of the fleet's budget
 FLOOR_SHARE = 0.35
-KARRI = "karri-energy"
-SAMPLE_S = 0.02  # between two looks at the engine's threads
+SETTLEMENT_THREADS = 4  # as the operator's file has it
+TEAM = "karri-energy"
+SAMPLE_S = 0.02  # between two samples of the threads at the engine
+QUERY_TIMEOUT_S = 0.3  # of a console: the member may be paused
+POLL_S = 0.05
 
 
-class RunningFleet:
-    """Running members by name; the first ``voters`` of them may lead and have floors."""
+class RunningFleet(TrialMembers):
+    """Running members by name; ``listed`` of them may lead and have floors."""
 
     def __init__(
         self,
@@ -47,21 +43,12 @@
         lease_ms: float,
         max_clock_drift: float,
     ) -> None:
-        self.folder = folder
-        self.seed = seed
-        self.relay = Relay(nursery, seed)
-        self.engine = StandIn("e-1", Machine(512.0), sessions=8_192)
-        self.names = [f"m{number}" for number in range(count)]
-        self.fronts: dict[str, str] = {}
-        self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.ports: dict[str, dict[str, int]] = {}
-        self.starts: dict[str, int] = {}  # how often each was started
-        # As the program makes it of the file below.
-        self.plan = BudgetPlan(
+        super().__init__(folder, nursery, count, seed, StandIn("e-1", Machine(512.0), sessions=8_192))
+        self.plan = BudgetPlan(  # as the program makes it of the operator's file
             "trial",
             (
-                FleetLimit("threads", THREADS, KARRI, quantum=SETTLEMENT_THREADS),
-                FleetLimit("rate", int(RATE * UNITS_PER_REQUEST_PER_S), KARRI),
+                FleetLimit("threads", THREADS, TEAM, "", SETTLEMENT_THREADS),
+                FleetLimit("rate", int(RATE_PER_S * UNITS_PER_REQUEST_PER_S), TEAM),
             ),
             tuple(self.names[:voters]),
             lease_ms,
@@ -76,74 +63,50 @@
 
     async def start(self, name: str, clock_rate: float = 1.0) -> None:
         """Start a member, or one of this name anew; its leases' clock may run at another rate."""
-        start = self.starts.get(name, 0) + 1
-        self.starts[name] = start
-        file = self.folder / f"{name}.toml"
-        log = self.folder / f"{name}.{start}.log"
+        self.starts[name] += 1
+        program = ["-m", "fordstair"]
+        if clock_rate != 1.0:
+            program = ["-m", "fordstair.lab.skewed", str(clock_rate)]
+        await self.launch(name, self._operator_file(name), program)
+        self.relay.behind(name, f"127.0.0.1:{self.ports[name]['budgets']}")
+
+    def _operator_file(self, name: str) -> str:
         voters = ", ".join(f'{other} = "{self.fronts[other]}"' for other in self.plan.voters)
-        file.write_text(
-            operator_file([self.engine], self.folder / f"{name}.sock") + "[budgets]\nthreads_a_core = 4.0\n"
+        return (
+            operator_file([self.engine], self.console_socket(name)) + "[budgets]\nthreads_a_core = 4.0\n"
             f'[fleet]\ncluster = "trial"\nmember = "{name}"\nlisten = "127.0.0.1:0"\n'
             f'[fleet.budgets]\nlisten = "127.0.0.1:0"\nmembers = {{ {voters} }}\n'
             f"term_ms = {self.plan.lease_ms}\ndrift = {self.plan.max_clock_drift}\n"
             f"floor_part = {FLOOR_SHARE}\n"
-            f'audit = "{self.folder / name}.{start}.audit"\n'
-            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nthreads = {THREADS}\n'
-            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nrequests_per_s = {RATE}\n'
+            f'audit = "{self.path_of(name, "audit")}"\n'
+            f'[[fleet.budgets.whole]]\nteam = "{TEAM}"\nthreads = {THREADS}\n'
+            f'[[fleet.budgets.whole]]\nteam = "{TEAM}"\nrequests_per_s = {RATE_PER_S}\n'
         )
-        program = (
-            ["-m", "fordstair"] if clock_rate == 1.0 else ["-m", "fordstair.lab.skewed", str(clock_rate)]
-        )
-        with log.open("wb") as opened:
-            process = subprocess.Popen(
-                [sys.executable, *program, "--operator", str(file)],
-                stdout=subprocess.DEVNULL,
-                stderr=opened,
-                stdin=subprocess.DEVNULL,
-            )
-        self.processes[name] = process
-        self.ports[name] = await ports_of(process, log, FRONTS)
-        self.relay.behind(name, f"127.0.0.1:{self.ports[name]['budgets']}")
 
     def kill(self, name: str) -> None:
-        """End a member without notice."""
-        process = self.processes.pop(name)
-        process.send_signal(signal.SIGKILL)
-        process.wait()
+        """End a member without notice; it counts as no member from now on."""
+        self.processes.pop(name).kill()
 
     async def stop(self, name: str) -> None:
-        """End a member in order."""
-        await end(self.processes.pop(name))
-
-    def pause(self, name: str) -> None:
-        """Stop a member's process (SIGSTOP)."""
-        self.processes[name].send_signal(signal.SIGSTOP)
-
-    def resume(self, name: str) -> None:
-        """Let it go on."""
-        self.processes[name].send_signal(signal.SIGCONT)
-
-    async def ask(self, name: str, command: str) -> list[dict[str, Any]]:
-        """Return a table from a member's console."""
-        rows: list[dict[str, Any]] = await ask_door(self.folder / f"{name}.sock", command)
-        return rows
+        """End a member in order; it counts as no member from now on."""
+        await self.processes.pop(name).stop()
 
     def audit(self) -> Audit:
-        """Return the audit of all processes so far."""
+        """Return the audit of all starts so far."""
         return read_audit(self.plan, sorted(self.folder.glob("*.audit")))
 
     def lines(self, name: str, event: str) -> list[str]:
         """Return the lines of that event in a member's present log."""
-        text = (self.folder / f"{name}.{self.starts[name]}.log").read_text()
+        text = self.path_of(name, "log").read_text()
         return [line for line in text.splitlines() if event in line]
 
     async def allotments(self) -> dict[str, int]:
         """Return the threads that each running member may use now, floor included; 0 of a stopped one."""
-        allotments: dict[str, int] = {}
+        allotments = dict[str, int]()
         for name in self.processes:
             allotments[name] = 0
-            with trio.move_on_after(CONSOLE_TIMEOUT_S):
-                rows = [row for row in await self.ask(name, "shares") if row["own"]]
+            with trio.move_on_after(QUERY_TIMEOUT_S):
+                rows = [row for row in await self.query(name, "shares") if row["own"]]
                 allotments[name] = round(next(row["share"] for row in rows if "threads" in row["budget"]))
         return allotments
 
@@ -152,22 +115,22 @@
         with trio.fail_after(20.0):
             while True:
                 for name in self.processes:
-                    with trio.move_on_after(CONSOLE_TIMEOUT_S):
-                        if any(row["own"] and row["leads"] for row in await self.ask(name, "shares")):
+                    with trio.move_on_after(QUERY_TIMEOUT_S):
+                        if any(row["own"] and row["leads"] for row in await self.query(name, "shares")):
                             return name
-                await trio.sleep(0.05)
+                await trio.sleep(POLL_S)
 
     async def until_all_leased(self, within_s: float) -> float:
-        """Wait until running members together hold all of the limit that can be had; return how long it took.
+        """Wait until running members together hold all of the whole that can be had; return how long it took.
 
-        The floors of voters that do not run stay reserved.
+        The floors of listed members that do not run stay reserved.
         """
         began = trio.current_time()
-        running_voters = sum(name in self.plan.voters for name in self.processes)
-        wanted = self.plan.lendable[0] + self.plan.floors[0] * running_voters
+        running_listed = sum(name in self.plan.voters for name in self.processes)
+        wanted = self.plan.lendable[0] + self.plan.floors[0] * running_listed
         with trio.fail_after(within_s):
             while sum((await self.allotments()).values()) < wanted:
-                await trio.sleep(0.05)
+                await trio.sleep(POLL_S)
         return trio.current_time() - began
 
     async def traffic(
@@ -183,9 +146,9 @@
         """
         kinds: dict[str, list[Kind]] = {name: [] for name in self.names}
         for name, rate in rates.items():
-            kinds[name].append(Kind("settlement", KARRI, rate, work_ms, 4_000.0))
+            kinds[name].append(Kind("settlement", TEAM, rate, work_ms, 4_000.0))
         for name, rate in (lookups or {}).items():
-            kinds[name].append(Kind("lookup", KARRI, rate, 20.0, 4_000.0))
+            kinds[name].append(Kind("lookup", TEAM, rate, 20.0, 4_000.0))
         tallies: dict[str, Tally] = {}
         held: list[int] = []
 
@@ -196,15 +159,15 @@
 
         async def send(name: str) -> None:
             seed = self.seed * 1_000 + self.names.index(name)  # no two clients use one id
-            each = Traffic("127.0.0.1", self.ports[name]["listens"], kinds[name], seed, lines=64)
+            each = Traffic("127.0.0.1", self.ports[name]["listens"], kinds[name], seed, max_connections=64)
             tallies[name] = await each.run(seconds)
 
-        async with trio.open_nursery() as sampling:
-            sampling.start_soon(sample)
+        async with trio.open_nursery() as samples:
+            samples.start_soon(sample)
             async with trio.open_nursery() as nursery:
                 for name in (name for name in self.names if kinds[name]):
                     nursery.start_soon(send, name)
-            sampling.cancel_scope.cancel()
+            samples.cancel_scope.cancel()
         return tallies, held
 
     def threads_held(self) -> int:
@@ -223,7 +186,7 @@
     lease_ms: float = 2_500.0,
     max_clock_drift: float = 0.01,
 ) -> AsyncIterator[RunningFleet]:
-    """Run that many members; their leases come once a leader has learned."""
+    """That many members, running; their shares come once a leader has learned."""
     async with trio.open_nursery() as nursery:
         fleet = RunningFleet(folder, nursery, count, voters, seed, lease_ms, max_clock_drift)
         await nursery.start(fleet.engine.serve)
@@ -234,7 +197,5 @@
                     starts.start_soon(fleet.start, name)
             yield fleet
         finally:
-            for process in fleet.processes.values():
-                process.kill()
-                process.wait()
+            fleet.kill_all()
             nursery.cancel_scope.cancel()
--- a/fordstair/lab/replication_trial.py
+++ b/fordstair/lab/replication_trial.py
@@ -10,10 +10,7 @@
 import random
 import re
 import resource
-import signal
 import socket
-import subprocess
-import sys
 from collections import Counter
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -23,18 +20,17 @@
 import msgspec
 import trio
 
-from fordstair.lab.appliance import ask_door, end, operator_file, ports_of
+from fordstair.lab.appliance import operator_file
 from fordstair.lab.engine import StandIn
 from fordstair.lab.load_history import Operation, Result
 from fordstair.lab.machine import Machine
-from fordstair.lab.relay import Relay
+from fordstair.lab.trial_members import TrialMembers
 from fordstair.replication.claim_entry import ClaimEntry
 from fordstair.replication.stored_records import CLAIM_KIND, claim_record
 from fordstair.runtime.clock import unix_now
 from fordstair.store.record import CorruptedRecord, Record
 from fordstair.store.record_file import RecordFile
 
-FRONTS = 4  # of a member: MessagePack-RPC, OData, membership's and replication's
 ENGINE_THREADS = 200.0
 ENGINE_SESSIONS = 4_096
 RESPONSE_TIMEOUT_S = 8.0
@@ -45,32 +41,26 @@
 _LOAD_ID = re.compile(rb"'(load-[0-9a-z-]+)'")
 
 
-class ReplicationTrial:
+class ReplicationTrial(TrialMembers):
     """The members by name, the operations so far, and how often each load was begun at the engine."""
 
     def __init__(
         self, folder: Path, nursery: trio.Nursery, member_count: int, seed: int, more_settings: str
     ) -> None:
-        self.folder = folder
+        engine = StandIn("e-1", Machine(ENGINE_THREADS), sessions=ENGINE_SESSIONS)
+        super().__init__(folder, nursery, member_count, seed, engine)
         self.random = random.Random(seed)
         self.more_settings = more_settings  # lines for the table of replication in the operator's file
-        self.relay = Relay(nursery, seed)
-        self.engine = StandIn("e-1", Machine(ENGINE_THREADS), sessions=ENGINE_SESSIONS)
         self.engine.on_start = self._count_run
-        self.names = [f"m{number}" for number in range(member_count)]
         # a host of its own for each, and for each trial that runs beside this one
         self.hosts = {
             name: f"127.{10 + seed % 200}.{1 + seed // 200 % 200}.{number + 1}"
             for number, name in enumerate(self.names)
         }
-        self.membership_addresses: dict[str, str] = {}  # of the relay's fronts, as are the next
-        self.replication_addresses: dict[str, str] = {}
+        self.replication_addresses: dict[str, str] = {}  # of the relay's TCP fronts
         self.listen_addresses: dict[str, str] = {}  # of replication itself, behind its front
-        self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.ports: dict[str, dict[str, int]] = {}
         self.operations: list[Operation] = []
         self.run_counts: Counter[str] = Counter()
-        self.starts: Counter[str] = Counter()
         self._last_load = 0
 
     def _count_run(self, class_name: str, statement: bytes) -> None:
@@ -82,7 +72,7 @@
     async def open_fronts(self) -> None:
         """Choose all addresses."""
         for name, host in self.hosts.items():
-            self.membership_addresses[name] = await self.relay.front(name)
+            self.fronts[name] = await self.relay.front(name)
             with socket.socket() as probe:
                 probe.bind((host, 0))
                 self.listen_addresses[name] = f"{host}:{probe.getsockname()[1]}"
@@ -93,49 +83,28 @@
     async def start(self, name: str) -> None:
         """Start a member, or restart it on what its store holds."""
         self.starts[name] += 1
-        file = self.folder / f"{name}.toml"
-        file.write_text(self._operator_file(name))
-        with self.log_path(name).open("wb") as log:
-            process = subprocess.Popen(
-                [sys.executable, "-m", "fordstair", "--operator", str(file)],
-                stdout=subprocess.DEVNULL,
-                stderr=log,
-                stdin=subprocess.DEVNULL,
-            )
-        self.processes[name] = process
-        self.ports[name] = await ports_of(process, self.log_path(name), FRONTS)
+        await self.launch(name, self._operator_file(name))
         self.relay.behind(name, f"{self.hosts[name]}:{self.ports[name]['fleet']}")
 
     def _operator_file(self, name: str) -> str:
         holders = ", ".join(f'{other} = "{address}"' for other, address in self.replication_addresses.items())
-        seeds = ", ".join(
-            f'"{address}"' for other, address in self.membership_addresses.items() if other != name
-        )
+        seeds = ", ".join(f'"{address}"' for other, address in self.fronts.items() if other != name)
         return (
-            operator_file([self.engine], self.folder / f"{name}.sock")
+            operator_file([self.engine], self.console_socket(name))
             + f'[[set]]\nname = "Readings"\ntable = "readings_2.intervals"\nread = "settlement"\n'
             f'columns = ["meter", "started", "kwh"]\nwrite = "meter-load"\n'
             f'[fleet]\ncluster = "trial"\nmember = "{name}"\nlisten = "{self.hosts[name]}:0"\n'
-            f'advertise = "{self.membership_addresses[name]}"\nseeds = [{seeds}]\nprobe_ms = 300\n'
+            f'advertise = "{self.fronts[name]}"\nseeds = [{seeds}]\nprobe_ms = 300\n'
             f"timeout_ms = 100\nsync_ms = 2000\n"
             f'[fleet.ledger]\nlisten = "{self.listen_addresses[name]}"\n'
             f'store = "{self.store_path(name)}"\nholders = {{ {holders} }}\n'
             f"exchange_ms = 500\n{self.more_settings}\n"
         )
 
-    def kill(self, name: str) -> None:
-        """End a member with SIGKILL."""
-        self.processes[name].send_signal(signal.SIGKILL)
-        self.processes[name].wait()
-
-    def log_path(self, name: str) -> Path:
-        """Return the log of a member's present process."""
-        return self.folder / f"{name}.{self.starts[name]}.log"
-
     async def logged(self, name: str, text: str, within_s: float = 20.0) -> str:
         """Wait until a member's present process has logged a text; return its whole log."""
         with trio.fail_after(within_s):
-            while text not in (logged := self.log_path(name).read_text()):
+            while text not in (logged := self.path_of(name, "log").read_text()):
                 await trio.sleep(POLL_INTERVAL_S)
         return logged
 
@@ -200,7 +169,7 @@
 
     async def member_views(self, name: str) -> dict[str, dict[str, Any]]:
         """Return what a member shows of all members on its console socket."""
-        return {row["name"]: row for row in await ask_door(self.folder / f"{name}.sock", "members")}
+        return {row["name"]: row for row in await self.query(name, "members")}
 
     async def wait_until_converged(self, within_s: float) -> float:
         """Wait until all members hold as many claims and no ranges differ; return the seconds."""
@@ -218,7 +187,7 @@
     async def wait_until_caught_up(self, name: str, count: int) -> float:
         """Wait until a member's present process has caught up on so many entries; return the seconds."""
         started_s = trio.current_time()
-        while sum(map(int, _CAUGHT_UP.findall(self.log_path(name).read_text()))) < count:
+        while sum(map(int, _CAUGHT_UP.findall(self.path_of(name, "log").read_text()))) < count:
             await trio.sleep(POLL_INTERVAL_S)
         return trio.current_time() - started_s
 
@@ -281,7 +250,7 @@
         await trio.sleep(SETTLE_S)
         async with trio.open_nursery() as nursery:
             for process in self.processes.values():
-                nursery.start_soon(end, process)
+                nursery.start_soon(process.stop)
         outcomes = dict[str, dict[str, bytes]]()
         for name in self.names:
             for key, entry in stored_entries(self.store_path(name)).items():
@@ -326,7 +295,5 @@
             await trial.wait_until_granting()
             yield trial
         finally:
-            for process in trial.processes.values():
-                process.kill()
-                process.wait()
+            trial.kill_all()
             nursery.cancel_scope.cancel()
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -7,7 +7,6 @@
 ROOT = Path(__file__).parent.parent
 LINES_MOST = 400
 STILL_LARGER = {
-    "fordstair/lab/site.py",
     "fordstair/program.py",
 }
 
