--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -14,8 +14,8 @@
 from fordstair.lab.replication_faults import kill_members, partition_members
 from fordstair.lab.replication_trial import ReplicationTrial, running_trial, stored_entries
 from fordstair.replication.claim_coordinator import SETTLE_TIMEOUT_S
+from tests.scenes import play as bounded
 from tests.standins import config, engine, program
-from tests.test_platform import play as bounded
 
 
 def play(scene: Callable[[Path], Awaitable[None]]) -> None:
--- a/tests/wires/test_rest.py
+++ b/tests/wires/test_rest.py
@@ -6,8 +6,8 @@
 
 import trio
 
+from tests.scenes import play
 from tests.standins import RestEngine, config, connect, inside, program
-from tests.test_platform import play
 from tests.wires.recordings import recorded, tapped_engine
 
 TXN = "9b1f03aa5c7e2d41"
@@ -55,7 +55,7 @@
             number = await client.ask("meter-load", txn=TXN)
             await until(one, "GET")
             coordinator = coordination.coordinator
-            coordinator.set_deprioritized(next(iter(coordinator.live.values())), True)
+            coordinator.priorities.set_deprioritized(next(iter(coordinator.live.values())), True)
             await until(one, "PUT")
             await client.send([2, "cancelRequest", [number]])
             await until(one, "DELETE")
