--- a/fordstair/net/clients/odata_front.py
+++ b/fordstair/net/clients/odata_front.py
@@ -32,7 +32,7 @@
         self.coordinator = coordinator
         self.operator = operator
         self.results = StoredResults(operator.max_results, operator.result_lifetime_ms, coordinator.deadlines)
-        self.repeats: IdempotencyStore = LocalIdempotencyStore(coordinator)
+        self.idempotency_store: IdempotencyStore = LocalIdempotencyStore(coordinator)
         self.team_of = team_of
         self.connections = 0
         self.open_requests = 0
--- a/fordstair/net/clients/odata_router.py
+++ b/fordstair/net/clients/odata_router.py
@@ -36,7 +36,9 @@
         self._team_header = front.operator.team_header.lower()
         self._team_of_peer = partial(front.team_of, stream)  # returns None for one without an identity
         self._reads = Reads(front.operator, front.results, statements)
-        self._loads = Loads(front.operator.root, front.operator.entity_sets, front.repeats, statements)
+        self._loads = Loads(
+            front.operator.root, front.operator.entity_sets, front.idempotency_store, statements
+        )
         self._batches = Batches(("prefer", self._team_header), self.respond, statements)
 
     async def respond(self, request: ODataRequest) -> Response:
--- a/fordstair/net/console_commands.py
+++ b/fordstair/net/console_commands.py
@@ -11,19 +11,19 @@
 
 from fordstair.core.coordinator import Coordinator
 from fordstair.overrides.register import (
-    BringBack,
-    Change,
+    Cordon,
     Drain,
-    Ledger,
-    Limit,
-    Ruling,
-    SetAside,
-    Standing,
+    Override,
+    OverrideRegister,
+    ProgramState,
+    ProposalResult,
+    SetConcurrencyLimit,
+    Uncordon,
     Verdict,
 )
 from fordstair.runtime.clock import WallClock
 from fordstair.runtime.event_log import EventLog
-from fordstair.snapshots.collector import Observer
+from fordstair.snapshots.collector import SnapshotCollector
 from fordstair.snapshots.snapshot import TABLES
 
 log = EventLog(__name__)
@@ -50,7 +50,7 @@
 
     @property
     def seen_revision(self) -> int | None:
-        """The revision of the adjustments that its author has seen; None: it does not say."""
+        """The revision of the overrides that its author has seen; None: it does not say."""
         seen = self.fields.get("seen")
         return seen if isinstance(seen, int) and not isinstance(seen, bool) else None
 
@@ -79,22 +79,22 @@
 
 
 class ConsoleCommands:
-    """Answers commands, and carries out the adjustments that the ledger accepts."""
+    """Answers commands, and carries out the overrides that the register accepts."""
 
     def __init__(
         self,
         coordinator: Coordinator,
-        ledger: Ledger,
-        observer: Observer,
+        overrides: OverrideRegister,
+        collector: SnapshotCollector,
         wall_clock: WallClock,
         drain: Callable[[], None],
     ) -> None:
         self.coordinator = coordinator
-        self.ledger = ledger
-        self.observer = observer
+        self.overrides = overrides
+        self.collector = collector
         self.wall_clock = wall_clock
         self._drain = drain
-        self.on_adjustment: Callable[[], None] = lambda: None
+        self.on_override: Callable[[], None] = lambda: None
 
     def answer(self, command: Command, who: str) -> Answer:
         """Answer one command of a user; raise InvalidCommandError."""
@@ -102,53 +102,53 @@
             return {"counters": self.coordinator.counters.snapshot()}
         if command.name == _STATUS or command.name in TABLES:
             return self._show(command.name)
-        return self._adjust(_read_change(command), command, who)
+        return self._propose(_read_override(command), command, who)
 
     def _show(self, table: str) -> Answer:
-        picture = self.observer.look(self.coordinator.deadlines.clock())
+        snapshot = self.collector.collect(self.coordinator.deadlines.clock())
         if table == _STATUS:
-            return {"at_ms": picture.at_ms, "status": msgspec.to_builtins(picture.site)}
-        rows = [msgspec.to_builtins(row) for row in picture.rows(table)]
-        return {"at_ms": picture.at_ms, table: rows}
+            return {"at_ms": snapshot.at_ms, "status": msgspec.to_builtins(snapshot.site)}
+        rows = [msgspec.to_builtins(row) for row in snapshot.rows(table)]
+        return {"at_ms": snapshot.at_ms, table: rows}
 
-    def _adjust(self, change: Change, command: Command, who: str) -> Answer:
-        ruling = self.ledger.propose(
-            change,
+    def _propose(self, override: Override, command: Command, who: str) -> Answer:
+        result = self.overrides.propose(
+            override,
             who,
             self.wall_clock.unix(self.coordinator.deadlines.clock()).value,
-            self._standing(),
+            self._program_state(),
             seen=command.seen_revision,
             confirmed=command.confirmed,
         )
         log.info(
-            "adjustment.decided",
-            what=type(change).__name__,
-            verdict=ruling.verdict.value,
+            "override.decided",
+            what=type(override).__name__,
+            verdict=result.verdict.value,
             who=who,
-            **{name: getattr(change, name) for name in change.__slots__},
-            why=ruling.why,
+            **{name: getattr(override, name) for name in override.__slots__},
+            why=result.reason,
         )
-        if ruling.verdict is Verdict.DONE:
+        if result.verdict is Verdict.DONE:
             self.coordinator.counters.add("adjustments")
-            self._carry_out(change)
-            self.on_adjustment()
-        return _ruling_answer(ruling, self.ledger.revision)
+            self._carry_out(override)
+            self.on_override()
+        return _result_answer(result, self.overrides.revision)
 
-    def _carry_out(self, change: Change) -> None:
-        match change:
-            case SetAside(engine):
+    def _carry_out(self, override: Override) -> None:
+        match override:
+            case Cordon(engine):
                 self.coordinator.set_cordoned(engine, True)
-            case BringBack(engine):
+            case Uncordon(engine):
                 self.coordinator.set_cordoned(engine, False)
-            case Limit(class_name, threads):
+            case SetConcurrencyLimit(class_name, threads):
                 self.coordinator.set_concurrency_limit(self.coordinator.classes[class_name], threads)
             case Drain():
                 self._drain()
 
-    def _standing(self) -> Standing:
-        """Return what the ledger must know to judge."""
+    def _program_state(self) -> ProgramState:
+        """Return what the register must know to judge."""
         coordinator = self.coordinator
-        return Standing(
+        return ProgramState(
             frozenset(name for name, engine in coordinator.engines.items() if engine.ready),
             frozenset(coordinator.engines),
             {spec.name: spec.threads for spec in coordinator.settings.classes},
@@ -157,26 +157,26 @@
         )
 
 
-def _read_change(command: Command) -> Change:
-    """Read an adjustment; raise InvalidCommandError, naming what cannot be used."""
+def _read_override(command: Command) -> Override:
+    """Read an override; raise InvalidCommandError, naming what cannot be used."""
     match command.name:
         case "set-aside":
-            return SetAside(command.text("engine"))
+            return Cordon(command.text("engine"))
         case "bring-back":
-            return BringBack(command.text("engine"))
+            return Uncordon(command.text("engine"))
         case "limit":
             threads = command.fields.get("threads")
             if threads is not None and (isinstance(threads, bool) or not isinstance(threads, int)):
                 raise InvalidCommandError("threads: a whole number, or null to lift the limit")
-            return Limit(command.text("class"), threads)
+            return SetConcurrencyLimit(command.text("class"), threads)
         case "drain":
             return Drain()
     raise InvalidCommandError(f"unknown command {command.name[:_SHOWN_CHARS]!r}")
 
 
-def _ruling_answer(ruling: Ruling, revision: int) -> Answer:
-    answer: Answer = {"verdict": ruling.verdict.value, "why": ruling.why, "revision": revision}
-    made = ruling.adjustment
+def _result_answer(result: ProposalResult, revision: int) -> Answer:
+    answer: Answer = {"verdict": result.verdict.value, "why": result.reason, "revision": revision}
+    made = result.override
     if made is not None:
-        answer |= {"target": made.target, "what": made.what, "who": made.who, "at_ms": made.at_ms}
+        answer |= {"target": made.target, "what": made.effect, "who": made.author, "at_ms": made.applied_ms}
     return answer
--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -23,13 +23,13 @@
     InvalidCommandError,
     read_command,
 )
-from fordstair.net.console_stream import PictureSource, SnapshotStream
-from fordstair.overrides.register import Ledger
+from fordstair.net.console_stream import SnapshotSource, SnapshotStream
+from fordstair.overrides.register import OverrideRegister
 from fordstair.runtime.clock import WallClock
 from fordstair.runtime.event_log import EventLog
-from fordstair.snapshots.collector import Observer
+from fordstair.snapshots.collector import SnapshotCollector
 from fordstair.snapshots.publishing import CUT_MS
-from fordstair.snapshots.snapshot import NoteView
+from fordstair.snapshots.snapshot import LogLineView
 
 if TYPE_CHECKING:
     from fordstair.budgets.transport import FleetBudgets
@@ -58,18 +58,20 @@
         shared: ReplicationService | None = None,
         budgets: FleetBudgets | None = None,
     ) -> None:
-        ledger = Ledger()
+        overrides = OverrideRegister()
         self.coordinator = coordinator
         self.wall_clock = wall_clock
-        self.observer = Observer(name, coordinator, ledger, wall_clock, membership, shared, budgets)
+        self.collector = SnapshotCollector(
+            name, coordinator, overrides, wall_clock, membership, shared, budgets
+        )
         self._max_followers = max_followers
-        self._source = PictureSource(self.observer, coordinator)
-        self._commands = ConsoleCommands(coordinator, ledger, self.observer, wall_clock, drain)
-        self._commands.on_adjustment = self._source.note_change
+        self._source = SnapshotSource(self.collector, coordinator)
+        self._commands = ConsoleCommands(coordinator, overrides, self.collector, wall_clock, drain)
+        self._commands.on_override = self._source.note_change
         if membership is not None:
             membership.listeners.append(lambda _: self._source.note_change())
         self._connections = 0
-        self._last_note = 0
+        self._last_log_line = 0
 
     async def run(self, path: str, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Listen until cancelled; raise ConfigError where the path cannot be had."""
@@ -85,8 +87,10 @@
 
     def note(self, at_ms: float, level: str, text: str) -> None:
         """Take a line of the log for the pane."""
-        self._last_note += 1
-        self.observer.notes.append(NoteView(self._last_note, self.wall_clock.unix(at_ms).value, level, text))
+        self._last_log_line += 1
+        self.collector.log_lines.append(
+            LogLineView(self._last_log_line, self.wall_clock.unix(at_ms).value, level, text)
+        )
         self._source.note_change()
 
     async def serve(self, stream: trio.SocketStream) -> None:
@@ -140,15 +144,15 @@
         return await self._send(stream, answer)
 
     async def _stream_snapshots(self, stream: trio.SocketStream) -> None:
-        if self.observer.watchers >= self._max_followers:
+        if self.collector.followers >= self._max_followers:
             self.coordinator.counters.add("console.rejected")
             await self._send(stream, {"error": f"{self._max_followers} consoles follow already"})
             return
-        self.observer.watchers += 1
+        self.collector.followers += 1
         try:
             await SnapshotStream(stream, self._source, self.coordinator).run()
         finally:
-            self.observer.watchers -= 1
+            self.collector.followers -= 1
 
     async def _send(self, stream: trio.SocketStream, answer: Answer) -> bool:
         """Send an answer; return whether it left in time."""
--- a/fordstair/net/console_stream.py
+++ b/fordstair/net/console_stream.py
@@ -9,9 +9,9 @@
 
 from fordstair.core.coordinator import Coordinator
 from fordstair.runtime.event_log import EventLog
-from fordstair.snapshots.collector import Observer
-from fordstair.snapshots.publishing import CUT_MS, Pace
-from fordstair.snapshots.snapshot import Picture, encode, step
+from fordstair.snapshots.collector import SnapshotCollector
+from fordstair.snapshots.publishing import CUT_MS, SnapshotSchedule
+from fordstair.snapshots.snapshot import Snapshot, delta_between, encode
 
 log = EventLog(__name__)
 
@@ -21,10 +21,10 @@
 
 @dataclass(slots=True, frozen=True)
 class EncodedFrame:
-    """The frame between two pictures."""
+    """The frame between two snapshots."""
 
-    old: Picture
-    new: Picture
+    old: Snapshot
+    new: Snapshot
     data: bytes
 
 
@@ -47,13 +47,13 @@
             await self._increased.wait()
 
 
-class PictureSource:
-    """The latest picture, and when the next one is due."""
+class SnapshotSource:
+    """The latest snapshot, and when the next one is due."""
 
-    def __init__(self, observer: Observer, coordinator: Coordinator) -> None:
-        self.observer = observer
+    def __init__(self, collector: SnapshotCollector, coordinator: Coordinator) -> None:
+        self.collector = collector
         self._deadlines = coordinator.deadlines
-        self._pace = Pace()
+        self._schedule = SnapshotSchedule()
         self._changed = True
         self._change = trio.Event()
         self._last_frame: EncodedFrame | None = None
@@ -64,34 +64,34 @@
             self._changed = True
             self._change.set()
 
-    def latest(self) -> Picture:
-        """Return the latest picture, made again where that is due; all who follow share it."""
+    def latest(self) -> Snapshot:
+        """Return the latest snapshot, made again where that is due; all who follow share it."""
         now_ms = self._deadlines.clock()
-        if self._pace.due(now_ms, self._changed) > 0.0:
-            return self.observer.picture
+        if self._schedule.due_in_ms(now_ms, self._changed) > 0.0:
+            return self.collector.latest
         self._changed = False
-        picture = self.observer.look(now_ms)
-        self._pace.made(now_ms, self._deadlines.clock() - now_ms)
-        return picture
+        snapshot = self.collector.collect(now_ms)
+        self._schedule.record_collection(now_ms, self._deadlines.clock() - now_ms)
+        return snapshot
 
-    def frame(self, old: Picture, new: Picture) -> bytes:
-        """Return the frame between two pictures; consoles that keep pace share one."""
+    def frame(self, old: Snapshot, new: Snapshot) -> bytes:
+        """Return the frame between two snapshots; consoles that keep pace share one."""
         last = self._last_frame
         if last is None or last.old is not old or last.new is not new:
-            last = EncodedFrame(old, new, encode(step(old, new)) + b"\n")
+            last = EncodedFrame(old, new, encode(delta_between(old, new)) + b"\n")
             self._last_frame = last
         return last.data
 
-    async def wait_for_next(self, sent: Picture, sent_ms: float) -> None:
-        """Wait until the next picture is due, or another console has had it made."""
-        every_ms = self._pace.every_ms
+    async def wait_for_next(self, sent: Snapshot, sent_ms: float) -> None:
+        """Wait until the next snapshot is due, or another console has had it made."""
+        interval_ms = self._schedule.interval_ms
         while True:
             now_ms = self._deadlines.clock()
-            own_wait_ms = sent_ms + every_ms - now_ms  # no console is sent more often than that
-            wait_ms = self._pace.due(now_ms, self._changed)
-            if self.observer.picture.number > sent.number:
+            own_wait_ms = sent_ms + interval_ms - now_ms  # no console is sent more often than that
+            wait_ms = self._schedule.due_in_ms(now_ms, self._changed)
+            if self.collector.latest.number > sent.number:
                 wait_ms = min(wait_ms, own_wait_ms)
-            clock_went_back = own_wait_ms > 2.0 * every_ms
+            clock_went_back = own_wait_ms > 2.0 * interval_ms
             if clock_went_back or max(wait_ms, own_wait_ms) <= 0.0:
                 return
             if self._change.is_set():
@@ -103,9 +103,9 @@
 
 
 class SnapshotStream:
-    """Sends one console the full picture and then changes; what changes while one is sent waits as one."""
+    """Sends one console the full snapshot and then changes; what changes while one is sent waits as one."""
 
-    def __init__(self, stream: trio.SocketStream, source: PictureSource, coordinator: Coordinator) -> None:
+    def __init__(self, stream: trio.SocketStream, source: SnapshotSource, coordinator: Coordinator) -> None:
         self._stream = stream
         self._source = source
         self._deadlines = coordinator.deadlines
@@ -123,18 +123,18 @@
 
     async def _send_frames(self, ended: trio.CancelScope) -> None:
         """Send frame after frame, each once the one before was taken, whatever the kernel would hold."""
-        sent = Picture()
+        sent = Snapshot()
         sent_ms = 0.0
         frames = 0
         with contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             while True:
-                picture = self._source.latest()
-                if picture.number > sent.number:
+                snapshot = self._source.latest()
+                if snapshot.number > sent.number:
                     frames += 1
-                    if not await self._send(self._source.frame(sent, picture), frames):
+                    if not await self._send(self._source.frame(sent, snapshot), frames):
                         break
                     self._counters.add("console.frames")
-                    sent = picture
+                    sent = snapshot
                     sent_ms = self._deadlines.clock()
                 await self._source.wait_for_next(sent, sent_ms)
         ended.cancel()
--- a/tests/wires/test_rest.py
+++ b/tests/wires/test_rest.py
@@ -55,7 +55,7 @@
             number = await client.ask("meter-load", txn=TXN)
             await until(one, "GET")
             coordinator = coordination.coordinator
-            coordinator.set_deprioritized(next(iter(coordinator.live.values())), True)
+            coordinator.priorities.set_deprioritized(next(iter(coordinator.live.values())), True)
             await until(one, "PUT")
             await client.send([2, "cancelRequest", [number]])
             await until(one, "DELETE")
