--- a/benchmarks/fleet_service.py
+++ b/benchmarks/fleet_service.py
@@ -23,7 +23,7 @@
 
 from benchmarks.budgets import CORES, SHARES, THREADS_A_CORE, told, waits_within
 from benchmarks.command import run as run_command
-from fordstair.budgets.whole import Plan, Whole
+from fordstair.budgets.plan import BudgetPlan, FleetLimit
 from fordstair.lab.billing_close import TEAMS, Shape, generate
 from fordstair.lab.clockwork import play
 from fordstair.lab.machine import Machine
@@ -31,17 +31,23 @@
 from fordstair.lab.site import Queueing, Server, Site
 from fordstair.lab.virtual import Record
 
-ENGINES_EACH, RATE_EACH, LISTED, WARM_MS, TERM_MS = 4, 40.0, 5, 15_000.0, 5_000.0
+ENGINES_EACH = 4  # of a coordinator
+RATE_EACH = 40.0  # requests a second, of a coordinator
+VOTERS = 5
+WARM_MS = 15_000.0
+LEASE_MS = 5_000.0
 
 
-def plan(count: int) -> Plan:
+def plan(count: int) -> BudgetPlan:
     """Return a budget in threads for each team: its share of what the engines hold."""
     threads = CORES * ENGINES_EACH * count * THREADS_A_CORE
-    wholes = tuple(
-        Whole("threads", int(threads * share), team, quantum=4)
+    limits = tuple(
+        FleetLimit("threads", int(threads * share), team, quantum=4)
         for share, team in zip(SHARES, TEAMS, strict=True)
     )
-    return Plan("bench", wholes, tuple(f"m{n}" for n in range(min(LISTED, count))), TERM_MS, size=count)
+    return BudgetPlan(
+        "bench", limits, tuple(f"m{n}" for n in range(min(VOTERS, count))), LEASE_MS, fleet_size=count
+    )
 
 
 def run(
@@ -71,7 +77,7 @@
 def figures(site: Site, records: list[Record], count: int) -> dict[str, Any]:
     """Return one play's figures."""
     mine = {team: [record for record in records if record.team == n] for n, team in enumerate(TEAMS)}
-    wholes = [whole.units for whole in plan(count).wholes]
+    limits = [whole.units for whole in plan(count).limits]
     share, counted = waits_within(records)
     return {
         "in_aim": {
@@ -79,14 +85,14 @@
             for team, rows in mine.items()
         },
         "out": {
-            team: round(max(held.get(n, 0) for _, held in site.held) / wholes[n], 3)
+            team: round(max(held.get(n, 0) for _, held in site.held) / limits[n], 3)
             for n, team in enumerate(TEAMS)
         },
         "waits": round(share, 3),
         "waits_told": counted,
         "requests": len(records),
         "unanswered": sum(not record.how for record in records),
-        "over": site.fleet.audit.over() if site.fleet is not None else 0,
+        "over": site.fleet.audit.violations() if site.fleet is not None else 0,
     }
 
 
@@ -101,7 +107,7 @@
             fleet.network.cut = lambda source, to: on
 
         site.at(seconds * 1e3 / 3.0, partial(cut, True))
-        site.at(seconds * 1e3 / 3.0 + 2.0 * TERM_MS, partial(cut, False))
+        site.at(seconds * 1e3 / 3.0 + 2.0 * LEASE_MS, partial(cut, False))
 
     return figures(*run(count, seconds, seed, fleet=True, script=script), count)
 
--- a/fordstair/net/clients/odata_model.py
+++ b/fordstair/net/clients/odata_model.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from fordstair.budgets.whole import Part
+    from fordstair.budgets.plan import FleetBudgetsConfig
     from fordstair.membership.configuration import MembershipConfig
     from fordstair.replication.settings import ReplicationSettings
 
@@ -50,5 +50,5 @@
     fleet: MembershipConfig | None = None  # membership among coordinators; no address: the one that is bound
     fleet_listen: tuple[str, int] = ("127.0.0.1", 0)
     ledger: ReplicationSettings | None = None  # of loads that run at most once among all coordinators
-    shares: Part | None = None  # of budgets that the whole fleet has together
+    shares: FleetBudgetsConfig | None = None  # of budgets that the whole fleet has together
     eject_silent_zones: bool = False
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -247,7 +247,7 @@
         if self.budgets is None:
             return {}
         rows = self.budgets.rows(self._unix(now))
-        return {f"{row.member}|{row.budget}": QuotaView(*row) for row in rows}
+        return {f"{row.member}|{row.limit_name}": QuotaView(*row) for row in rows}
 
     def _adjustments(self) -> dict[str, OverrideView]:
         return {
