--- a/fordstair/net/console_commands.py
+++ b/fordstair/net/console_commands.py
@@ -50,7 +50,7 @@
 
     @property
     def seen_revision(self) -> int | None:
-        """The revision of the adjustments that its author has seen; None: it does not say."""
+        """The revision of the overrides that its author has seen; None: it does not say."""
         seen = self.fields.get("seen")
         return seen if isinstance(seen, int) and not isinstance(seen, bool) else None
 
@@ -79,7 +79,7 @@
 
 
 class ConsoleCommands:
-    """Answers commands, and carries out the adjustments that the ledger accepts."""
+    """Answers commands, and carries out the overrides that the register accepts."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
         self.collector = collector
         self.wall_clock = wall_clock
         self._drain = drain
-        self.on_adjustment: Callable[[], None] = lambda: None
+        self.on_override: Callable[[], None] = lambda: None
 
     def answer(self, command: Command, who: str) -> Answer:
         """Answer one command of a user; raise InvalidCommandError."""
@@ -102,7 +102,7 @@
             return {"counters": self.coordinator.counters.snapshot()}
         if command.name == _STATUS or command.name in TABLES:
             return self._show(command.name)
-        return self._adjust(_read_change(command), command, who)
+        return self._propose(_read_override(command), command, who)
 
     def _show(self, table: str) -> Answer:
         snapshot = self.collector.collect(self.coordinator.deadlines.clock())
@@ -111,9 +111,9 @@
         rows = [msgspec.to_builtins(row) for row in snapshot.rows(table)]
         return {"at_ms": snapshot.at_ms, table: rows}
 
-    def _adjust(self, change: Override, command: Command, who: str) -> Answer:
+    def _propose(self, override: Override, command: Command, who: str) -> Answer:
         result = self.overrides.propose(
-            change,
+            override,
             who,
             self.wall_clock.unix(self.coordinator.deadlines.clock()).value,
             self._program_state(),
@@ -121,21 +121,21 @@
             confirmed=command.confirmed,
         )
         log.info(
-            "adjustment.decided",
-            what=type(change).__name__,
+            "override.decided",
+            what=type(override).__name__,
             verdict=result.verdict.value,
             who=who,
-            **{name: getattr(change, name) for name in change.__slots__},
+            **{name: getattr(override, name) for name in override.__slots__},
             why=result.reason,
         )
         if result.verdict is Verdict.DONE:
             self.coordinator.counters.add("adjustments")
-            self._carry_out(change)
-            self.on_adjustment()
+            self._carry_out(override)
+            self.on_override()
         return _result_answer(result, self.overrides.revision)
 
-    def _carry_out(self, change: Override) -> None:
-        match change:
+    def _carry_out(self, override: Override) -> None:
+        match override:
             case Cordon(engine):
                 self.coordinator.set_cordoned(engine, True)
             case Uncordon(engine):
@@ -146,7 +146,7 @@
                 self._drain()
 
     def _program_state(self) -> ProgramState:
-        """Return what the ledger must know to judge."""
+        """Return what the register must know to judge."""
         coordinator = self.coordinator
         return ProgramState(
             frozenset(name for name, engine in coordinator.engines.items() if engine.ready),
@@ -157,8 +157,8 @@
         )
 
 
-def _read_change(command: Command) -> Override:
-    """Read an adjustment; raise InvalidCommandError, naming what cannot be used."""
+def _read_override(command: Command) -> Override:
+    """Read an override; raise InvalidCommandError, naming what cannot be used."""
     match command.name:
         case "set-aside":
             return Cordon(command.text("engine"))
--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -67,11 +67,11 @@
         self._max_followers = max_followers
         self._source = SnapshotSource(self.collector, coordinator)
         self._commands = ConsoleCommands(coordinator, overrides, self.collector, wall_clock, drain)
-        self._commands.on_adjustment = self._source.note_change
+        self._commands.on_override = self._source.note_change
         if membership is not None:
             membership.listeners.append(lambda _: self._source.note_change())
         self._connections = 0
-        self._last_note = 0
+        self._last_log_line = 0
 
     async def run(self, path: str, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Listen until cancelled; raise ConfigError where the path cannot be had."""
@@ -87,9 +87,9 @@
 
     def note(self, at_ms: float, level: str, text: str) -> None:
         """Take a line of the log for the pane."""
-        self._last_note += 1
+        self._last_log_line += 1
         self.collector.log_lines.append(
-            LogLineView(self._last_note, self.wall_clock.unix(at_ms).value, level, text)
+            LogLineView(self._last_log_line, self.wall_clock.unix(at_ms).value, level, text)
         )
         self._source.note_change()
 
--- a/fordstair/net/console_stream.py
+++ b/fordstair/net/console_stream.py
@@ -84,14 +84,14 @@
 
     async def wait_for_next(self, sent: Snapshot, sent_ms: float) -> None:
         """Wait until the next snapshot is due, or another console has had it made."""
-        every_ms = self._schedule.interval_ms
+        interval_ms = self._schedule.interval_ms
         while True:
             now_ms = self._deadlines.clock()
-            own_wait_ms = sent_ms + every_ms - now_ms  # no console is sent more often than that
+            own_wait_ms = sent_ms + interval_ms - now_ms  # no console is sent more often than that
             wait_ms = self._schedule.due_in_ms(now_ms, self._changed)
             if self.collector.latest.number > sent.number:
                 wait_ms = min(wait_ms, own_wait_ms)
-            clock_went_back = own_wait_ms > 2.0 * every_ms
+            clock_went_back = own_wait_ms > 2.0 * interval_ms
             if clock_went_back or max(wait_ms, own_wait_ms) <= 0.0:
                 return
             if self._change.is_set():
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -128,7 +128,7 @@
             assert not counts["lost"] + counts["answered_twice"]
             assert sum(each.counts["second_attempts"] for each in one.engines) == 0
             log = (tmp_path / "log").read_text()
-            assert "adjustment.decided" in log
+            assert "override.decided" in log
             assert "Cordon" in log
             assert "verdict=done" in log
 
