--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -25,7 +25,7 @@
 from fordstair.lab.machine import Machine
 from fordstair.lab.replay import priority_weight
 from fordstair.lab.virtual import FULL_FROM, Record, World
-from fordstair.scheduling.scheduler import AGE_EVERY, Room, Scheduler, Told
+from fordstair.scheduling.scheduler import OLDEST_FIRST_EVERY, ArrivingRequest, Capacity, Scheduler
 
 SHARES = (0.73, 0.16, 0.11)
 CORES, ENGINES, WINDOW_S = 8.0, 4, 10
@@ -138,18 +138,21 @@
 
 def longest_over_bound(waiting: int, seed: int) -> float:
     """Return the most that a wait took of its bound in releases, over a queue that one team floods."""
-    scheduler = Scheduler(dict(enumerate(SHARES)), 64.0, waiting_most=10 * waiting)
+    scheduler = Scheduler(dict(enumerate(SHARES)), 64.0, max_waiting=10 * waiting)
     came, older = dict[int, int](), dict[int, int]()
     most, number = 0.0, 0
     for turn in range(2 * waiting):
         for team in (0, 0, 1) if turn % 3 else (0, 0, 2):
             number += 1
-            older[number], came[number] = len(scheduler.queues), scheduler.releases
-            scheduler.arrive(Told(number, team, (number * seed) % 3, 1, 50.0, 1e15), float(turn))
+            older[number], came[number] = len(scheduler.queues), scheduler.release_count
+            scheduler.admit(ArrivingRequest(number, team, (number * seed) % 3, 1, 50.0, 1e15), float(turn))
         for _ in range(2):
-            if (item := scheduler.release(float(turn), lambda _: Room.FITS)) is not None:
-                most = max(most, (scheduler.releases - came[item.id]) / (AGE_EVERY * (older[item.id] + 1)))
-                scheduler.ended(item.id, float(turn), item.cost)
+            if (item := scheduler.release(float(turn), lambda _: Capacity.AVAILABLE)) is not None:
+                most = max(
+                    most,
+                    (scheduler.release_count - came[item.id]) / (OLDEST_FIRST_EVERY * (older[item.id] + 1)),
+                )
+                scheduler.finish(item.id, float(turn), item.cost)
     return most
 
 
@@ -158,17 +161,19 @@
     traced = waiting <= 1_000  # tracing makes a large queue slow, and tells no more of it
     if traced:
         tracemalloc.start()
-    scheduler = Scheduler(dict(enumerate(SHARES)), 64.0, waiting_most=2 * waiting)
+    scheduler = Scheduler(dict(enumerate(SHARES)), 64.0, max_waiting=2 * waiting)
     for number in range(waiting):
-        scheduler.arrive(Told(number, number % 3, number % 2, 1, 50.0, 1e12), 1.0)
+        scheduler.admit(ArrivingRequest(number, number % 3, number % 2, 1, 50.0, 1e12), 1.0)
     size = tracemalloc.get_traced_memory()[0] / waiting
     if traced:
         tracemalloc.stop()
     turns, start = 300, time.perf_counter()
     for number in range(turns):
-        scheduler.arrive(Told(waiting + number, number % 3, number % 2, 1, 50.0, 1e12), 2.0 + number)
-        if (item := scheduler.release(2.0 + number, lambda _: Room.FITS)) is not None:
-            scheduler.ended(item.id, 2.0 + number, item.cost)
+        scheduler.admit(
+            ArrivingRequest(waiting + number, number % 3, number % 2, 1, 50.0, 1e12), 2.0 + number
+        )
+        if (item := scheduler.release(2.0 + number, lambda _: Capacity.AVAILABLE)) is not None:
+            scheduler.finish(item.id, 2.0 + number, item.cost)
     return (time.perf_counter() - start) / turns * 1e6, size
 
 
--- a/fordstair/__main__.py
+++ b/fordstair/__main__.py
@@ -1,15 +1,15 @@
-"""``python -m fordstair``: hold signals back before the long imports, then start."""
+"""``python -m fordstair``: block signals before the long imports, then start."""
 
 from __future__ import annotations
 
 import sys
 
-from fordstair.held_signals import hold_back
+from fordstair.blocked_signals import block
 
 
 def main() -> int:
     """Start one coordinator; return its exit code."""
-    hold_back()
+    block()
     from fordstair.entry_point import main as start  # only now: this takes a while
 
     return start()
--- a/fordstair/budgets/caps.py
+++ b/fordstair/budgets/caps.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from fordstair.budgets.whole import MILLI, Whole
-from fordstair.scheduling.waits import Cap, Meter
+from fordstair.scheduling.fleet_quotas import RateQuota, ThreadQuota
 
 BURST_S = 1.0
 DEMAND_MS = 3_000.0  # memory of what comes, turned away or not
@@ -162,14 +162,14 @@
             told.append(min(whole.units, max(WANT_LEAST, rate) if bucket.rate > 0.05 else 0))
         return tuple(told)
 
-    def binding(self, now: float, team: int, class_index: int) -> tuple[Cap | Meter, ...]:
+    def binding(self, now: float, team: int, class_index: int) -> tuple[ThreadQuota | RateQuota, ...]:
         """Return the shares that one which comes now needs, for the forecast of its wait."""
-        told, shares = list[Cap | Meter](), self.shares(now)
+        told, shares = list[ThreadQuota | RateQuota](), self.shares(now)
         for index in self._of.get((team, class_index), ()):
             bucket, share, whole = self.buckets[index], shares[index], self.wholes[index]
             if whole.kind == "threads":
                 told.append(
-                    Cap(
+                    ThreadQuota(
                         share,
                         bucket.threads,
                         bucket.hold_ms,
@@ -180,7 +180,7 @@
                 )
                 continue
             short = bucket.waiting + 1 - self._earn(bucket, now, share)
-            told.append(Meter(max(0.0, short) * 1_000.0 * MILLI / share if share else self.moves_ms))
+            told.append(RateQuota(max(0.0, short) * 1_000.0 * MILLI / share if share else self.moves_ms))
         return tuple(told)
 
     def _earn(self, bucket: Bucket, now: float, share: int) -> float:
--- a/fordstair/cli/tables.py
+++ b/fordstair/cli/tables.py
@@ -10,7 +10,8 @@
 from rich.table import Table
 
 from fordstair.console.panes import PANES, Pane, Rows
-from fordstair.snapshots.snapshot import TABLES, Snapshot
+from fordstair.snapshots.snapshot import Snapshot
+from fordstair.snapshots.views import TABLES
 
 
 def as_table(pane: Pane, rows: Rows) -> Table:
--- a/fordstair/console/app.py
+++ b/fordstair/console/app.py
@@ -27,7 +27,7 @@
     Pane,
     headline,
 )
-from fordstair.snapshots.publishing import Freshness
+from fordstair.snapshots.freshness import Freshness
 from fordstair.snapshots.snapshot import Snapshot
 
 RECONNECT_S = 0.5  # between attempts to reach the program
--- a/fordstair/console/connection.py
+++ b/fordstair/console/connection.py
@@ -10,7 +10,8 @@
 
 import ujson
 
-from fordstair.snapshots.snapshot import Snapshot, SnapshotDelta, SnapshotDeltaError, apply_delta, decode
+from fordstair.snapshots.delta import SnapshotDelta, SnapshotDeltaError, apply_delta, decode
+from fordstair.snapshots.snapshot import Snapshot
 
 ANSWER_TIMEOUT_S = 5.0
 MAX_FRAME_BYTES = 16 * 1024 * 1024
--- a/fordstair/console/panes.py
+++ b/fordstair/console/panes.py
@@ -9,7 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from fordstair.snapshots.snapshot import EngineView, MemberView, Snapshot
+from fordstair.snapshots.snapshot import Snapshot
+from fordstair.snapshots.views import EngineView, MemberView
 
 Rows = list[tuple[str, tuple[str, ...]]]  # key and cells
 
@@ -65,9 +66,9 @@
                 age(view.state_since_ms, now_ms),
                 str(view.in_flight),
                 f"{view.threads_in_flight}/{view.cores:g}",
-                f"{view.load:.2f}",
+                f"{view.threads_per_core:.2f}",
                 age(view.last_report_ms, now_ms),
-                f"{view.health_score:.0%}",
+                f"{view.reliability:.0%}",
                 age(view.last_response_ms, now_ms),
                 "" if view.supports_priorities else "no priorities",
             ),
@@ -207,7 +208,7 @@
 def _notes(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (str(note.number), (age(note.at_ms, now_ms), note.level, note.text))
-        for note in reversed(picture.notes)
+        for note in reversed(picture.log_lines)
     ]
 
 
--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -8,10 +8,16 @@
 
 from fordstair.core.live_request import LiveRequest
 from fordstair.core.preemption_control import PreemptionControl
-from fordstair.scheduling.later import Places
-from fordstair.scheduling.queues import Item
-from fordstair.scheduling.scheduler import Refused, Room, Scheduler, Told, last_start
-from fordstair.scheduling.waits import Cap, Meter
+from fordstair.scheduling.fair_queues import QueuedRequest
+from fordstair.scheduling.fleet_quotas import FleetQuota
+from fordstair.scheduling.retry_after import RetryAfterSchedule
+from fordstair.scheduling.scheduler import (
+    ArrivingRequest,
+    Capacity,
+    QueueRejection,
+    Scheduler,
+    latest_useful_start_ms,
+)
 
 if TYPE_CHECKING:
     from fordstair.budgets.caps import Caps
@@ -44,7 +50,7 @@
         self.scheduler = scheduler
         self.threads_a_core = threads_a_core
         self.caps = caps
-        self._retry_after = Places(seed)
+        self._retry_after = RetryAfterSchedule(seed)
         self._waiting: dict[int, LiveRequest] = {}
         self._check_scheduled = False
         self._preemption = PreemptionControl(coordinator, scheduler)
@@ -55,16 +61,16 @@
     async def wait(self, live: LiveRequest) -> None:
         """Wait until the decision module has been told of the request, or it is finished."""
         now = self._now()
-        request = self._described(live, now)
+        request = self._arriving(live, now)
         self._resize()
-        admission = self.scheduler.arrive(request, now)
+        admission = self.scheduler.admit(request, now)
         if self.caps is not None:
             self.caps.arrives(now, request.team, request.class_index, request.threads)
-        if admission.refused is not None:
+        if admission.rejection is not None:
             self._withdraw_demand(live)
-            return self._reject(live, admission.refused, admission.wait.likely_ms)
+            return self._reject(live, admission.rejection, admission.wait.likely_ms)
         if (evicted := admission.evicted) is not None:
-            self._reject_waiting(evicted.id, Refused.MADE_ROOM)
+            self._reject_waiting(evicted.id, QueueRejection.EVICTED)
         self._waiting[live.id] = live
         self.release()
         while live.id in self._waiting:
@@ -76,16 +82,16 @@
         """Take a request out, here and at the scheduler alike; return whether it waited here."""
         if self._waiting.pop(live.id, None) is None:
             return False
-        self.scheduler.leave(live.id)
+        self.scheduler.remove(live.id)
         self._withdraw_demand(live)
         return True
 
     def release(self) -> None:
         """Hand what has its turn and fits to the decision module, one by one: each takes capacity."""
         now = self._now()
-        for item in self.scheduler.overdue(now):
-            self._reject_waiting(item.id, Refused.TOO_LATE)
-        while (released := self.scheduler.release(now, self._room)) is not None:
+        for request in self.scheduler.pop_overdue(now):
+            self._reject_waiting(request.id, QueueRejection.TOO_LATE)
+        while (released := self.scheduler.release(now, self._capacity_for)) is not None:
             live = self._waiting.pop(released.id)
             if self.caps is not None:
                 self.caps.starts(now, released.id, released.team, released.class_index, released.threads)
@@ -99,67 +105,68 @@
         now = self._now()
         if self.caps is not None:
             self.caps.ends(now, live.id)
-        self.scheduler.ended(live.id, now, live.used_thread_ms)
+        self.scheduler.finish(live.id, now, live.used_thread_ms)
         self.release()
 
     def withdraw(self, live: LiveRequest) -> bool:
         """The program ends: reject the request if it waits here; return whether it did."""
         if not self.remove(live):
             return False
-        self._reject(live, Refused.ENDING, 0.0)
+        self._reject(live, QueueRejection.ENDING, 0.0)
         return True
 
     def expected_wait(self, team: int) -> tuple[int, float]:
         """Return how many requests of a team wait, and how long in ms one of the first class would."""
         threads = self.coordinator.settings.classes[0].threads
         waiting = sum(live.query.tenant_index == team for live in self._waiting.values())
-        return waiting, self.scheduler.outlook(team, 0, threads, self._now()).likely_ms
+        return waiting, self.scheduler.expected_wait(team, 0, threads, self._now()).likely_ms
 
     def _now(self) -> float:
         return self.coordinator.deadlines.clock()
 
-    def _described(self, live: LiveRequest, now: float) -> Told:
+    def _arriving(self, live: LiveRequest, now: float) -> ArrivingRequest:
         """Return a request as the scheduler is told of it."""
         arrival = self.coordinator.arrival_event(live)
         spec = self.coordinator.settings.classes[arrival.class_index]
-        work_ms = self.coordinator.gateway.predicted_cost(arrival)
-        caps: tuple[Cap | Meter, ...] = ()
+        predicted_cost = self.coordinator.gateway.predicted_cost(arrival)
+        fleet_quotas: tuple[FleetQuota, ...] = ()
         if self.caps is not None:
-            caps = self.caps.binding(now, arrival.tenant, arrival.class_index)
-        return Told(
+            fleet_quotas = self.caps.binding(now, arrival.tenant, arrival.class_index)
+        return ArrivingRequest(
             live.id,
             arrival.tenant,
             arrival.class_index,
             spec.threads,
-            work_ms,
-            last_start(spec, work_ms, now, live.deadline_ms),
-            caps,
+            predicted_cost,
+            latest_useful_start_ms(spec, predicted_cost, now, live.deadline_ms),
+            fleet_quotas,
         )
 
-    def _room(self, item: Item) -> Room:
+    def _capacity_for(self, request: QueuedRequest) -> Capacity:
         """Return whether a request could go now: to the fleet's budgets first, then to the engines."""
         if self.caps is not None and not self.caps.fits(
-            self._now(), item.team, item.class_index, item.threads
+            self._now(), request.team, request.class_index, request.threads
         ):
-            return Room.BUDGET_FULL
+            return Capacity.QUOTA_FULL
         gateway = self.coordinator.gateway
-        if gateway.has_capacity(self.coordinator.arrival_event(self._waiting[item.id])):
-            return Room.FITS
-        return Room.CLASS_FULL if item.class_index in gateway.admission.concurrency_limits else Room.FULL
+        if gateway.has_capacity(self.coordinator.arrival_event(self._waiting[request.id])):
+            return Capacity.AVAILABLE
+        limited = request.class_index in gateway.admission.concurrency_limits
+        return Capacity.CLASS_FULL if limited else Capacity.FULL
 
-    def _reject_waiting(self, request: int, reason: Refused) -> None:
+    def _reject_waiting(self, request: int, reason: QueueRejection) -> None:
         """Reject a request that the scheduler has taken out already."""
         if (live := self._waiting.pop(request, None)) is not None:
             self._withdraw_demand(live)
-            self._reject(live, reason, self.scheduler.wait_for_room().likely_ms)
+            self._reject(live, reason, self.scheduler.wait_for_capacity().likely_ms)
 
-    def _reject(self, live: LiveRequest, reason: Refused, wait_ms: float) -> None:
+    def _reject(self, live: LiveRequest, reason: QueueRejection, wait_ms: float) -> None:
         """Answer at once, with the time after which there is capacity: nothing of it ever ran."""
         settings = self.coordinator.settings
-        retry_after_ms = self._retry_after.next(
+        retry_after_ms = self._retry_after.next_ms(
             self._now(),
             max(SHORTEST_RETRY_AFTER_MS, wait_ms),
-            self.scheduler.turns_a_ms,
+            self.scheduler.releases_per_ms,
             settings.max_retry_after_ms,
         )
         self.coordinator.requests.reject(
@@ -178,8 +185,8 @@
         coordinator = self.coordinator
         cores = sum(engine.cores for engine in coordinator.gateway.selector.eligible(0))
         threads = max(1.0, cores * self.threads_a_core / coordinator.settings.instances)
-        if threads != self.scheduler.budgets.capacity:
-            self.scheduler.budgets.resize(threads)
+        if threads != self.scheduler.quotas.capacity:
+            self.scheduler.quotas.resize(threads)
 
     def _schedule_check(self) -> None:
         if not self._check_scheduled and self._waiting:
--- a/fordstair/core/attempt_executor.py
+++ b/fordstair/core/attempt_executor.py
@@ -141,7 +141,7 @@
     def _denial(self, live: LiveRequest, engine: Engine, send: SendAttempt) -> Denial | None:
         """Return why an attempt must not begin now; None where it may."""
         if live.finished:
-            return Denial.REQUEST_OVER
+            return Denial.REQUEST_FINISHED
         if not engine.ready or not self._engines.is_current(engine):
             return Denial.ENGINE_CLOSED
         now = self._deadlines.clock()
--- a/fordstair/core/invariants.py
+++ b/fordstair/core/invariants.py
@@ -1,4 +1,4 @@
-"""The rules that the program itself must never break, checked while it runs."""
+"""The invariants of the program itself, checked while it runs."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 class Invariant(Enum):
     """One rule; its value names the counter of its violations."""
 
-    NO_UNSAFE_REPEAT = "unsafe_repeat"  # what may have run is not sent again where a repeat has an effect
-    ONE_ATTEMPT_OUT = "parallel_attempt"  # no further attempt beside one that runs or may begin yet
+    NO_UNSAFE_RETRY = "unsafe_repeat"  # what may have run is not retried where running twice has an effect
+    ONE_ATTEMPT_IN_FLIGHT = "parallel_attempt"  # no retry beside one that runs or may begin yet
     ONE_ANSWER = "second_answer"
     EVERY_ANSWER = "unanswered"  # a request ends with an answer, or because its client has gone
-    NO_OPEN_CLOSED = "closed_while_open"  # a connection with an open request is closed by its client alone
+    NO_OPEN_CLOSED = "closed_while_open"  # only its client closes a connection with an open request
 
 
 class Invariants:
--- a/fordstair/core/preemption_control.py
+++ b/fordstair/core/preemption_control.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from fordstair.core.live_request import LiveRequest
-from fordstair.scheduling.preemption import Preemption, Runs
+from fordstair.scheduling.preemption import PriorityPreemption, RunningQuery
 from fordstair.scheduling.scheduler import Scheduler
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
     def __init__(self, coordinator: Coordinator, scheduler: Scheduler) -> None:
         self._coordinator = coordinator
         self._scheduler = scheduler
-        self._rule = Preemption()
+        self._rule = PriorityPreemption()
         self._checked_ms = 0.0
 
     def check(self, waiting: Iterable[LiveRequest]) -> None:
@@ -45,19 +45,21 @@
             team = live.query.tenant_index
             waiting_teams.add(team)
             waiting_for_group.setdefault(live.query.table_group, set()).add(team)
-        accounts = self._scheduler.budgets.accounts
-        within = {team for team in accounts if self._scheduler.budgets.within(team)}
-        queries = [self._described(live, now) for live in running.values()]
-        for request, lowered in self._rule.decide(now, queries, within, waiting_teams, waiting_for_group):
+        accounts = self._scheduler.quotas.accounts
+        within_quota = {team for team in accounts if self._scheduler.quotas.is_within_quota(team)}
+        queries = [self._running_query(live, now) for live in running.values()]
+        for request, lowered in self._rule.decide(
+            now, queries, within_quota, waiting_teams, waiting_for_group
+        ):
             self._coordinator.priorities.set_deprioritized(running[request], lowered)
 
-    def _described(self, live: LiveRequest, now: float) -> Runs:
+    def _running_query(self, live: LiveRequest, now: float) -> RunningQuery:
         """Return one attempt as the rule sees it."""
         coordinator, query = self._coordinator, live.query
         attempt = coordinator.gateway.attempts.get((live.id, live.attempt_count - 1))
         left_ms = attempt.sent_at + attempt.expected_latency_ms - now if attempt is not None else 0.0
         engine = coordinator.engines.get(live.engine)
-        return Runs(
+        return RunningQuery(
             live.id,
             query.tenant_index,
             query.table_group,
--- a/fordstair/core/zone_watch.py
+++ b/fordstair/core/zone_watch.py
@@ -1,12 +1,13 @@
-"""Tells the module of zones that are out of reach: nothing new goes there until they are heard."""
+"""Tells the decision module of zones that are out of reach: nothing new goes there until they respond."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
+from fordstair.core.ports import Engine
 from fordstair.decisions.engine_list import ListUpdateKind
 from fordstair.decisions.events import EngineListChanged
-from fordstair.routing.zones import SILENCE_MS, ZoneFailures
+from fordstair.routing.zone_outlier_detection import ATTEMPT_SILENCE_MS, ZoneOutlierDetector
 from fordstair.runtime.event_log import EventLog
 
 if TYPE_CHECKING:
@@ -14,88 +15,91 @@
 
 log = EventLog(__name__)
 
-LOOK_MS = 100.0  # between two looks at attempts that hear nothing, while any is out
+CHECK_INTERVAL_MS = 100.0  # between checks for silent attempts, while any is in flight
 
 
 class ZoneWatch:
     """Watches one coordinator's attempts for a zone that falls silent."""
 
     def __init__(self, coordinator: Coordinator) -> None:
-        self.coordinator, self.zones = coordinator, ZoneFailures()
-        self._heard: dict[int, float] = {}  # by request, of attempts that are out
-        self._starts: dict[str, float] = {}  # of the engines' processes, as last listed
-        self._looking = False
+        self.coordinator = coordinator
+        self.detector = ZoneOutlierDetector()
+        self._last_response_ms: dict[int, float] = {}  # by request, of attempts in flight
+        self._started_ms: dict[str, float] = {}  # by engine, as last listed
+        self._checking = False
 
     def engines_updated(self) -> None:
-        """The list of engines has changed."""
+        """The engine list has changed."""
         engines = self.coordinator.engines
-        starts = {name: engine.entry.started_ms for name, engine in engines.items()}
-        self.zones.listed(
-            self._now(),
-            {name: engine.entry.zone for name, engine in engines.items()},
-            [name for name, at in starts.items() if at > self._starts.get(name, at)],
+        started_ms = {name: engine.entry.started_ms for name, engine in engines.items()}
+        restarted = [name for name, at in started_ms.items() if at > self._started_ms.get(name, at)]
+        self.detector.update_engines(
+            self._now(), {name: engine.entry.zone for name, engine in engines.items()}, restarted
         )
-        self._starts = starts
+        self._started_ms = started_ms
         for name, engine in engines.items():
-            engine.zone_ejected = self.zones.avoids(name)
+            engine.zone_ejected = self.detector.is_ejected(name)
 
     def attempt_sent(self, request: int) -> None:
         """An attempt goes out."""
-        self._heard[request] = self._now()
-        if not self._looking:
-            self._looking = True
-            self._look_later()
+        self._last_response_ms[request] = self._now()
+        if not self._checking:
+            self._checking = True
+            self._schedule_check()
 
     def engine_responded(self, request: int, engine: str) -> None:
-        """An engine has said something, whatever it was."""
-        if request in self._heard:
-            self._heard[request] = self._now()
-        if self.zones.heard(self._now(), engine):
-            self._changed()
+        """An engine has answered something about an attempt, whatever it was."""
+        if request in self._last_response_ms:
+            self._last_response_ms[request] = self._now()
+        if self.detector.record_response(self._now(), engine):
+            self._pass_on_changes()
 
     def connect_failed(self, engine: str) -> None:
         """A connect to an engine never came up."""
-        if self.zones.missed(self._now(), engine):
-            self._changed()
+        self._record_miss(engine)
 
     def attempt_ended(self, request: int) -> None:
-        """An attempt is over."""
-        self._heard.pop(request, None)
+        """A request's attempt is over."""
+        self._last_response_ms.pop(request, None)
 
-    def _look(self) -> None:
+    def _record_miss(self, engine: str) -> None:
+        if self.detector.record_miss(self._now(), engine):
+            self._pass_on_changes()
+
+    def _check(self) -> None:
         now = self._now()
-        for request, heard_ms in list(self._heard.items()):
+        for request, response_ms in list(self._last_response_ms.items()):
             live = self.coordinator.live.get(request)
-            if live is not None and now - heard_ms >= SILENCE_MS:
-                self.connect_failed(live.engine)
-        if self.zones.tried_again(now):
-            self._changed()
-        self._looking = bool(self._heard) or any(zone.avoided_until for zone in self.zones.zones.values())
-        if self._looking:
-            self._look_later()
-
-    def _look_later(self) -> None:
-        self.coordinator.deadlines.after(LOOK_MS, self._look)
-
-    def _changed(self) -> None:
-        """Tell the module of the engines whose zone is avoided now, or not any more."""
-        turned = []
+            if live is not None and now - response_ms >= ATTEMPT_SILENCE_MS:
+                self._record_miss(live.engine)
+        if self.detector.readmit_expired(now):
+            self._pass_on_changes()
+        self._checking = bool(self._last_response_ms) or self.detector.any_ejected()
+        if self._checking:
+            self._schedule_check()
+
+    def _schedule_check(self) -> None:
+        self.coordinator.deadlines.after(CHECK_INTERVAL_MS, self._check)
+
+    def _pass_on_changes(self) -> None:
+        """Tell the decision module of the engines whose zone was ejected or readmitted."""
+        changed: list[Engine] = []
         for name, engine in self.coordinator.engines.items():
-            if engine.zone_ejected != (avoided := self.zones.avoids(name)):
-                engine.zone_ejected = avoided
-                turned.append(engine)
-        for zone in {engine.entry.zone for engine in turned}:
-            avoided = any(engine.zone_ejected for engine in turned if engine.entry.zone == zone)
-            log.warning(
-                "zone.ejected" if avoided else "zone.readmitted",
-                zone=zone,
-                engines=sum(engine.entry.zone == zone for engine in turned),
-            )
-            self.coordinator.counters.add("zones.ejected" if avoided else "zones.readmitted")
-        if turned:
-            self.coordinator.dispatch(
-                EngineListChanged(ListUpdateKind.DELTA, tuple(engine.notified_entry for engine in turned))
-            )
+            ejected = self.detector.is_ejected(name)
+            if engine.zone_ejected != ejected:
+                engine.zone_ejected = ejected
+                changed.append(engine)
+        for zone in {engine.entry.zone for engine in changed}:
+            self._log_change(zone, [engine for engine in changed if engine.entry.zone == zone])
+        if changed:
+            entries = tuple(engine.notified_entry for engine in changed)
+            self.coordinator.dispatch(EngineListChanged(ListUpdateKind.DELTA, entries))
+
+    def _log_change(self, zone: int, engines: list[Engine]) -> None:
+        ejected = any(engine.zone_ejected for engine in engines)
+        event = "zone.ejected" if ejected else "zone.readmitted"
+        log.warning(event, zone=zone, engines=len(engines))
+        self.coordinator.counters.add("zones.ejected" if ejected else "zones.readmitted")
 
     def _now(self) -> float:
         return self.coordinator.deadlines.clock()
--- a/fordstair/entry_point.py
+++ b/fordstair/entry_point.py
@@ -18,37 +18,42 @@
 if TYPE_CHECKING:
     from fordstair.net.clients.odata_model import Operator
 
+EXIT_OK = 0
+EXIT_BAD_CONFIGURATION = 2
 
-def told_by(path: str | None) -> tuple[Config, Operator | None]:
-    """Read what the platform tells, and the operator's file if there is one."""
+
+def read_configuration(path: str | None) -> tuple[Config, Operator | None]:
+    """Read the platform's configuration, and the operator's file if there is one; raise ConfigError."""
     if path is None:
         return load(), None
-    from fordstair.configuration import (
-        operator_file,  # the platform's program holds none of what only this needs
-    )
+    from fordstair.configuration import operator_file  # not loaded on the platform
 
     return load(), operator_file.operator_options(operator_file.load_operator_file(path, require_site=False))
 
 
 def main() -> int:
-    """Run; 2 where the configuration cannot be used."""
+    """Run until the program has drained; return its exit code."""
     parser = argparse.ArgumentParser(prog="python -m fordstair", description="Run one coordinator.")
     parser.add_argument("--operator", metavar="FILE", help="the operator's file: OData, identities, console")
-    told = parser.parse_args()
-    handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(PlainFormatter())
-    logging.basicConfig(level=logging.INFO, handlers=[handler])
+    arguments = parser.parse_args()
+    _log_to_standard_error()
     try:
-        if told.operator is not None and not os.environ.get("RELAY_CONFIG"):
-            from fordstair.cli.serve import run  # no platform tells anything: the file tells it all
+        if arguments.operator is not None and not os.environ.get("RELAY_CONFIG"):
+            from fordstair.cli.serve import run  # without the platform, the file configures everything
 
-            run(told.operator)
-            return 0
-        config, operator = told_by(told.operator)
+            run(arguments.operator)
+            return EXIT_OK
+        config, operator = read_configuration(arguments.operator)
         program = Program(config, operator, load)
     except ConfigError as error:
         for line in str(error).splitlines():
             print(f"fordstair: {line}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_CONFIGURATION
     trio.run(program.run)
-    return 0
+    return EXIT_OK
+
+
+def _log_to_standard_error() -> None:
+    handler = logging.StreamHandler(sys.stderr)
+    handler.setFormatter(PlainFormatter())
+    logging.basicConfig(level=logging.INFO, handlers=[handler])
--- a/fordstair/lab/fault_shim.py
+++ b/fordstair/lab/fault_shim.py
@@ -26,7 +26,7 @@
 
 import ujson
 
-from fordstair.held_signals import hold_back
+from fordstair.blocked_signals import block
 
 ENVIRONMENT_VARIABLE = "FORDSTAIR_FAULTS"
 APPLIED = "fault_shim: applied"
@@ -106,7 +106,7 @@
 
 def main() -> int:
     """Install the faults, and run the program on this command line."""
-    hold_back()
+    block()
     shim = FaultShim(Path(os.environ[ENVIRONMENT_VARIABLE]))
     shim.load()
     shim.install()
--- a/fordstair/lab/replay.py
+++ b/fordstair/lab/replay.py
@@ -32,7 +32,7 @@
     scheduler = Scheduler(
         {number: team.share for number, team in enumerate(file.teams)},
         cores * budgets.threads_per_core,
-        waiting_most=budgets.max_waiting,
+        max_waiting=budgets.max_waiting,
         burst_ms=budgets.burst_ms,
         debt_ms=budgets.debt_ms,
     )
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -33,8 +33,8 @@
 from fordstair.lab.virtual import Record
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
-from fordstair.scheduling.queues import Item
-from fordstair.scheduling.scheduler import Admission, Room, Scheduler, Told
+from fordstair.scheduling.fair_queues import QueuedRequest
+from fordstair.scheduling.scheduler import Admission, ArrivingRequest, Capacity, Scheduler
 
 NEWS_MS, NOTE_MS, REPORT_MS, UNASKED_MS = 250.0, 500.0, 250.0, 2_000.0
 CONNECT_MS, DROP_MS, AGAIN_MS = 250.0, 300.0, 20.0  # until a connect, a DELETE is given up; between asks
@@ -239,18 +239,18 @@
 
     records: dict[int, Record]
 
-    def arrive(self, told: Told, now_ms: float) -> Admission:
+    def admit(self, told: ArrivingRequest, now_ms: float) -> Admission:
         """As the scheduler does."""
-        admission = super().arrive(told, now_ms)
-        if admission.refused is None and (record := self.records.get(told.id)) is not None:
+        admission = super().admit(told, now_ms)
+        if admission.rejection is None and (record := self.records.get(told.id)) is not None:
             record.likely_ms, record.at_most_ms = admission.wait.likely_ms, admission.wait.at_most_ms
         return admission
 
-    def release(self, now_ms: float, room: Callable[[Item], Room]) -> Item | None:
+    def release(self, now_ms: float, room: Callable[[QueuedRequest], Capacity]) -> QueuedRequest | None:
         """As the scheduler does."""
         item = super().release(now_ms, room)
         if item is not None and (record := self.records.get(item.id)) is not None:
-            record.released_ms = now_ms - item.at_ms
+            record.released_ms = now_ms - item.arrived_ms
         return item
 
 
--- a/fordstair/lab/virtual.py
+++ b/fordstair/lab/virtual.py
@@ -31,9 +31,9 @@
 from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import Arrival
 from fordstair.lab.machine import Job, Machine
-from fordstair.scheduling.preemption import Preemption, Runs
-from fordstair.scheduling.queues import Item
-from fordstair.scheduling.scheduler import Room, Scheduler, Told, last_start
+from fordstair.scheduling.fair_queues import QueuedRequest
+from fordstair.scheduling.preemption import PriorityPreemption, RunningQuery
+from fordstair.scheduling.scheduler import ArrivingRequest, Capacity, Scheduler, latest_useful_start_ms
 
 REPORT_MS, TURN_MS, PREEMPT_MS = 300.0, 20.0, 200.0
 FULL_FROM = 1_000_000.0  # the day starts there, so that no time is 0
@@ -93,7 +93,7 @@
         self.records: dict[int, Record] = {}
         self.open: dict[int, Record] = {}
         self.held, self.backlog = Held(), dict[int, set[int]]()  # teams with something waiting, by span
-        self.preemption, self.changes = Preemption(), 0
+        self.preemption, self.changes = PriorityPreemption(), 0
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._jobs: dict[str, tuple[int, int]] = {}  # job: request, attempt
         self._reports: dict[str, tuple[float, tuple[float, float]]] = {}
@@ -163,23 +163,23 @@
             record.released_ms = 0.0
             return self._feed(event)
         work = self.gateway.predicted_cost(event)
-        last = last_start(spec, work, self.now, self.now + arrival.limit_ms)
-        told = Told(id, record.team, record.class_index, spec.threads, work, last)
-        admission = self.scheduler.arrive(told, self.now)
-        if admission.refused is not None:
-            return self._answer(id, "refused", admission.refused.value)
+        last = latest_useful_start_ms(spec, work, self.now, self.now + arrival.limit_ms)
+        told = ArrivingRequest(id, record.team, record.class_index, spec.threads, work, last)
+        admission = self.scheduler.admit(told, self.now)
+        if admission.rejection is not None:
+            return self._answer(id, "refused", admission.rejection.value)
         record.likely_ms, record.at_most_ms = admission.wait.likely_ms, admission.wait.at_most_ms
         self._release()
 
     def _turn(self, until: float) -> None:
         assert self.scheduler is not None
-        for item in self.scheduler.overdue(self.now):
+        for item in self.scheduler.pop_overdue(self.now):
             self._answer(item.id, "refused", "it could not be reached in time")
         self._release()
         span = int(self.now // self.held.span_ms)
-        waiting = set(self.scheduler.queues.waiting())
+        waiting = set(self.scheduler.queues.waiting_teams())
         self.backlog[span] = self.backlog.get(span, waiting) & waiting
-        if self.now - self.preemption.at_ms >= PREEMPT_MS:
+        if self.now - self.preemption.decided_ms >= PREEMPT_MS:
             self._preempt(waiting)
         if self.now < until or self.open:
             self.at(self.now + TURN_MS, lambda: self._turn(until))
@@ -187,7 +187,7 @@
     def _preempt(self, waiting: set[int]) -> None:
         assert self.scheduler is not None
         running = [
-            Runs(
+            RunningQuery(
                 id,
                 record.team,
                 float(record.arrival.group),
@@ -197,7 +197,9 @@
             for id, record in self.open.items()
             if record.out is not None
         ]
-        within = {team for team in self.scheduler.budgets.accounts if self.scheduler.budgets.within(team)}
+        within = {
+            team for team in self.scheduler.quotas.accounts if self.scheduler.quotas.is_within_quota(team)
+        }
         for id, lower in self.preemption.decide(self.now, running, within, waiting, {}):
             self.changes += 1
             record = self.open[id]
@@ -211,8 +213,8 @@
         spec = self.settings.classes[record.class_index]
         return max(0.0, record.arrival.told_ms / spec.threads - (self.now - record.out[2]))
 
-    def _room(self, item: Item) -> Room:
-        return Room.FITS if self.gateway.has_capacity(self._arrived[item.id]) else Room.FULL
+    def _room(self, item: QueuedRequest) -> Capacity:
+        return Capacity.AVAILABLE if self.gateway.has_capacity(self._arrived[item.id]) else Capacity.FULL
 
     def _release(self) -> None:
         assert self.scheduler is not None
@@ -281,7 +283,7 @@
         if status is Status.OK and id in self.open:
             self._answer(id, "served", "")
         elif self.scheduler is not None and id not in self.open:
-            self.scheduler.ended(id, self.now, record.held)
+            self.scheduler.finish(id, self.now, record.held)
         fields = dict(zip(("util", "inflight"), report, strict=True))
         self._feed(
             AttemptEnded(
@@ -303,6 +305,6 @@
         record.how, record.reason = how, reason
         record.answered_ms = self.now - FULL_FROM - record.arrival.at_ms
         if self.scheduler is not None:
-            self.scheduler.leave(id)
+            self.scheduler.remove(id)
             if record.out is None:
-                self.scheduler.ended(id, self.now, record.held)
+                self.scheduler.finish(id, self.now, record.held)
--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -2,7 +2,7 @@
 
 A line of JSON goes in, a line comes back; after ``follow`` the line that comes back is the first of many
 (see ``fordstair/feed``), and each is answered by a line feed. A console that stops costs one frame, and is
-cut after CUT_MS.
+cut after SLOW_FOLLOWER_TIMEOUT_MS.
 """
 
 from __future__ import annotations
@@ -37,8 +37,10 @@
 from fordstair.runtime.clock import WallClock
 from fordstair.runtime.event_log import EventLog
 from fordstair.snapshots.collector import SnapshotCollector
-from fordstair.snapshots.publishing import CUT_MS, SnapshotSchedule
-from fordstair.snapshots.snapshot import TABLES, LogLineView, Snapshot, delta_between, encode
+from fordstair.snapshots.delta import delta_between, encode
+from fordstair.snapshots.publishing import SLOW_FOLLOWER_TIMEOUT_MS, SnapshotSchedule
+from fordstair.snapshots.snapshot import Snapshot
+from fordstair.snapshots.views import TABLES, LogLineView
 
 if TYPE_CHECKING:
     from fordstair.budgets.transport import FleetBudgets
@@ -184,13 +186,13 @@
         self, stream: trio.SocketStream, data: bytes, taken: Taken | None = None, frames: int = 0
     ) -> bool:
         """Send, and wait until so many frames were taken where that is told; False where it is cut."""
-        with self.deadlines.limit_for(CUT_MS) as limit:
+        with self.deadlines.limit_for(SLOW_FOLLOWER_TIMEOUT_MS) as limit:
             await stream.send_all(data)
             if taken is not None:
                 await taken.reach(frames)
         if limit.cancelled_caught:
             self.coordinator.counters.add("console.cut")
-            log.warning("console.cut", after_ms=CUT_MS)
+            log.warning("console.cut", after_ms=SLOW_FOLLOWER_TIMEOUT_MS)
         return not limit.cancelled_caught
 
     async def _feed(self, stream: trio.SocketStream) -> None:
--- a/fordstair/overrides/register.py
+++ b/fordstair/overrides/register.py
@@ -1,9 +1,9 @@
-"""Adjustments: which are in force, who made them, and which may be made.
+"""The register of operator overrides: which are active, who made them, and which may be made.
 
-Each accepted adjustment gets the next revision. Two operators who adjust the same thing at once must not
-undo each other unawares: a proposal names the revision that its author has seen, and one that a later
-adjustment of the same target has overtaken is refused as a conflict. What disturbs service is refused
-until it is confirmed. All of it is in force until the program starts again.
+Each accepted override gets the next revision. Two operators who override the same thing at once must not undo
+each other unawares: a proposal names the revision that its author has seen, and one that a later override of
+the same target has overtaken is a conflict. What disturbs service must be confirmed. All overrides are active
+until the program starts again.
 """
 
 from __future__ import annotations
@@ -14,7 +14,9 @@
 
 import immutables
 
-ACTIVE_LIMIT = 1_024
+MAX_ACTIVE = 1_024
+MAX_REMEMBERED_TARGETS = 2 * MAX_ACTIVE
+MAX_LIMIT_THREADS = 1_000_000
 SITE = "site"
 
 
@@ -45,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetConcurrencyLimit:
-    """Bound the threads that a class may have out; None lifts the bound."""
+    """Bound the threads that a class may have in flight; None lifts the bound."""
 
     class_name: str
     threads: int | None
@@ -61,18 +63,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedOverride:
-    """One accepted change."""
+    """One accepted override."""
 
-    target: str
-    effect: str
+    target: str  # "engine:s-1", "class:lookup", "site"
+    effect: str  # as it is shown while it is active
     author: str
-    applied_ms: float
+    applied_ms: float  # Unix time
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalResult:
-    """What became of a proposal, and why; with the adjustment where it was accepted."""
+    """What became of a proposal, and why; with the override where it was accepted, or is in its way."""
 
     verdict: Verdict
     reason: str = ""
@@ -81,22 +83,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgramState:
-    """What the ledger must know of the program to judge a proposal."""
+    """What the register must know of the program to judge a proposal."""
 
     ready_engines: frozenset[str]  # engines that take new work
-    known_engines: frozenset[str]  # engines that are known
+    known_engines: frozenset[str]
     class_threads: dict[str, int]  # threads that one request of the class takes, by name
     open_requests: int = 0  # requests that wait for an answer
     draining: bool = False
 
 
 class OverrideRegister:
-    """The adjustments in force."""
+    """The active overrides, by target."""
 
     def __init__(self) -> None:
         self.revision = 0
         self.active: immutables.Map[str, AppliedOverride] = immutables.Map()
-        self._touched: dict[str, int] = {}  # by target: the revision that changed it last
+        self._last_revision: dict[str, int] = {}  # by target: the revision that changed it last
 
     def propose(
         self,
@@ -108,71 +110,80 @@
         seen: int | None = None,
         confirmed: bool = False,
     ) -> ProposalResult:
-        """Judge a change, and take it in where it is accepted; the caller then carries it out.
-
-        ``seen`` is the revision of the picture that the author acted on; None asks for no such check.
+        """Judge an override, and register it where it is accepted; the caller then carries it out.
+
+        Args:
+            change: what is proposed.
+            author: who proposes it.
+            now_ms: Unix time in milliseconds.
+            program: the state of the program that it would change.
+            seen: the revision of the snapshot that the author acted on; None asks for no such check.
+            confirmed: whether the author accepts that service is disturbed.
         """
         target = _target(change)
         if program.draining:
-            return ProposalResult(
-                Verdict.ALREADY if isinstance(change, Drain) else Verdict.REFUSED, "the program is draining"
-            )
-        if (
-            isinstance(change, Cordon | Uncordon)
-            and change.engine not in program.known_engines
-            and not (isinstance(change, Uncordon) and target in self.active)
-        ):
-            return ProposalResult(Verdict.UNKNOWN, f"no engine {change.engine!r}")
-        if isinstance(change, SetConcurrencyLimit) and change.class_name not in program.class_threads:
-            return ProposalResult(Verdict.UNKNOWN, f"no class {change.class_name!r}")
-        if (
-            isinstance(change, SetConcurrencyLimit)
-            and change.threads is not None
-            and not 0 <= change.threads <= 1_000_000
-        ):
-            return ProposalResult(Verdict.REFUSED, "a limit is 0 to 1000000 threads")
-        if self._is_so(change):
+            verdict = Verdict.ALREADY if isinstance(change, Drain) else Verdict.REFUSED
+            return ProposalResult(verdict, "the program is draining")
+        if (invalid := self._invalid(change, program)) is not None:
+            return invalid
+        if self._in_effect(change):
             return ProposalResult(Verdict.ALREADY, "it is so already", self.active.get(target))
-        if seen is not None and self._touched.get(target, 0) > seen:
-            last = self.active.get(target)
-            by = f"{last.author} has it at {last.effect}" if last is not None else "it was lifted meanwhile"
-            return ProposalResult(Verdict.CONFLICT, f"another operator was first: {by}", last)
-        if target not in self.active and len(self.active) >= ACTIVE_LIMIT:
-            return ProposalResult(
-                Verdict.REFUSED, f"{ACTIVE_LIMIT} adjustments are in force; lift some first"
-            )
-        if not confirmed and (disturbs := service_impact(change, program)):
-            return ProposalResult(Verdict.CONFIRM, disturbs)
-        return ProposalResult(Verdict.DONE, "", self._take(change, target, author, now_ms))
-
-    def _take(self, change: Override, target: str, author: str, now_ms: float) -> AppliedOverride:
+        if seen is not None and self._last_revision.get(target, 0) > seen:
+            return self._conflict(target)
+        if target not in self.active and len(self.active) >= MAX_ACTIVE:
+            return ProposalResult(Verdict.REFUSED, f"{MAX_ACTIVE} adjustments are in force; lift some first")
+        if not confirmed and (impact := service_impact(change, program)):
+            return ProposalResult(Verdict.CONFIRM, impact)
+        return ProposalResult(Verdict.DONE, "", self._register(change, target, author, now_ms))
+
+    def _invalid(self, change: Override, program: ProgramState) -> ProposalResult | None:
+        """Return why a change cannot be made at all; None where it can."""
+        match change:
+            case Cordon(engine) if engine not in program.known_engines:
+                return ProposalResult(Verdict.UNKNOWN, f"no engine {engine!r}")
+            case Uncordon(engine) if not (engine in program.known_engines or _target(change) in self.active):
+                return ProposalResult(Verdict.UNKNOWN, f"no engine {engine!r}")
+            case SetConcurrencyLimit(class_name, _) if class_name not in program.class_threads:
+                return ProposalResult(Verdict.UNKNOWN, f"no class {class_name!r}")
+            case SetConcurrencyLimit(_, int(threads)) if not 0 <= threads <= MAX_LIMIT_THREADS:
+                return ProposalResult(Verdict.REFUSED, f"a limit is 0 to {MAX_LIMIT_THREADS} threads")
+        return None
+
+    def _in_effect(self, change: Override) -> bool:
+        """Whether the target already is as the change would make it."""
+        active = self.active.get(_target(change))
+        if _lifts(change):
+            return active is None
+        return active is not None and active.effect == describe(change)
+
+    def _conflict(self, target: str) -> ProposalResult:
+        last = self.active.get(target)
+        by = f"{last.author} has it at {last.effect}" if last is not None else "it was lifted meanwhile"
+        return ProposalResult(Verdict.CONFLICT, f"another operator was first: {by}", last)
+
+    def _register(self, change: Override, target: str, author: str, now_ms: float) -> AppliedOverride:
         self.revision += 1
-        self._touched[target] = self.revision
-        made = AppliedOverride(target, describe(change), author, now_ms, self.revision)
-        lifted = isinstance(change, Uncordon) or (
-            isinstance(change, SetConcurrencyLimit) and change.threads is None
-        )
-        self.active = (
-            self.active.delete(target)
-            if lifted and target in self.active
-            else (self.active if lifted else self.active.set(target, made))
-        )
-        if len(self._touched) > 2 * ACTIVE_LIMIT:  # what is long past conflicts with nobody
-            kept = sorted(self._touched.items(), key=lambda item: item[1])[-ACTIVE_LIMIT:]
-            self._touched = dict(kept)
-        return made
-
-    def _is_so(self, change: Override) -> bool:
-        held = self.active.get(_target(change))
-        if isinstance(change, Uncordon) or (
-            isinstance(change, SetConcurrencyLimit) and change.threads is None
-        ):
-            return held is None
-        return held is not None and held.effect == describe(change)
+        self._last_revision[target] = self.revision
+        applied = AppliedOverride(target, describe(change), author, now_ms, self.revision)
+        if not _lifts(change):
+            self.active = self.active.set(target, applied)
+        elif target in self.active:
+            self.active = self.active.delete(target)
+        if len(self._last_revision) > MAX_REMEMBERED_TARGETS:  # what is long past conflicts with nobody
+            latest = sorted(self._last_revision.items(), key=lambda item: item[1])[-MAX_ACTIVE:]
+            self._last_revision = dict(latest)
+        return applied
+
+
+def _lifts(change: Override) -> bool:
+    """Whether a change ends an override instead of making one."""
+    return isinstance(change, Uncordon) or (
+        isinstance(change, SetConcurrencyLimit) and change.threads is None
+    )
 
 
 def describe(change: Override) -> str:
-    """Return what a change does, as it is shown while it is in force."""
+    """Return what a change does, as it is shown while it is active."""
     match change:
         case Cordon():
             return "set aside"
@@ -185,23 +196,20 @@
 
 
 def service_impact(change: Override, program: ProgramState) -> str:
-    """Return how a change disturbs service; empty where it does not to speak of."""
+    """Return how a change disturbs service; empty where it hardly does."""
     match change:
+        case Drain() if program.open_requests:
+            return f"the program ends; {program.open_requests} requests are open"
         case Drain():
-            return (
-                f"the program ends; {program.open_requests} requests are open"
-                if program.open_requests
-                else "the program ends"
-            )
+            return "the program ends"
         case Cordon(engine) if program.ready_engines <= {engine}:
             return "no other engine is ready: all new requests will be refused"
         case Cordon(engine) if engine in program.ready_engines and len(program.ready_engines) <= 2:
             return "one engine alone is left ready"
-        case SetConcurrencyLimit(
-            class_name, threads
-        ) if threads is not None and threads < program.class_threads[class_name]:
+        case SetConcurrencyLimit(class_name, int(threads)):
             needed = program.class_threads[class_name]
-            return f"one {class_name} takes {needed} threads: all of them will be refused"
+            if threads < needed:
+                return f"one {class_name} takes {needed} threads: all of them will be refused"
     return ""
 
 
--- /dev/null
+++ b/fordstair/program/coordinator_program.py
@@ -0,0 +1,276 @@
+"""One coordinator: its parts wired together, run until SIGTERM or the console's drain."""
+
+from __future__ import annotations
+
+import signal
+import ssl
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING
+
+import trio
+
+from fordstair.blocked_signals import unblock
+from fordstair.configuration.errors import ConfigError
+from fordstair.configuration.platform import Config
+from fordstair.core.coordinator import Coordinator
+from fordstair.core.ports import Transport
+from fordstair.core.start_times import StartTimes
+from fordstair.net.clients.listener import Serve
+from fordstair.net.clients.poll_watch import PollWatch
+from fordstair.net.clients.rpc_front import RpcFront
+from fordstair.net.command_channel import CommandChannel
+from fordstair.net.engines.pool import ConnectionPool
+from fordstair.net.engines.rest import RestTransport
+from fordstair.program.configuration_reload import keep_fixed_fields, load_or_log
+from fordstair.program.engine_list_intake import EngineListIntake
+from fordstair.program.fronts import FrontAcceptor
+from fordstair.program.graceful_shutdown import GracefulShutdown
+from fordstair.program.optional_parts import (
+    add_zone_watch,
+    build_admission_queue,
+    build_console_server,
+    build_fleet_budgets,
+    build_identity,
+    build_ledger,
+    build_membership,
+    build_odata_front,
+)
+from fordstair.program.resource_limits import divide_resources
+from fordstair.runtime.clock import AnchoredClock, WallClock
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+from fordstair.runtime.event_log import EventLog
+
+if TYPE_CHECKING:
+    from fordstair.net.clients.odata_front import ODataFront
+    from fordstair.net.clients.odata_model import Operator
+    from fordstair.replication.service import Service
+
+log = EventLog("fordstair")
+
+CLOCK_CHECK_INTERVAL_MS = 1_000.0  # between checks for a step of the wall clock
+
+
+class Program:
+    """The parts of one coordinator.
+
+    Args:
+        config: what the platform, or the operator's file, configures.
+        operator: the parts that an operator's file turns on; None on the platform.
+        load: reads the configuration anew; may raise ConfigError.
+
+    Raises:
+        ConfigError: where a part cannot be built as configured.
+    """
+
+    def __init__(self, config: Config, operator: Operator | None, load: Callable[[], Config]) -> None:
+        self.config = config
+        self.operator = operator
+        self.load = load
+        self.deadlines = Deadlines()
+        self.counters = Counters()
+        self.stop = trio.Event()
+        self.anchor = AnchoredClock()
+        self.wall_clock = WallClock()
+        self.identity = build_identity(operator, self.deadlines, self.counters)
+        self.pool = self._build_pool()
+        self.transports = self._build_transports()
+        self.coordinator = Coordinator(
+            config.settings, config.seed, self.transports, self.deadlines, self.counters
+        )
+        self.pool.unreached = self.coordinator.engine_unreachable
+        self.admission_queue = build_admission_queue(config, self.coordinator)
+        add_zone_watch(operator, self.coordinator)
+        self.budgets = build_fleet_budgets(operator, config, self.coordinator, self.admission_queue)
+        self.poll_watch = PollWatch()
+        self.rpc = RpcFront(self.coordinator, self.poll_watch)
+        self.odata = build_odata_front(operator, self.coordinator, self.identity)
+        self.ledger = build_ledger(operator, config, self.odata, self.counters)
+        self.membership = build_membership(operator, config, self.counters)
+        self.console_server = build_console_server(
+            operator,
+            config,
+            self.coordinator,
+            self.stop.set,
+            self.wall_clock,
+            self.membership,
+            self.ledger,
+            self.budgets,
+        )
+        self.intake = EngineListIntake(
+            self.coordinator, StartTimes(self.anchor), operator.engines if operator is not None else {}
+        )
+        self.command_channel = CommandChannel(
+            config.channel, config.cursor, self.intake.from_discovery, self.deadlines, self.counters
+        )
+        self.acceptor = FrontAcceptor(config.name, self.poll_watch, self.deadlines, self.counters)
+        self.shutdown = GracefulShutdown(
+            self.coordinator, self.deadlines, self.listeners, self.rpc, self.odata
+        )
+        self._apply_limits()
+
+    @property
+    def listeners(self) -> list[trio.SocketListener]:
+        """The listening sockets of all fronts."""
+        return self.acceptor.listeners
+
+    async def run(self) -> None:
+        """Run until SIGTERM, or the console's drain, has been followed by the last answer.
+
+        Raise ConfigError where an address or path of the configuration cannot be used.
+        """
+        for _, kind, engines in self.config.known:
+            self.intake.apply(kind, engines)
+        async with trio.open_nursery() as nursery:
+            await self._start_core(nursery)
+            await self._start_optional_parts(nursery)
+            accepting = self._start_fronts(nursery)
+            if self.identity is not None:
+                self.identity.watch()
+            await self.stop.wait()
+            await self.shutdown.drain(accepting)
+            if self.membership is not None:
+                await self.membership.leave()
+            if self.budgets is not None:
+                await self.budgets.leave()
+            nursery.cancel_scope.cancel()
+        log.info("counters", **self.counters.snapshot())
+
+    def reload(self) -> None:
+        """Read the configuration anew, check all of it, and apply what can change; a bad one changes none."""
+        loaded = load_or_log(self.load)
+        if loaded is None:
+            self.counters.add("config.rejected")
+            return
+        self.config = keep_fixed_fields(self.config, loaded)
+        self._apply_limits()
+        for event in loaded.known:
+            self.command_channel.take(*event)
+        self.command_channel.move(loaded.channel)
+        if self.admission_queue is not None and loaded.budgets is not None:
+            shares = dict(loaded.budgets.shares)
+            self.admission_queue.scheduler.set_quotas(shares, self.deadlines.clock())
+        self.counters.add("config.reloads")
+        log.info("configuration.reloaded", channel=loaded.channel or "none")
+
+    def _build_pool(self) -> ConnectionPool:
+        return ConnectionPool(
+            self.deadlines,
+            self.counters,
+            tls=self._tls_context,
+            accept=self.identity.check_engine if self.identity else lambda *_: None,
+        )
+
+    def _tls_context(self, address: str) -> ssl.SSLContext | None:
+        """Return the context for an engine's address; engines that speak OData are secured."""
+        if self.identity is None:
+            return None
+        engines = self.coordinator.engines.values()
+        secured = {engine.address for engine in engines if engine.protocol == "odata"}
+        return self.identity.client if address in secured else None
+
+    def _build_transports(self) -> dict[str, Transport]:
+        fields = self.config.settings.load_report_fields
+        transports: dict[str, Transport] = {"rest": RestTransport(self.pool, self.deadlines, fields)}
+        if self.operator is not None:
+            from fordstair.net.engines.odata import ODataTransport  # not loaded on the platform
+
+            transports["odata"] = ODataTransport(self.pool, self.deadlines, fields)
+        return transports
+
+    def _apply_limits(self) -> None:
+        """Give each part its limits on sockets and memory, and the pool its times."""
+        limits = divide_resources(
+            self.config.sockets, self.config.memory_mb, with_odata=self.odata is not None
+        )
+        self.pool.resize(limits.engine_connections)
+        self.pool.connect_timeout_ms = self.config.connect_timeout_ms
+        self.pool.idle_timeout_ms = self.config.idle_ms
+        self.rpc.max_clients = limits.rpc_clients
+        self.rpc.max_statement_bytes = limits.max_statement_bytes
+        if self.odata is not None:
+            self.odata.max_clients = limits.odata_clients
+
+    async def _start_core(self, nursery: trio.Nursery) -> None:
+        await nursery.start(self._handle_signals)
+        nursery.start_soon(self.deadlines.run)
+        nursery.start_soon(self._watch_clock)
+        nursery.start_soon(self.poll_watch.run)
+        await nursery.start(self.pool.run)
+        await nursery.start(self.coordinator.run)
+        nursery.start_soon(self.command_channel.run)
+
+    async def _start_optional_parts(self, nursery: trio.Nursery) -> None:
+        if self.membership is not None:
+            await _start_listening(nursery, self.membership.run, "fleet.listen")
+        if self.ledger is not None:
+            await _start_listening(nursery, self.ledger.run, "fleet.ledger")
+            self._start_persistence(nursery, self.ledger)
+        if self.budgets is not None:
+            await _start_listening(nursery, self.budgets.run, "fleet.budgets")
+        if self.operator is not None and self.console_server is not None:
+            await nursery.start(self.console_server.run, self.operator.console)
+
+    def _start_persistence(self, nursery: trio.Nursery, ledger: Service) -> None:
+        # These load the ledger's modules, which the platform's program does not need.
+        from fordstair.program.cost_sharing import CostSharing
+        from fordstair.program.engine_list_persistence import EngineListPersistence
+
+        persistence = EngineListPersistence(
+            ledger, self.intake, self.coordinator, self.command_channel, self.anchor, self.deadlines
+        )
+        nursery.start_soon(persistence.run)
+        nursery.start_soon(CostSharing(ledger, self.coordinator.gateway, self.deadlines).run)
+
+    def _start_fronts(self, nursery: trio.Nursery) -> list[trio.CancelScope]:
+        """Accept clients at all fronts; return the scopes whose cancelling ends that."""
+        scopes = [trio.CancelScope()]
+        nursery.start_soon(self.acceptor.run, "listens", self.config.listen, self.rpc.serve, scopes[0])
+        if self.odata is not None and self.operator is not None and self.operator.listen is not None:
+            scopes.append(trio.CancelScope())
+            serve = self._serve_odata(self.odata)
+            nursery.start_soon(self.acceptor.run, "odata", self.operator.listen, serve, scopes[1])
+        return scopes
+
+    def _serve_odata(self, odata: ODataFront) -> Serve:
+        """Return what serves an OData client, after its handshake where there are identities."""
+
+        async def serve(stream: trio.SocketStream, accept_delay_ms: float) -> None:
+            try:
+                secured = stream if self.identity is None else await self.identity.secure(stream)
+                if secured is not None:
+                    await odata.serve(secured)
+            except Exception:  # one client's handshake must not end the others' connections
+                log.exception("odata.internal_error")
+
+        return serve
+
+    async def _watch_clock(self) -> None:
+        """Log and count steps of the wall clock, for whoever reads times in logs."""
+        while True:
+            await self.deadlines.sleep(CLOCK_CHECK_INTERVAL_MS)
+            if step_ms := self.wall_clock.follow_step():
+                self.counters.add("clock.steps")
+                log.warning("clock.stepped", by_ms=round(step_ms))
+
+    async def _handle_signals(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """SIGHUP reloads the configuration, SIGUSR1 logs the counters, SIGTERM and SIGINT drain."""
+        handled = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
+        with trio.open_signal_receiver(*handled) as signals:
+            unblock()
+            task_status.started()
+            async for number in signals:
+                if number == signal.SIGHUP:
+                    self.reload()
+                elif number == signal.SIGUSR1:
+                    log.info("counters", **self.counters.snapshot())
+                else:
+                    self.stop.set()
+
+
+async def _start_listening(nursery: trio.Nursery, run: Callable[..., Awaitable[None]], field: str) -> None:
+    """Start a part that other members reach; raise ConfigError, which names the field, where it cannot."""
+    try:
+        await nursery.start(run)
+    except OSError as error:
+        raise ConfigError(f"{field}: {error}") from None
--- /dev/null
+++ b/fordstair/program/engine_list_persistence.py
@@ -0,0 +1,69 @@
+"""Stores the engine list on disk and with the other members, and restores it while discovery is down."""
+
+from __future__ import annotations
+
+from fordstair.core.coordinator import Coordinator
+from fordstair.decisions.engine_list import ListUpdateKind
+from fordstair.net.command_channel import CommandChannel
+from fordstair.program.engine_list_intake import EngineListIntake
+from fordstair.replication.engines import Restored, kept
+from fordstair.replication.service import Service
+from fordstair.runtime.clock import AnchoredClock
+from fordstair.runtime.deadlines import Deadlines
+from fordstair.runtime.event_log import EventLog
+
+log = EventLog("fordstair")
+
+STORE_INTERVAL_MS = 5_000.0  # between two notes on disk that discovery was heard
+
+
+class EngineListPersistence:
+    """Until discovery is heard, and where the configuration lists no engine, the stored list is in force."""
+
+    def __init__(
+        self,
+        ledger: Service,
+        intake: EngineListIntake,
+        coordinator: Coordinator,
+        channel: CommandChannel,
+        anchor: AnchoredClock,
+        deadlines: Deadlines,
+    ) -> None:
+        self._ledger = ledger
+        self._intake = intake
+        self._coordinator = coordinator
+        self._channel = channel
+        self._anchor = anchor
+        self._deadlines = deadlines
+        self._restored = Restored(coordinator.settings.slow_start_ms)
+        self._listed_at_start = False
+
+    async def run(self) -> None:
+        """Restore what is stored or what other members hear, and store what discovery lists."""
+        await self._ledger.loaded.wait()
+        loaded_ms = self._deadlines.clock()
+        self._listed_at_start = bool(self._coordinator.engines)
+        self._ledger.on_engines = self._restore
+        self._restore()
+        heard_ms = loaded_ms if self._listed_at_start else 0.0
+        while True:
+            updated = self._intake.next_update()
+            heard_ms = max(heard_ms, self._channel.heard_ms)
+            if heard_ms > 0.0 and self._coordinator.engines:
+                await self._store(heard_ms)
+            with self._deadlines.limit_for(STORE_INTERVAL_MS):
+                await updated.wait()
+
+    def _restore(self) -> None:
+        if self._listed_at_start or self._channel.heard_ms > 0.0:
+            return
+        engines = self._restored.engines(self._anchor.now().value, self._ledger.engines)
+        known = {(engine.entry, engine.address) for engine in self._coordinator.engines.values()}
+        if engines and {(engine.entry, engine.address) for engine in engines} != known:
+            log.warning("engines.restored", engines=len(engines))
+            self._intake.apply(ListUpdateKind.FULL, engines)
+
+    async def _store(self, heard_ms: float) -> None:
+        heard_unix_ms = self._anchor.unix(heard_ms).value
+        if not await self._ledger.follow_engines(heard_unix_ms, kept(self._coordinator.engines.values())):
+            log.warning("engines.store_failed", why=self._ledger.writer.broken)
--- /dev/null
+++ b/fordstair/program/fronts.py
@@ -0,0 +1,51 @@
+"""Accepts the clients of a front until the program drains."""
+
+from __future__ import annotations
+
+import trio
+
+from fordstair.configuration.errors import ConfigError
+from fordstair.net.clients.listener import ClientListener, Serve, open_listeners
+from fordstair.net.clients.poll_watch import PollWatch
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+from fordstair.runtime.event_log import EventLog
+
+log = EventLog("fordstair")
+
+
+class FrontAcceptor:
+    """Listens at the fronts' addresses."""
+
+    def __init__(
+        self, program_name: str, poll_watch: PollWatch, deadlines: Deadlines, counters: Counters
+    ) -> None:
+        self.listeners: list[trio.SocketListener] = []
+        self._program_name = program_name
+        self._poll_watch = poll_watch
+        self._deadlines = deadlines
+        self._counters = counters
+
+    async def run(self, front: str, address: tuple[str, int], serve: Serve, scope: trio.CancelScope) -> None:
+        """Accept clients until the scope is cancelled; their connections outlive it.
+
+        Raise ConfigError, which names the front, where its address cannot be listened at.
+        """
+        async with trio.open_nursery() as clients:
+            with scope:
+                listeners = await self._open(front, *address)
+                self.listeners += listeners
+                host, port = listeners[0].socket.getsockname()[:2]
+                log.info("listening", name=self._program_name, front=front, host=host, port=port)
+                async with trio.open_nursery() as accepting:
+                    for listener in listeners:
+                        accepting.start_soon(self._client_listener(listener, serve).run, clients)
+
+    async def _open(self, front: str, host: str, port: int) -> list[trio.SocketListener]:
+        try:
+            return await open_listeners(host, port, self._deadlines)
+        except OSError as error:
+            raise ConfigError(f"{front}: {host}:{port}: {error}") from None
+
+    def _client_listener(self, opened: trio.SocketListener, serve: Serve) -> ClientListener:
+        return ClientListener(opened.socket, serve, self._poll_watch, self._deadlines, self._counters)
--- /dev/null
+++ b/fordstair/program/graceful_shutdown.py
@@ -0,0 +1,85 @@
+"""Draining after SIGTERM: accept for a while, let open requests end, answer the rest before SIGKILL.
+
+The platform sends SIGKILL ``KILL_GRACE_MS`` after the longest client deadline. All must be answered by then:
+the decision module answers what is still open ``ANSWER_BEFORE_KILL_MS`` earlier, and the answers are flushed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import TYPE_CHECKING
+
+import trio
+
+from fordstair.core.coordinator import Coordinator
+from fordstair.net.clients.rpc_front import RpcFront
+from fordstair.runtime.deadlines import Deadlines
+
+if TYPE_CHECKING:
+    from fordstair.net.clients.odata_front import ODataFront
+
+ACCEPT_MS = 700.0  # new connections and requests still come for so long
+MAX_BACKLOG_MS = 500.0  # for clients that have connected and are not accepted yet
+LONGEST_DEADLINE_MS = 3_000.0  # at most, whatever the classes' timeouts are
+KILL_GRACE_MS = 700.0
+ANSWER_BEFORE_KILL_MS = 550.0
+FLUSH_MS = 300.0  # for the answers to leave
+BACKLOG_POLL_MS = 1.0
+OPEN_POLL_MS = 20.0
+FLUSH_POLL_MS = 10.0
+
+
+class GracefulShutdown:
+    """Ends one coordinator's work within the time that the platform leaves."""
+
+    def __init__(
+        self,
+        coordinator: Coordinator,
+        deadlines: Deadlines,
+        listeners: Sequence[trio.SocketListener],
+        rpc: RpcFront,
+        odata: ODataFront | None,
+    ) -> None:
+        self._coordinator = coordinator
+        self._deadlines = deadlines
+        self._listeners = listeners
+        self._rpc = rpc
+        self._odata = odata
+
+    async def drain(self, accepting: Sequence[trio.CancelScope]) -> None:
+        """Return once all is answered, or time is up; cancel ``accepting`` when no new client may come."""
+        self._coordinator.draining = True
+        kill_ms = self._kill_ms()
+        await self._deadlines.sleep(ACCEPT_MS)
+        await self._accept_backlog()
+        for scope in accepting:
+            scope.cancel()
+        answer_ms = kill_ms - ANSWER_BEFORE_KILL_MS
+        while self._deadlines.clock() < answer_ms and self._coordinator.open_count:
+            await self._deadlines.sleep(OPEN_POLL_MS)
+        self._coordinator.withdraw_all()
+        self._rpc.close()
+        while self._deadlines.clock() < answer_ms + FLUSH_MS and not self._all_closed():
+            await self._deadlines.sleep(FLUSH_POLL_MS)
+
+    def _kill_ms(self) -> float:
+        """Return when SIGKILL comes, for a drain that begins now."""
+        longest_ms = max(spec.client_timeout_ms for spec in self._coordinator.settings.classes)
+        return self._deadlines.clock() + min(LONGEST_DEADLINE_MS, longest_ms) + KILL_GRACE_MS
+
+    async def _accept_backlog(self) -> None:
+        """Wait until who has connected by now is accepted.
+
+        Closing a listener resets the connections that wait at it, and the requests sent on them are lost.
+        """
+        until_ms = self._deadlines.clock() + MAX_BACKLOG_MS
+        while self._deadlines.clock() < until_ms and any(
+            listener.socket.is_readable() for listener in self._listeners
+        ):
+            await self._deadlines.sleep(BACKLOG_POLL_MS)
+
+    def _all_closed(self) -> bool:
+        """Whether all is answered and flushed, at both fronts."""
+        if self._rpc.clients or self._coordinator.live:
+            return False
+        return self._odata is None or self._odata.idle
--- /dev/null
+++ b/fordstair/program/optional_parts.py
@@ -0,0 +1,164 @@
+"""Builds the parts that an operator's file turns on.
+
+Their modules are imported here, in the functions, so that the platform's program (64 MB) holds none of them.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+from fordstair.configuration.errors import ConfigError
+from fordstair.configuration.platform import Config
+from fordstair.core.coordinator import Coordinator
+from fordstair.runtime.clock import WallClock
+from fordstair.runtime.counters import Counters
+from fordstair.runtime.deadlines import Deadlines
+
+if TYPE_CHECKING:
+    from fordstair.budgets.transport import FleetBudgets
+    from fordstair.budgets.whole import Part
+    from fordstair.core.admission_queue import AdmissionQueue
+    from fordstair.membership.transport import Membership
+    from fordstair.net.clients.odata_front import ODataFront
+    from fordstair.net.clients.odata_model import Operator
+    from fordstair.net.console_server import ConsoleServer
+    from fordstair.net.identity import Identity
+    from fordstair.replication.service import Service
+
+
+def build_identity(operator: Operator | None, deadlines: Deadlines, counters: Counters) -> Identity | None:
+    """Read the certificates of clients and engines; raise ConfigError where they cannot be used."""
+    if operator is None or not operator.identity:
+        return None
+    from fordstair.net.identity import Identity, read_files
+
+    return Identity(read_files(operator.identity), deadlines, counters)
+
+
+def build_admission_queue(config: Config, coordinator: Coordinator) -> AdmissionQueue | None:
+    """Put a queue with the tenants' quotas before the decision module."""
+    if config.budgets is None:
+        return None
+    from fordstair.core.admission_queue import AdmissionQueue
+    from fordstair.scheduling.scheduler import Scheduler
+
+    queue_settings = config.budgets
+    scheduler = Scheduler(
+        dict(queue_settings.shares),
+        1.0,
+        max_waiting=queue_settings.waiting_most,
+        burst_ms=queue_settings.burst_ms,
+        debt_ms=queue_settings.debt_ms,
+    )
+    queue = AdmissionQueue(coordinator, scheduler, queue_settings.threads_a_core)
+    coordinator.extensions.admission_queue = queue
+    return queue
+
+
+def add_zone_watch(operator: Operator | None, coordinator: Coordinator) -> None:
+    """Eject zones that are out of reach as a whole."""
+    if operator is None or not operator.eject_silent_zones:
+        return
+    from fordstair.core.zone_watch import ZoneWatch
+
+    coordinator.extensions.zone_watch = ZoneWatch(coordinator)
+
+
+def build_fleet_budgets(
+    operator: Operator | None, config: Config, coordinator: Coordinator, queue: AdmissionQueue | None
+) -> FleetBudgets | None:
+    """Take part in the fleet's budgets: what is released also needs this member's quota of them.
+
+    Raise ConfigError where there is no admission queue to hold requests back.
+    """
+    if operator is None or operator.shares is None:
+        return None
+    if queue is None:
+        raise ConfigError("fleet.budgets: needs [budgets], in a file that tells of the whole site")
+    from fordstair.budgets.transport import FleetBudgets
+
+    part = replace(operator.shares, member=operator.shares.member or config.name)
+    budgets = FleetBudgets(part, config.seed)
+    _limit_queue(queue, budgets, part, coordinator)
+    coordinator.counters.include("shares", lambda: budgets.counts)
+    return budgets
+
+
+def _limit_queue(queue: AdmissionQueue, budgets: FleetBudgets, part: Part, coordinator: Coordinator) -> None:
+    """Connect the queue and the member's node: demand goes there, and quotas come back."""
+    from fordstair.budgets.caps import Caps
+    from fordstair.budgets.node import ASKS_A_TERM
+
+    settings = coordinator.settings
+    caps = Caps(
+        part.plan.wholes,
+        [tenant.name for tenant in settings.tenants] or [""],
+        [spec.name for spec in settings.classes],
+        budgets.shares,
+        part.plan.term_ms / ASKS_A_TERM,
+    )
+    queue.caps = caps
+    budgets.node.wants = lambda: caps.wants(coordinator.deadlines.clock())
+    budgets.node.needs = caps.needs
+    budgets.node.uses = caps.uses
+    budgets.on_share = queue.release
+
+
+def build_odata_front(
+    operator: Operator | None, coordinator: Coordinator, identity: Identity | None
+) -> ODataFront | None:
+    """Serve OData clients beside those of the platform."""
+    if operator is None or operator.listen is None:
+        return None
+    from fordstair.net.clients.odata_front import ODataFront
+
+    return ODataFront(coordinator, operator, identity.team_of if identity else lambda _: None)
+
+
+def build_ledger(
+    operator: Operator | None, config: Config, odata: ODataFront | None, counters: Counters
+) -> Service | None:
+    """Share the loads that have run with the other members, so that none of them runs one twice."""
+    if operator is None or operator.ledger is None or odata is None:
+        return None
+    from fordstair.net.clients.repeatable_requests import SharedRepeats
+    from fordstair.replication.service import Service
+
+    ledger = Service(replace(operator.ledger, member=operator.ledger.member or config.name), config.seed)
+    odata.repeats = SharedRepeats(ledger)
+    counters.include("ledger", lambda: ledger.counts)
+    return ledger
+
+
+def build_membership(operator: Operator | None, config: Config, counters: Counters) -> Membership | None:
+    """Join the fleet's membership."""
+    if operator is None or operator.fleet is None:
+        return None
+    from fordstair.membership.transport import Membership
+
+    fleet = replace(operator.fleet, name=operator.fleet.name or config.name)
+    membership = Membership(fleet, operator.fleet_listen, config.seed)
+    counters.include("fleet", lambda: membership.counts)
+    return membership
+
+
+def build_console_server(
+    operator: Operator | None,
+    config: Config,
+    coordinator: Coordinator,
+    drain: Callable[[], None],
+    wall_clock: WallClock,
+    membership: Membership | None,
+    ledger: Service | None,
+    budgets: FleetBudgets | None,
+) -> ConsoleServer | None:
+    """Serve operators' consoles; ``drain`` ends the program."""
+    if operator is None or not operator.console:
+        return None
+    from fordstair.net.console_server import ConsoleServer
+
+    return ConsoleServer(
+        config.name, coordinator, drain, wall_clock, operator.watchers, membership, ledger, budgets
+    )
--- a/fordstair/routing/__init__.py
+++ b/fordstair/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Where requests may go when a hall fails: pure, without I/O or clock; the module draws the engine."""
+"""Where requests may go when a zone fails: pure, no I/O, no clock; the decision module draws the engine."""
--- a/fordstair/scheduling/shedding.py
+++ b/fordstair/scheduling/shedding.py
@@ -1,7 +1,7 @@
-"""Whom to turn away while a queue stands: the costly ones of a class first, and of teams beyond their budget.
+"""Load shedding while a queue stands: the costly requests of a class first, and of teams beyond their quota.
 
 The design page's rule, "under pressure the heavy queries of a class are refused more than its light ones", is
-the module's on engines' pressure. A queue before the module keeps that pressure off the engines, so the same
+the decision module's on engines' pressure. A queue before it keeps that pressure off the engines, so the same
 rule has to read the queue: pressure is the wait to come over the time that the request can spare.
 """
 
@@ -10,32 +10,44 @@
 import math
 from dataclasses import dataclass, field
 
-CALM, FULL = 3.0, 0.25  # times the class's mean cost that may wait: without pressure, and at 1
-STARTS, ENDS = 0.1, 0.9  # parts of the time to spare at which pressure starts, and is 1
-LENIENT = 0.5  # part of the pressure that a team within its budget feels
-STEP = 0.02
+MAX_COST_WITHOUT_PRESSURE = 3.0  # times the class's mean cost, that may wait
+MAX_COST_AT_FULL_PRESSURE = 0.25
+PRESSURE_STARTS = 0.1  # part of the time to spare that the wait takes
+PRESSURE_FULL = 0.9
+WITHIN_QUOTA_PRESSURE = 0.5  # part of the pressure that a team within its quota feels
+MEAN_STEP = 0.02
 
 
 @dataclass(slots=True)
-class Shedding:
+class CostShedding:
     """The classes' mean costs as they arrive, and the rule."""
 
-    means: dict[int, float] = field(default_factory=dict)
+    mean_cost: dict[int, float] = field(default_factory=dict)  # thread-milliseconds, by class
 
-    def see(self, class_index: int, work_ms: float) -> None:
-        """Take one arrival's predicted work into its class's mean."""
-        before = self.means.setdefault(class_index, work_ms)
-        self.means[class_index] = before + (work_ms - before) * STEP
+    def record_arrival(self, class_index: int, cost: float) -> None:
+        """Take one arrival's predicted thread-milliseconds into its class's mean."""
+        mean = self.mean_cost.setdefault(class_index, cost)
+        self.mean_cost[class_index] = mean + (cost - mean) * MEAN_STEP
 
-    def too_costly(
-        self, class_index: int, work_ms: float, wait_ms: float, spare_ms: float, within: bool
+    def should_shed(
+        self, class_index: int, cost: float, wait_ms: float, spare_ms: float, within_quota: bool
     ) -> bool:
-        """Whether to turn a request away now, for what it costs."""
+        """Whether to reject a request now, for what it costs.
+
+        Args:
+            class_index: its class.
+            cost: its predicted thread-milliseconds.
+            wait_ms: how long it would wait.
+            spare_ms: how long it could wait, and still be answered in time.
+            within_quota: whether its team is within its quota.
+        """
         if spare_ms <= 0.0 or not math.isfinite(wait_ms):
             return True
-        pressure = (wait_ms / spare_ms - STARTS) / (ENDS - STARTS) * (LENIENT if within else 1.0)
-        pressure = min(1.0, max(0.0, pressure))
+        pressure = (wait_ms / spare_ms - PRESSURE_STARTS) / (PRESSURE_FULL - PRESSURE_STARTS)
+        pressure = min(1.0, max(0.0, pressure * (WITHIN_QUOTA_PRESSURE if within_quota else 1.0)))
         if not pressure:
             return False
-        most: float = CALM * (FULL / CALM) ** pressure
-        return work_ms > most * self.means.get(class_index, work_ms)
+        max_cost: float = (
+            MAX_COST_WITHOUT_PRESSURE * (MAX_COST_AT_FULL_PRESSURE / MAX_COST_WITHOUT_PRESSURE) ** pressure
+        )
+        return cost > max_cost * self.mean_cost.get(class_index, cost)
--- /dev/null
+++ b/fordstair/snapshots/fleet_views.py
@@ -0,0 +1,70 @@
+"""The rows on the fleet: its members, and their quotas of its budgets."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from fordstair.snapshots.views import MemberView, QuotaView
+
+if TYPE_CHECKING:
+    from fordstair.budgets.transport import FleetBudgets
+    from fordstair.membership.swim import SwimMember
+    from fordstair.membership.transport import Membership
+    from fordstair.replication.service import Service
+
+ToUnix = Callable[[float], float]  # from a moment of the monotonic clock; 0 stays 0
+
+
+def member_views(
+    membership: Membership | None, ledger: Service | None, started_unix_ms: float, to_unix: ToUnix
+) -> dict[str, MemberView]:
+    """Return the members by name, this one first; none where there is no fleet."""
+    if membership is None or (swim := membership.swim) is None:
+        return {}
+    views = [_own_view(swim, ledger, started_unix_ms), *_other_views(swim, ledger, to_unix)]
+    return {view.name: view for view in views}
+
+
+def quota_views(budgets: FleetBudgets | None, now_unix_ms: float) -> dict[str, QuotaView]:
+    """Return the quotas by member and budget; none where there are no fleet budgets."""
+    if budgets is None:
+        return {}
+    return {f"{row.member}|{row.budget}": QuotaView(*row) for row in budgets.rows(now_unix_ms)}
+
+
+def _own_view(swim: SwimMember, ledger: Service | None, started_unix_ms: float) -> MemberView:
+    own = swim.local.update
+    return MemberView(
+        own.name,
+        own.address,
+        "mute" if swim.local_health.isolated else own.state.label,
+        own.incarnation,
+        started_unix_ms,
+        is_self=True,
+        awareness_score=swim.local_health.score,
+        ledger_entries=len(ledger.holder.entries) if ledger is not None else 0,
+        store_bytes=ledger.disk.size_bytes if ledger is not None else 0,
+        ledger_fault=ledger.holder.doubted or ledger.writer.broken if ledger is not None else "",
+    )
+
+
+def _other_views(swim: SwimMember, ledger: Service | None, to_unix: ToUnix) -> list[MemberView]:
+    views = []
+    for member in swim.members.values():
+        suspicion = member.suspicion
+        views.append(
+            MemberView(
+                member.name,
+                member.address,
+                member.state.label,
+                member.incarnation,
+                to_unix(member.changed_ms),
+                member.reporter,
+                len(suspicion.accusers) if suspicion is not None else 0,
+                to_unix(suspicion.expires_ms) if suspicion is not None else 0.0,
+                member.link_cut,
+                ranges_behind=ledger.behind.get(member.name) if ledger is not None else None,
+            )
+        )
+    return views
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -19,9 +19,9 @@
 from fordstair.lab.audit import Audit
 from fordstair.lab.shares import Fleet
 from fordstair.runtime.message_codec import MalformedMessageError
-from fordstair.scheduling.later import Places
-from fordstair.scheduling.scheduler import Refused, Room, Scheduler, Told
-from fordstair.scheduling.waits import Cap, Meter
+from fordstair.scheduling.fleet_quotas import RateQuota, ThreadQuota
+from fordstair.scheduling.retry_after import RetryAfterSchedule
+from fordstair.scheduling.scheduler import ArrivingRequest, Capacity, QueueRejection, Scheduler
 
 FIXED = settings(max_examples=200, deadline=None, derandomize=True, database=None)
 WHOLES = (Whole("threads", 64, "karri", quantum=4, least=4), Whole("rate", 200 * MILLI))
@@ -366,10 +366,10 @@
     assert caps.wants(now)[1] >= 2 * MILLI
     cap, meter = caps.binding(now, 0, 0)
     assert caps.needs() == (12, 0)
-    assert cap == Cap(8, 8, 500.0, True, False, 1_000.0)
+    assert cap == ThreadQuota(8, 8, 500.0, True, False, 1_000.0)
     assert cap.wait_ms(4, 0.0, 2_000.0, 9_000.0) == pytest.approx(2_000.0 / 8 + 250.0)
-    assert isinstance(meter, Meter)
-    assert meter.ms == 0.0
+    assert isinstance(meter, RateQuota)
+    assert meter.next_release_ms == 0.0
     caps.ends(now + 900.0, 1)
     caps.ends(now + 900.0, 1)
     assert caps.holds_ms[0] == pytest.approx(540.0)  # a tenth of the way
@@ -405,36 +405,41 @@
 def test_a_request_whose_budget_is_full_holds_up_no_other() -> None:
     scheduler = Scheduler({0: 0.5, 1: 0.5}, 64.0)
     for id, team in enumerate((0, 0, 1, 1)):
-        scheduler.arrive(Told(id, team, 0, 1, 50.0, 1e9), 0.0)
+        scheduler.admit(ArrivingRequest(id, team, 0, 1, 50.0, 1e9), 0.0)
     released = list[int]()
-    while item := scheduler.release(1.0, lambda item: Room.BUDGET_FULL if item.team == 0 else Room.FITS):
+    while item := scheduler.release(
+        1.0, lambda item: Capacity.QUOTA_FULL if item.team == 0 else Capacity.AVAILABLE
+    ):
         released.append(item.id)
     assert released == [2, 3]
     assert len(scheduler.queues) == 2
 
 
 def test_a_full_queue_makes_room_for_a_team_within_its_budget_alone() -> None:
-    scheduler = Scheduler({0: 0.5, 1: 0.5}, 4.0, waiting_most=3)
-    scheduler.budgets.earn(10_000.0)
-    scheduler.budgets.charge(0, 1e6)  # far over its budget
+    scheduler = Scheduler({0: 0.5, 1: 0.5}, 4.0, max_waiting=3)
+    scheduler.quotas.earn(10_000.0)
+    scheduler.quotas.charge(0, 1e6)  # far over its budget
     for id in range(3):
-        scheduler.arrive(Told(id, 0, 0, 1, 50.0, 1e9), 10_000.0)
-    assert scheduler.arrive(Told(3, 0, 0, 1, 50.0, 1e9), 10_000.0).refused is Refused.QUEUE_FULL
-    admission = scheduler.arrive(Told(4, 1, 0, 1, 50.0, 1e9), 10_000.0)
-    assert admission.refused is None
+        scheduler.admit(ArrivingRequest(id, 0, 0, 1, 50.0, 1e9), 10_000.0)
+    assert (
+        scheduler.admit(ArrivingRequest(3, 0, 0, 1, 50.0, 1e9), 10_000.0).rejection
+        is QueueRejection.QUEUE_FULL
+    )
+    admission = scheduler.admit(ArrivingRequest(4, 1, 0, 1, 50.0, 1e9), 10_000.0)
+    assert admission.rejection is None
     assert admission.evicted is not None
     assert admission.evicted.id == 2
     assert len(scheduler.queues) == 3
 
 
 def test_those_turned_away_are_told_places_behind_one_another() -> None:
-    places = Places(1)
-    told = [places.next(0.0, 100.0, 0.01, 20_000.0) for _ in range(100)]  # a turn each 100 ms
+    places = RetryAfterSchedule(1)
+    told = [places.next_ms(0.0, 100.0, 0.01, 20_000.0) for _ in range(100)]  # a turn each 100 ms
     assert told[0] < 200.0
     assert 7_500.0 < told[99] < 12_500.0
     for start in range(0, 10_000, 1_000):  # no wave: some ten in each second
         assert sum(start <= each < start + 1_000 for each in told) <= 20
-    late = [places.next(0.0, 100.0, 0.01, 5_000.0) for _ in range(50)]
+    late = [places.next_ms(0.0, 100.0, 0.01, 5_000.0) for _ in range(50)]
     assert all(2_500.0 <= each <= 5_000.0 for each in late)
-    alone = [Places(seed).next(0.0, 100.0, 0.0, 5_000.0) for seed in range(20)]
+    alone = [RetryAfterSchedule(seed).next_ms(0.0, 100.0, 0.0, 5_000.0) for seed in range(20)]
     assert all(80.0 <= each <= 120.0 for each in alone)  # nothing waits: no line to stand in
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -25,7 +25,8 @@
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
 from fordstair.lab.traffic import Kind, Tally, Traffic
-from fordstair.snapshots.snapshot import Snapshot, apply_delta, decode
+from fordstair.snapshots.delta import apply_delta, decode
+from fordstair.snapshots.snapshot import Snapshot
 from tests.standins import ROOT, config, engine, program
 from tests.test_odata import OPERATOR
 from tests.test_platform import play
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -40,19 +40,13 @@
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.runtime.event_log import EventLog
-from fordstair.snapshots.collector import SnapshotCollector, engine_state
-from fordstair.snapshots.publishing import BEAT_MS, EVERY_MS, Freshness, SnapshotSchedule
-from fordstair.snapshots.snapshot import (
-    TABLES,
-    LogLineView,
-    Snapshot,
-    SnapshotDeltaError,
-    TeamView,
-    apply_delta,
-    decode,
-    delta_between,
-    encode,
-)
+from fordstair.snapshots.collector import SnapshotCollector
+from fordstair.snapshots.delta import SnapshotDeltaError, apply_delta, decode, delta_between, encode
+from fordstair.snapshots.engine_states import engine_state
+from fordstair.snapshots.freshness import Freshness
+from fordstair.snapshots.publishing import HEARTBEAT_MS, MIN_INTERVAL_MS, SnapshotSchedule
+from fordstair.snapshots.snapshot import Snapshot
+from fordstair.snapshots.views import TABLES, LogLineView, TeamView
 from tests.helpers import CLASSES, Rig, entry, selection_factor
 from tests.test_settings import APPLIANCE
 
@@ -73,7 +67,7 @@
         for name in list(teams):
             teams = teams.delete(name)
         teams = teams.update({name: TeamView(name, open_requests=value) for name, value in row.items()})
-        now = Snapshot(number, float(number), tables=now.tables.set("teams", teams), notes=tuple(log))
+        now = Snapshot(number, float(number), tables=now.tables.set("teams", teams), log_lines=tuple(log))
         if data.draw(st.booleans()):
             seen = apply_delta(seen, decode(encode(delta_between(seen, now))))
             assert seen == now
@@ -114,10 +108,10 @@
         if pace.due_in_ms(now, changed) <= 0.0:
             made.append(now)
             pace.record_collection(now, cost)
-        assert pace.due_in_ms(now + BEAT_MS, False) <= 0.0
-    assert all(later - earlier >= EVERY_MS - 1e-6 for earlier, later in itertools.pairwise(made))
+        assert pace.due_in_ms(now + HEARTBEAT_MS, False) <= 0.0
+    assert all(later - earlier >= MIN_INTERVAL_MS - 1e-6 for earlier, later in itertools.pairwise(made))
     pace.collected_ms = now + 1e9  # the clock went back a long way: the feed goes on
-    assert pace.due_in_ms(now, True) <= EVERY_MS
+    assert pace.due_in_ms(now, True) <= MIN_INTERVAL_MS
 
 
 def test_a_picture_is_stale_by_silence_by_lag_and_by_loss() -> None:
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -282,7 +282,7 @@
 
 def test_nothing_of_it_is_loaded_or_listens_as_the_platform_starts_the_program() -> None:
     code = (
-        "import sys, fordstair.entry_point as m; m.told_by; "
+        "import sys, fordstair.entry_point as m; m.read_configuration; "
         "sys.exit(any(n.startswith(('fordstair.membership', 'odata_query')) for n in sys.modules))"
     )
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=False).returncode == 0
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -9,7 +9,6 @@
 STILL_LARGER = {
     "fordstair/lab/site.py",
     "fordstair/net/console_server.py",
-    "fordstair/program.py",
     "fordstair/replication/service.py",
 }
 
--- a/tests/test_ledger_processes.py
+++ b/tests/test_ledger_processes.py
@@ -237,7 +237,7 @@
 
             async def taken_over(*logs: str) -> None:
                 with trio.fail_after(25.0):
-                    while not all("costs.taken_over" in (folder / log).read_text() for log in logs):
+                    while not all("costs.restored" in (folder / log).read_text() for log in logs):
                         await trio.sleep(0.1)
 
             await taken_over("m1.1.log", "m2.1.log")
--- a/tests/test_rough.py
+++ b/tests/test_rough.py
@@ -509,7 +509,7 @@
             one.transports["rest"] = Endless()
             one.coordinator.submit(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
             start = clock()
-            await one.drain([])
+            await one.shutdown.drain([])
             assert least_s < clock() - start < most_s
             assert reply.retry_after_ms is not None
             nursery.cancel_scope.cancel()
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -27,11 +27,23 @@
 from fordstair.net.clients.odata_statements import PendingReply
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
-from fordstair.scheduling.budgets import Budgets
-from fordstair.scheduling.preemption import CHANGES_PER_S, HOLD_MS, Preemption, Runs
-from fordstair.scheduling.scheduler import AGE_EVERY, Refused, Room, Scheduler, Told, last_start
-from fordstair.scheduling.shedding import Shedding
-from fordstair.scheduling.waits import Calibration, Rate, fluid
+from fordstair.scheduling.preemption import (
+    MAX_CHANGES_PER_S,
+    MIN_PRIORITY_MS,
+    PriorityPreemption,
+    RunningQuery,
+)
+from fordstair.scheduling.quotas import Quotas
+from fordstair.scheduling.scheduler import (
+    OLDEST_FIRST_EVERY,
+    ArrivingRequest,
+    Capacity,
+    QueueRejection,
+    Scheduler,
+    latest_useful_start_ms,
+)
+from fordstair.scheduling.shedding import CostShedding
+from fordstair.scheduling.wait_estimation import ForecastCalibration, ReleaseRate, fluid_work
 from tests.test_console import command
 from tests.test_platform import play as played
 
@@ -57,56 +69,58 @@
 ) -> None:
     """Ends are counted once; order within team and class; no ghosts; the bound on releases; debt bounded."""
     one, now, number = Scheduler(dict(enumerate(SHARES)), capacity), 1e6, 0
-    ends, waiting, running = Counter[int](), dict[int, Told](), list[int]()
+    ends, waiting, running = Counter[int](), dict[int, ArrivingRequest](), list[int]()
     older, came, order = dict[int, set[int]](), dict[int, int](), dict[tuple[int, int], list[int]]()
     for what, team, class_index, size, ahead in taken:
         now += ahead  # which may go back
         if what == "arrive":
             number += 1
-            request = Told(number, team, class_index, 1 + class_index, size, now + 5.0 * size + 500.0)
-            older[number], came[number] = set(waiting), one.releases
-            if one.arrive(request, now).refused is not None:
+            request = ArrivingRequest(
+                number, team, class_index, 1 + class_index, size, now + 5.0 * size + 500.0
+            )
+            older[number], came[number] = set(waiting), one.release_count
+            if one.admit(request, now).rejection is not None:
                 ends[number] += 1
             else:
                 waiting[number] = request
                 order.setdefault((team, class_index), []).append(number)
         elif what == "release":
-            if (item := one.release(now, lambda _: Room.FITS)) is not None:
+            if (item := one.release(now, lambda _: Capacity.AVAILABLE)) is not None:
                 assert order[item.team, item.class_index][0] == item.id  # in the order of arrival
-                assert one.releases - came[item.id] <= AGE_EVERY * (len(older[item.id]) + 1)
-                assert one.threads <= max(capacity, item.threads)
+                assert one.release_count - came[item.id] <= OLDEST_FIRST_EVERY * (len(older[item.id]) + 1)
+                assert one.threads_in_flight <= max(capacity, item.threads)
                 order[item.team, item.class_index].remove(item.id)
                 del waiting[item.id]
                 running.append(item.id)
             elif waiting:  # work is conserved: only room holds something back
-                assert one.threads
+                assert one.threads_in_flight
         elif what == "leave" and waiting:
             gone = sorted(waiting)[int(size) % len(waiting)]
-            assert one.leave(gone)
-            assert not one.leave(gone)
+            assert one.remove(gone)
+            assert not one.remove(gone)
             order[waiting[gone].team, waiting[gone].class_index].remove(gone)
             del waiting[gone]
             ends[gone] += 1
         elif what == "end" and running:
             over = running.pop(0)
-            one.ended(over, now, size * 10.0)
-            one.ended(over, now, size * 10.0)  # told twice: charged once
+            one.finish(over, now, size * 10.0)
+            one.finish(over, now, size * 10.0)  # told twice: charged once
             ends[over] += 1
         elif what == "late":
-            for item in one.overdue(now):
-                assert item.last_start_ms <= now
+            for item in one.pop_overdue(now):
+                assert item.latest_start_ms <= now
                 order[item.team, item.class_index].remove(item.id)
                 del waiting[item.id]
                 ends[item.id] += 1
         elif what == "budget":
-            one.set_shares(
+            one.set_quotas(
                 {0: 0.0, 1: SHARES[1], 2: SHARES[2]} if class_index else dict(enumerate(SHARES)), now
             )
         assert len(one.queues) == len(waiting)
-        assert set(one.running) == set(running)
-        for account in one.budgets.accounts.values():
-            assert account.balance >= -account.rate * one.budgets.debt_ms - 1e-6
-            assert account.balance <= max(0.0, account.rate * one.budgets.burst_ms) + 1e-6
+        assert set(one.released) == set(running)
+        for account in one.quotas.accounts.values():
+            assert account.balance >= -account.rate * one.quotas.debt_ms - 1e-6
+            assert account.balance <= max(0.0, account.rate * one.quotas.burst_ms) + 1e-6
         assert all(
             flow.cost == pytest.approx(sum(c.cost for c in flow.classes.values()), abs=1e-3)
             for flow in one.queues.teams.values()
@@ -116,14 +130,14 @@
 
 
 def test_a_team_with_ten_thousand_waiting_does_not_hold_up_a_team_with_one() -> None:
-    one = Scheduler(dict(enumerate(SHARES)), 8.0, waiting_most=20_000)
+    one = Scheduler(dict(enumerate(SHARES)), 8.0, max_waiting=20_000)
     for number in range(10_000):
-        one.arrive(Told(number, 0, 0, 1, 10.0, math.inf), 1.0)
-    one.arrive(Told(99_999, 2, 0, 1, 10.0, math.inf), 1.0)
+        one.admit(ArrivingRequest(number, 0, 0, 1, 10.0, math.inf), 1.0)
+    one.admit(ArrivingRequest(99_999, 2, 0, 1, 10.0, math.inf), 1.0)
     for turn in range(8):
-        item = one.release(2.0 + turn, lambda _: Room.FITS)
+        item = one.release(2.0 + turn, lambda _: Capacity.AVAILABLE)
         assert item is not None
-        one.ended(item.id, 3.0 + turn, 10.0)
+        one.finish(item.id, 3.0 + turn, 10.0)
         if item.id == 99_999:
             return
     raise AssertionError("it waited for more than eight releases")
@@ -131,33 +145,33 @@
 
 def test_what_was_underestimated_is_charged_afterwards_and_debt_is_bounded() -> None:
     one = Scheduler({0: 0.5, 1: 0.5}, 4.0)
-    one.arrive(Told(1, 0, 0, 4, 100.0, math.inf), 1.0)
-    assert one.release(1.0, lambda _: Room.FITS) is not None
-    before = one.budgets.accounts[0].balance
-    one.ended(1, 2.0, 1_000.0)  # ten times what was said
-    assert one.budgets.accounts[0].balance == pytest.approx(before - 900.0)
-    assert not one.budgets.within(0)
-    assert one.budgets.within(1)
+    one.admit(ArrivingRequest(1, 0, 0, 4, 100.0, math.inf), 1.0)
+    assert one.release(1.0, lambda _: Capacity.AVAILABLE) is not None
+    before = one.quotas.accounts[0].balance
+    one.finish(1, 2.0, 1_000.0)  # ten times what was said
+    assert one.quotas.accounts[0].balance == pytest.approx(before - 900.0)
+    assert not one.quotas.is_within_quota(0)
+    assert one.quotas.is_within_quota(1)
     for number in range(2, 6):  # in debt, and still served while nobody else waits: borrowed
-        one.arrive(Told(number, 0, 0, 4, 5_000.0, math.inf), 2.0)
-        assert one.release(2.0, lambda _: Room.FITS) is not None
-        one.ended(number, 3.0, 5_000.0)
-    account = one.budgets.accounts[0]
-    assert account.balance == pytest.approx(-account.rate * one.budgets.debt_ms)
-    assert account.forgiven > 0.0
-    one.arrive(Told(7, 0, 0, 1, 10.0, math.inf), 4.0)
-    one.arrive(Told(8, 1, 0, 1, 10.0, math.inf), 4.0)
-    item = one.release(4.0, lambda _: Room.FITS)
+        one.admit(ArrivingRequest(number, 0, 0, 4, 5_000.0, math.inf), 2.0)
+        assert one.release(2.0, lambda _: Capacity.AVAILABLE) is not None
+        one.finish(number, 3.0, 5_000.0)
+    account = one.quotas.accounts[0]
+    assert account.balance == pytest.approx(-account.rate * one.quotas.debt_ms)
+    assert account.forgiven_debt > 0.0
+    one.admit(ArrivingRequest(7, 0, 0, 1, 10.0, math.inf), 4.0)
+    one.admit(ArrivingRequest(8, 1, 0, 1, 10.0, math.inf), 4.0)
+    item = one.release(4.0, lambda _: Capacity.AVAILABLE)
     assert item is not None
     assert item.id == 8
 
 
 def test_a_class_without_room_lets_others_pass_and_a_full_module_lets_none() -> None:
     one = Scheduler({0: 1.0}, 8.0)
-    one.arrive(Told(1, 0, 0, 1, 10.0, math.inf), 1.0)
-    one.arrive(Told(2, 0, 1, 1, 10.0, math.inf), 1.0)
-    assert one.release(1.0, lambda _: Room.FULL) is None
-    item = one.release(1.0, lambda item: Room.CLASS_FULL if item.class_index == 0 else Room.FITS)
+    one.admit(ArrivingRequest(1, 0, 0, 1, 10.0, math.inf), 1.0)
+    one.admit(ArrivingRequest(2, 0, 1, 1, 10.0, math.inf), 1.0)
+    assert one.release(1.0, lambda _: Capacity.FULL) is None
+    item = one.release(1.0, lambda item: Capacity.CLASS_FULL if item.class_index == 0 else Capacity.AVAILABLE)
     assert item is not None
     assert item.id == 2
 
@@ -165,18 +179,18 @@
 def test_thousands_that_can_no_longer_be_reached_are_given_back_at_once() -> None:
     one = Scheduler({0: 1.0}, 8.0)
     for number in range(5_000):
-        one.arrive(Told(number, 0, 0, 1, 0.1, 2_000.0), 1.0)
-    assert len(one.overdue(1_999.0)) == 0
-    assert len(one.overdue(2_000.0)) == 5_000
+        one.admit(ArrivingRequest(number, 0, 0, 1, 0.1, 2_000.0), 1.0)
+    assert len(one.pop_overdue(1_999.0)) == 0
+    assert len(one.pop_overdue(2_000.0)) == 5_000
     assert not len(one.queues)
-    assert one.arrive(Told(9_999, 0, 0, 1, 10.0, 100.0), 200.0).refused is Refused.TOO_LATE
+    assert one.admit(ArrivingRequest(9_999, 0, 0, 1, 10.0, 100.0), 200.0).rejection is QueueRejection.TOO_LATE
 
 
 def test_budgets_earn_no_more_than_their_burst_and_clock_steps_earn_nothing() -> None:
-    budgets = Budgets({0: 0.5, 1: 0.0}, 10.0, burst_ms=100.0)
+    budgets = Quotas({0: 0.5, 1: 0.0}, 10.0, burst_ms=100.0)
     budgets.earn(1e6)
     assert budgets.accounts[0].balance == 500.0
-    assert not budgets.within(1)
+    assert not budgets.is_within_quota(1)
     budgets.charge(0, 500.0)
     budgets.earn(5e5)  # a step back
     assert budgets.accounts[0].balance == 0.0
@@ -191,12 +205,12 @@
 ) -> None:
     own = min(costs)
     ahead = min(ahead, costs[own])
-    done = fluid(ahead, own, costs, {flow: 1.0 + flow for flow in costs})
+    done = fluid_work(ahead, own, costs, {flow: 1.0 + flow for flow in costs})
     assert ahead - 1e-6 <= done <= ahead + sum(c for flow, c in costs.items() if flow != own) + 1e-6
 
 
 def test_a_shift_of_the_rate_is_noticed_and_noise_is_not() -> None:
-    rate, calibration = Rate(), Calibration()
+    rate, calibration = ReleaseRate(), ForecastCalibration()
     shifts = [rate.add(1e6 + turn * 60.0, 600.0 * (1.1 if turn % 2 else 0.9), True) for turn in range(200)]
     assert not any(shifts)
     assert rate.slow == pytest.approx(10.0, rel=0.15)
@@ -209,13 +223,13 @@
 
 
 def test_the_costly_go_first_and_teams_within_their_budget_last() -> None:
-    shedding = Shedding()
+    shedding = CostShedding()
     for _ in range(50):
-        shedding.see(0, 100.0)
-    assert not shedding.too_costly(0, 10_000.0, 0.0, 1_000.0, False)
-    assert shedding.too_costly(0, 200.0, 500.0, 1_000.0, False)
-    assert not shedding.too_costly(0, 50.0, 500.0, 1_000.0, False)
-    assert not shedding.too_costly(0, 160.0, 500.0, 1_000.0, True)
+        shedding.record_arrival(0, 100.0)
+    assert not shedding.should_shed(0, 10_000.0, 0.0, 1_000.0, False)
+    assert shedding.should_shed(0, 200.0, 500.0, 1_000.0, False)
+    assert not shedding.should_shed(0, 50.0, 500.0, 1_000.0, False)
+    assert not shedding.should_shed(0, 160.0, 500.0, 1_000.0, True)
 
 
 runs = st.lists(
@@ -237,29 +251,29 @@
 def test_preemption_is_bounded_holds_and_never_slows_a_load_that_others_wait_for(
     turns: list[tuple[int, bool, float, float, set[int], set[int]]],
 ) -> None:
-    one, now, changed = Preemption(), 1e6, list[tuple[float, int, bool]]()
+    one, now, changed = PriorityPreemption(), 1e6, list[tuple[float, int, bool]]()
     for team, is_load, left, ahead, within, waiting in turns:
         now += ahead
-        listed = [Runs(n, (team + n) % 3, float(n), is_load, left) for n in range(12)]
+        listed = [RunningQuery(n, (team + n) % 3, float(n), is_load, left) for n in range(12)]
         groups = {0.0: {0, 1, 2}}  # everybody waits for the group of the first
         for id, lowered in one.decide(now, listed, within, waiting, groups):
             assert not (lowered and is_load and id == 0)
             assert not lowered or (listed[id].team not in within and left > 400.0)
             earlier = [at for at, other, _ in changed if other == id]
-            assert not earlier or now - earlier[-1] >= HOLD_MS or (id == 0 and not lowered)
+            assert not earlier or now - earlier[-1] >= MIN_PRIORITY_MS or (id == 0 and not lowered)
             changed.append((now, id, lowered))
     for at, _, _ in changed:
-        assert sum(at <= other < at + 1_000.0 for other, id, _ in changed if id) <= 2 * CHANGES_PER_S
+        assert sum(at <= other < at + 1_000.0 for other, id, _ in changed if id) <= 2 * MAX_CHANGES_PER_S
 
 
 def test_an_engine_without_priorities_is_named_and_a_blocking_load_gets_its_priority_back_at_once() -> None:
-    one = Preemption()
-    run = Runs(1, 0, 7.0, True, 5_000.0)
+    one = PriorityPreemption()
+    run = RunningQuery(1, 0, 7.0, True, 5_000.0)
     assert one.decide(1e6, [run], {1}, {1}, {}) == [(1, True)]
     assert one.decide(1e6 + 10.0, [run], {1}, {1}, {7.0: {1}}) == [(1, False)]  # priority inversion
-    deaf = Runs(2, 0, 8.0, False, 5_000.0, knows_priority=False)
+    deaf = RunningQuery(2, 0, 8.0, False, 5_000.0, supports_priority=False)
     assert one.decide(1e6 + 20.0, [deaf], {1}, {1}, {}) == []
-    assert one.unheard == 1
+    assert one.unsupported == 1
 
 
 def test_a_close_in_virtual_time_answers_each_once_and_runs_no_load_twice(tmp_path: Path) -> None:
@@ -275,13 +289,17 @@
     assert all(record.how in ("served", "refused", "failed") for record in records)
     assert all(record.attempts <= 1 for record in records if record.arrival.class_name == "meter-load")
     assert world.scheduler is not None
-    assert not world.scheduler.running
+    assert not world.scheduler.released
     assert not len(world.scheduler.queues)
     reasons = Counter(record.reason for record in records if record.how == "refused")
-    assert reasons[Refused.TOO_COSTLY.value]
+    assert reasons[QueueRejection.TOO_COSTLY.value]
     assert len(records) == len(arrivals)
     lookup, load = told().classes[0], told().classes[2]
-    assert last_start(lookup, 200.0, 0.0, 6_000.0) < 1_500.0 < last_start(load, 200.0, 0.0, 6_000.0)
+    assert (
+        latest_useful_start_ms(lookup, 200.0, 0.0, 6_000.0)
+        < 1_500.0
+        < latest_useful_start_ms(load, 200.0, 0.0, 6_000.0)
+    )
 
 
 def test_with_budgets_the_program_answers_both_fronts_once_and_keeps_the_small_team(tmp_path: Path) -> None:
@@ -372,7 +390,7 @@
         live = one.live[number] = queue._waiting[number] = LiveRequest(
             number, query, reply, 1e6, 1e6 + 6_000.0, SendGuard(Idempotency.IDEMPOTENT, 0.0)
         )
-        assert queue.scheduler.arrive(Told(number, 0, 0, 1, 10.0, math.inf), 1e6).refused is None
+        assert queue.scheduler.admit(ArrivingRequest(number, 0, 0, 1, 10.0, math.inf), 1e6).rejection is None
         assert live.pending_send is None
     assert queue.withdraw(one.live[0])
     assert not queue.withdraw(one.live[0])
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -16,7 +16,7 @@
 
 from fordstair.core.invariants import Invariant
 from fordstair.core.send_guard import Denial, SendGuard
-from fordstair.core.start_times import NEWS_LATE_MOST_MS, StartTimes
+from fordstair.core.start_times import MAX_ANNOUNCEMENT_DELAY_MS, StartTimes
 from fordstair.decisions.events import Status
 from fordstair.decisions.settings import Idempotency
 from fordstair.lab.fault_shim import APPLIED, ENVIRONMENT_VARIABLE
@@ -198,7 +198,7 @@
     true_wall_ms, clocks.wall_ms = clocks.wall_ms, clocks.wall_ms + ahead_ms
     starts = StartTimes(AnchoredClock(clocks.monotonic, clocks.unix), clocks.monotonic)
     assert starts.moment("a", UnixMs(true_wall_ms - 10.0), announced=True) == clocks.monotonic_ms
-    late = UnixMs(clocks.wall_ms - NEWS_LATE_MOST_MS + 1.0)
+    late = UnixMs(clocks.wall_ms - MAX_ANNOUNCEMENT_DELAY_MS + 1.0)
     assert starts.moment("b", late, announced=True) < clocks.monotonic_ms - 50_000.0
     starts.forget("a")
     clocks.pass_time(1_000.0)
@@ -221,7 +221,7 @@
     """Let an attempt begin and end."""
     assert guard.denial(at_ms) is None
     guard.begin(at_ms)
-    assert guard.denial(at_ms) is Denial.ANOTHER_OUT
+    assert guard.denial(at_ms) is Denial.ANOTHER_IN_FLIGHT
     guard.end(status, may_still_run=may_still_run)
 
 
@@ -245,9 +245,9 @@
     guard = SendGuard(Idempotency.IDEMPOTENT, 0.0)
     guard.end(Status.TIMEOUT, may_still_run=True)  # its connection never came up
     attempt(guard, Status.RESET, may_still_run=True)
-    assert guard.denial(0.0) is Denial.ANOTHER_OUT
-    assert Denial.ANOTHER_OUT.violates is Invariant.ONE_ATTEMPT_OUT
-    assert Denial.REQUEST_OVER.violates is None
+    assert guard.denial(0.0) is Denial.ANOTHER_IN_FLIGHT
+    assert Denial.ANOTHER_IN_FLIGHT.violates is Invariant.ONE_ATTEMPT_IN_FLIGHT
+    assert Denial.REQUEST_FINISHED.violates is None
 
 
 def test_what_the_module_orders_against_the_rule_is_counted_and_not_sent(
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -19,67 +19,75 @@
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
 from fordstair.lab.traffic import Kind, Traffic
-from fordstair.routing.zones import ELSEWHERE_MS, HOLD_MOST_MS, HOLD_MS, QUIET_MS, ZoneFailures
+from fordstair.routing.zone_outlier_detection import (
+    BASE_EJECTION_MS,
+    MAX_EJECTION_MS,
+    OTHER_ZONE_HEARD_MS,
+    ZONE_SILENCE_MS,
+    ZoneOutlierDetector,
+)
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
-from fordstair.snapshots.collector import engine_state
+from fordstair.snapshots.engine_states import engine_state
 from tests.test_platform import play as bounded
 
 ENGINES = {f"{hall}{n}": number for number, hall in enumerate("abc") for n in range(4)}
 
 
-def halls(engines: dict[str, int] = ENGINES) -> ZoneFailures:
-    told = ZoneFailures()
-    told.listed(0.0, engines)
+def halls(engines: dict[str, int] = ENGINES) -> ZoneOutlierDetector:
+    told = ZoneOutlierDetector()
+    told.update_engines(0.0, engines)
     return told
 
 
 def test_three_engines_that_miss_give_their_hall_away_and_one_word_takes_that_back() -> None:
-    told, now = halls(), QUIET_MS + 1.0
-    told.heard(now, "b0")
-    assert not told.missed(now, "a0")
-    assert not told.missed(now, "a0")
-    assert not told.missed(now, "a1")
-    assert not told.avoids("a3")
-    assert told.missed(now, "a2")
-    assert told.avoids("a3")
-    assert not told.avoids("b1")
-    assert told.heard(now + 1.0, "a3")
-    assert not told.avoids("a0")
-    assert not told.missed(now + 2.0, "a0")  # and it counts from the beginning again
+    told, now = halls(), ZONE_SILENCE_MS + 1.0
+    told.record_response(now, "b0")
+    assert not told.record_miss(now, "a0")
+    assert not told.record_miss(now, "a0")
+    assert not told.record_miss(now, "a1")
+    assert not told.is_ejected("a3")
+    assert told.record_miss(now, "a2")
+    assert told.is_ejected("a3")
+    assert not told.is_ejected("b1")
+    assert told.record_response(now + 1.0, "a3")
+    assert not told.is_ejected("a0")
+    assert not told.record_miss(now + 2.0, "a0")  # and it counts from the beginning again
 
 
 def test_a_hall_that_was_just_heard_and_one_engine_alone_are_not_suspected() -> None:
     told = halls()
-    told.heard(1_000.0, "b0")
-    told.heard(1_000.0, "a0")
-    assert not any(told.missed(1_000.0 + QUIET_MS / 2.0, f"a{n}") for n in (1, 2, 3))
+    told.record_response(1_000.0, "b0")
+    told.record_response(1_000.0, "a0")
+    assert not any(told.record_miss(1_000.0 + ZONE_SILENCE_MS / 2.0, f"a{n}") for n in (1, 2, 3))
     lonely = halls({"a0": 0, "b0": 1})
-    lonely.heard(1_000.0, "b0")
-    assert not any(lonely.missed(1_000.0, "a0") for _ in range(5))
+    lonely.record_response(1_000.0, "b0")
+    assert not any(lonely.record_miss(1_000.0, "a0") for _ in range(5))
 
 
 def test_who_hears_nobody_is_cut_off_itself_and_avoids_nothing() -> None:
-    told, now = halls(), ELSEWHERE_MS + 1.0
-    assert not any(told.missed(now, engine) for engine in ENGINES)
+    told, now = halls(), OTHER_ZONE_HEARD_MS + 1.0
+    assert not any(told.record_miss(now, engine) for engine in ENGINES)
 
 
 def test_two_halls_lost_in_turn_leave_the_third_and_a_hold_that_is_in_vain_doubles() -> None:
     told, now, holds = halls(), 1_000.0, list[float]()
     for hall in "ab":
-        told.heard(now, "c0")
-        assert [told.missed(now, f"{hall}{n}") for n in range(3)] == [False, False, True]
-    told.heard(now, "c0")
-    assert not any(told.missed(now + ELSEWHERE_MS + 1.0, f"c{n}") for n in range(4))  # there is no other way
+        told.record_response(now, "c0")
+        assert [told.record_miss(now, f"{hall}{n}") for n in range(3)] == [False, False, True]
+    told.record_response(now, "c0")
+    assert not any(
+        told.record_miss(now + OTHER_ZONE_HEARD_MS + 1.0, f"c{n}") for n in range(4)
+    )  # there is no other way
     while len(holds) < 4:
-        until = told.zones[0].avoided_until
+        until = told.zones[0].ejected_until_ms
         holds.append(until - now)
-        assert told.tried_again(until - 1.0) == []
-        assert 0 in told.tried_again(until)
+        assert told.readmit_expired(until - 1.0) == []
+        assert 0 in told.readmit_expired(until)
         now = until
-        told.heard(now, "c0")
-        assert [told.missed(now, f"a{n}") for n in range(3)][-1]
-    assert holds == [HOLD_MS, 2.0 * HOLD_MS, HOLD_MOST_MS, HOLD_MOST_MS]
+        told.record_response(now, "c0")
+        assert [told.record_miss(now, f"a{n}") for n in range(3)][-1]
+    assert holds == [BASE_EJECTION_MS, 2.0 * BASE_EJECTION_MS, MAX_EJECTION_MS, MAX_EJECTION_MS]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
@@ -101,15 +109,15 @@
         now += later
         if what == "listed":
             engines.pop(engine, None)
-            known.listed(now, engines)
+            known.update_engines(now, engines)
         elif what == "tried":
-            known.tried_again(now)
+            known.readmit_expired(now)
         elif engine in engines:
-            (known.heard if what == "heard" else known.missed)(now, engine)
+            (known.record_response if what == "heard" else known.record_miss)(now, engine)
             if what == "heard":
-                assert not known.avoids(engine)
+                assert not known.is_ejected(engine)
         if engines:
-            assert not all(map(known.avoids, engines))
+            assert not all(map(known.is_ejected, engines))
         assert set(known.zones) == set(engines.values())
 
 
@@ -204,7 +212,7 @@
                     assert sum(engine.counts["read.POST"] for engine in lost) == before
                 for engine in lost:
                     engine.come_back_cold()
-                await trio.sleep(HOLD_MOST_MS / 1e3)
+                await trio.sleep(MAX_EJECTION_MS / 1e3)
                 assert await ask(4.0, 3) > 0.9
                 assert sum(engine.counts["read.POST"] for engine in lost) > before
                 await logged("zone.readmitted")
--- a/tests/wires/test_console.py
+++ b/tests/wires/test_console.py
@@ -11,7 +11,8 @@
 import trio
 import ujson
 
-from fordstair.snapshots.snapshot import Snapshot, apply_delta, decode, delta_between, encode
+from fordstair.snapshots.delta import apply_delta, decode, delta_between, encode
+from fordstair.snapshots.snapshot import Snapshot
 from tests.standins import config, engine, program
 from tests.test_platform import play
 from tests.wires.recordings import recorded
