--- a/fordstair/console/app.py
+++ b/fordstair/console/app.py
@@ -216,11 +216,11 @@
         """Follow the feed, and let ages grow."""
         self.query_one("#engines").focus()
         self.set_interval(REFRESH_S, self.refresh_panes)
-        self.apply_delta()
+        self.follow()
         self.refresh_panes()
 
     @work(exclusive=True, group="feed")
-    async def apply_delta(self) -> None:
+    async def follow(self) -> None:
         """Take picture after picture; reach for the program again when it is lost."""
         while True:
             try:
--- a/fordstair/net/clients/odata_front.py
+++ b/fordstair/net/clients/odata_front.py
@@ -12,7 +12,7 @@
 from fordstair.net.clients.odata_connection import ODataConnection
 from fordstair.net.clients.odata_model import Operator
 from fordstair.net.clients.odata_results import StoredResults
-from fordstair.net.clients.repeatable_requests import OwnRepeats, Repeats
+from fordstair.net.clients.repeatable_requests import IdempotencyStore, LocalIdempotencyStore
 from fordstair.runtime.event_log import EventLog
 
 log = EventLog(__name__)
@@ -32,7 +32,7 @@
         self.coordinator = coordinator
         self.operator = operator
         self.results = StoredResults(operator.results_most, operator.result_ms, coordinator.deadlines)
-        self.repeats: Repeats = OwnRepeats(coordinator)
+        self.idempotency_store: IdempotencyStore = LocalIdempotencyStore(coordinator)
         self.team_of = team_of
         self.connections = 0
         self.open_requests = 0
--- a/fordstair/net/clients/odata_loads.py
+++ b/fordstair/net/clients/odata_loads.py
@@ -14,7 +14,7 @@
 from fordstair.net.clients.odata_preferences import Preferences
 from fordstair.net.clients.odata_sql import insert_statement, read_resource
 from fordstair.net.clients.odata_statements import Statement, StatementRunner
-from fordstair.net.clients.repeatable_requests import Repeats
+from fordstair.net.clients.repeatable_requests import IdempotencyStore
 
 _REQUEST_ID = "repeatability-request-id"
 _REPEATABILITY_ACCEPTED = {"Repeatability-Result": "accepted"}
@@ -25,11 +25,15 @@
     """Answers POST requests of one connection for entities."""
 
     def __init__(
-        self, root: str, sets: Mapping[str, EntitySet], repeats: Repeats, statements: StatementRunner
+        self,
+        root: str,
+        sets: Mapping[str, EntitySet],
+        idempotency_store: IdempotencyStore,
+        statements: StatementRunner,
     ) -> None:
         self._root = root
         self._sets = sets
-        self._repeats = repeats
+        self._idempotency_store = idempotency_store
         self._statements = statements
 
     async def load(self, path: str, team: str, headers: Mapping[str, str], body: bytes) -> Response:
@@ -48,17 +52,17 @@
         self, statement: Statement, entity: dict[str, Any], preferences: Preferences, request_id: str
     ) -> Response:
         """Run a load under its repeatability id, however often it is sent; return the first response."""
-        ticket = await self._repeats.begin(statement.team, request_id)
+        ticket = await self._idempotency_store.begin(statement.team, request_id)
         if isinstance(ticket, Response):
             return ticket
         try:
             await self._statements.run(statement)
         except ODataError as error:
             never_ran = error.status == _REJECTED_STATUS
-            self._repeats.end(ticket, None if never_ran else error_response(error))
+            self._idempotency_store.end(ticket, None if never_ran else error_response(error))
             raise
         response = self._loaded(statement.entity_set, entity, preferences, _REPEATABILITY_ACCEPTED)
-        self._repeats.end(ticket, response)
+        self._idempotency_store.end(ticket, response)
         return response
 
     def _read_entity(self, path: str, body: bytes) -> tuple[EntitySet, Any]:
--- a/fordstair/net/clients/odata_model.py
+++ b/fordstair/net/clients/odata_model.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from fordstair.budgets.whole import Part
     from fordstair.membership.configuration import MembershipConfig
-    from fordstair.replication.service import Ledger
+    from fordstair.replication.settings import ReplicationSettings
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,6 +49,6 @@
     watchers: int = 8  # consoles that may follow at a time
     fleet: MembershipConfig | None = None  # membership among coordinators; no address: the one that is bound
     fleet_listen: tuple[str, int] = ("127.0.0.1", 0)
-    ledger: Ledger | None = None  # of loads that run at most once among all coordinators
+    ledger: ReplicationSettings | None = None  # of loads that run at most once among all coordinators
     shares: Part | None = None  # of budgets that the whole fleet has together
     eject_silent_zones: bool = False
--- a/fordstair/program/coordinator_program.py
+++ b/fordstair/program/coordinator_program.py
@@ -44,7 +44,7 @@
 if TYPE_CHECKING:
     from fordstair.net.clients.odata_front import ODataFront
     from fordstair.net.clients.odata_model import Operator
-    from fordstair.replication.service import Service
+    from fordstair.replication.service import ReplicationService
 
 log = EventLog("fordstair")
 
@@ -211,7 +211,7 @@
         if self.operator is not None and self.console_server is not None:
             await nursery.start(self.console_server.run, self.operator.console)
 
-    def _start_persistence(self, nursery: trio.Nursery, ledger: Service) -> None:
+    def _start_persistence(self, nursery: trio.Nursery, ledger: ReplicationService) -> None:
         # These load the ledger's modules, which the platform's program does not need.
         from fordstair.program.cost_sharing import CostSharing
         from fordstair.program.engine_list_persistence import EngineListPersistence
--- a/fordstair/program/cost_sharing.py
+++ b/fordstair/program/cost_sharing.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from fordstair.decisions.gateway import Gateway
-from fordstair.replication.costs import is_news, learned, restore
-from fordstair.replication.service import Service
+from fordstair.replication.learned_costs import differs_enough, learned_values, restore_values
+from fordstair.replication.service import ReplicationService
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.runtime.event_log import EventLog
 
@@ -16,7 +16,7 @@
 class CostSharing:
     """Passes learned costs between the decision module and the replicated ledger."""
 
-    def __init__(self, ledger: Service, gateway: Gateway, deadlines: Deadlines) -> None:
+    def __init__(self, ledger: ReplicationService, gateway: Gateway, deadlines: Deadlines) -> None:
         self._ledger = ledger
         self._gateway = gateway
         self._deadlines = deadlines
@@ -24,22 +24,21 @@
     async def run(self) -> None:
         """Restore what others, or an earlier run, have learned; then share what is learned here."""
         await self._ledger.loaded.wait()
-        self._ledger.on_values = self._restore
+        self._ledger.register_sync.on_received = self._restore
         self._restore()
         while True:
             await self._deadlines.sleep(SHARE_INTERVAL_MS)
             await self._share()
 
     def _restore(self) -> None:
-        shared = {key: each.value for key, each in self._ledger.values.values.items()}
-        if restored := restore(self._gateway, shared):
+        if restored := restore_values(self._gateway, self._ledger.register_sync.values()):
             log.info("costs.restored", values=restored)
 
     async def _share(self) -> None:
-        shared = self._ledger.values.values
+        shared = self._ledger.register_sync.values()
         changed = [
             (key, value)
-            for key, value in learned(self._gateway)
-            if is_news(shared[key].value if key in shared else None, value)
+            for key, value in learned_values(self._gateway)
+            if differs_enough(shared.get(key), value)
         ]
-        await self._ledger.set_values(changed)
+        await self._ledger.register_sync.set_values(changed)
--- a/fordstair/program/engine_list_persistence.py
+++ b/fordstair/program/engine_list_persistence.py
@@ -6,8 +6,8 @@
 from fordstair.decisions.engine_list import ListUpdateKind
 from fordstair.net.command_channel import CommandChannel
 from fordstair.program.engine_list_intake import EngineListIntake
-from fordstair.replication.engines import Restored, kept
-from fordstair.replication.service import Service
+from fordstair.replication.engine_restoration import EngineRestorer, replicated_engines
+from fordstair.replication.service import ReplicationService
 from fordstair.runtime.clock import AnchoredClock
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.runtime.event_log import EventLog
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        ledger: Service,
+        ledger: ReplicationService,
         intake: EngineListIntake,
         coordinator: Coordinator,
         channel: CommandChannel,
@@ -35,7 +35,7 @@
         self._channel = channel
         self._anchor = anchor
         self._deadlines = deadlines
-        self._restored = Restored(coordinator.settings.slow_start_ms)
+        self._restored = EngineRestorer(coordinator.settings.slow_start_ms)
         self._listed_at_start = False
 
     async def run(self) -> None:
@@ -43,7 +43,7 @@
         await self._ledger.loaded.wait()
         loaded_ms = self._deadlines.clock()
         self._listed_at_start = bool(self._coordinator.engines)
-        self._ledger.on_engines = self._restore
+        self._ledger.engine_set_sync.on_received = self._restore
         self._restore()
         heard_ms = loaded_ms if self._listed_at_start else 0.0
         while True:
@@ -57,7 +57,7 @@
     def _restore(self) -> None:
         if self._listed_at_start or self._channel.heard_ms > 0.0:
             return
-        engines = self._restored.engines(self._anchor.now().value, self._ledger.engines)
+        engines = self._restored.engines(self._anchor.now().value, self._ledger.state.engine_set)
         known = {(engine.entry, engine.address) for engine in self._coordinator.engines.values()}
         if engines and {(engine.entry, engine.address) for engine in engines} != known:
             log.warning("engines.restored", engines=len(engines))
@@ -65,5 +65,6 @@
 
     async def _store(self, heard_ms: float) -> None:
         heard_unix_ms = self._anchor.unix(heard_ms).value
-        if not await self._ledger.follow_engines(heard_unix_ms, kept(self._coordinator.engines.values())):
-            log.warning("engines.store_failed", why=self._ledger.writer.broken)
+        engines = replicated_engines(self._coordinator.engines.values())
+        if not await self._ledger.engine_set_sync.update_from_registry(heard_unix_ms, engines):
+            log.warning("engines.store_failed", why=self._ledger.state.writer.unavailable_reason)
--- a/fordstair/program/optional_parts.py
+++ b/fordstair/program/optional_parts.py
@@ -25,7 +25,7 @@
     from fordstair.net.clients.odata_model import Operator
     from fordstair.net.console_server import ConsoleServer
     from fordstair.net.identity import Identity
-    from fordstair.replication.service import Service
+    from fordstair.replication.service import ReplicationService
 
 
 def build_identity(operator: Operator | None, deadlines: Deadlines, counters: Counters) -> Identity | None:
@@ -119,15 +119,16 @@
 
 def build_ledger(
     operator: Operator | None, config: Config, odata: ODataFront | None, counters: Counters
-) -> Service | None:
+) -> ReplicationService | None:
     """Share the loads that have run with the other members, so that none of them runs one twice."""
     if operator is None or operator.ledger is None or odata is None:
         return None
-    from fordstair.net.clients.repeatable_requests import SharedRepeats
-    from fordstair.replication.service import Service
+    from fordstair.net.clients.repeatable_requests import ReplicatedIdempotencyStore
+    from fordstair.replication.service import ReplicationService
 
-    ledger = Service(replace(operator.ledger, member=operator.ledger.member or config.name), config.seed)
-    odata.repeats = SharedRepeats(ledger)
+    settings = replace(operator.ledger, member=operator.ledger.member or config.name)
+    ledger = ReplicationService(settings, config.seed)
+    odata.idempotency_store = ReplicatedIdempotencyStore(ledger.claim_coordinator)
     counters.include("ledger", lambda: ledger.counts)
     return ledger
 
@@ -151,7 +152,7 @@
     drain: Callable[[], None],
     wall_clock: WallClock,
     membership: Membership | None,
-    ledger: Service | None,
+    ledger: ReplicationService | None,
     budgets: FleetBudgets | None,
 ) -> ConsoleServer | None:
     """Serve operators' consoles; ``drain`` ends the program."""
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from fordstair.budgets.transport import FleetBudgets
     from fordstair.membership.transport import Membership
-    from fordstair.replication.service import Service
+    from fordstair.replication.service import ReplicationService
 
 MAX_REQUESTS = 50  # the oldest; the counts by class and team hold all
 MAX_LOG_LINES = 100
@@ -48,7 +48,7 @@
         overrides: OverrideRegister,
         wall_clock: WallClock,
         membership: Membership | None = None,
-        ledger: Service | None = None,
+        ledger: ReplicationService | None = None,
         budgets: FleetBudgets | None = None,
     ) -> None:
         self.name = name
--- a/fordstair/snapshots/fleet_views.py
+++ b/fordstair/snapshots/fleet_views.py
@@ -11,13 +11,13 @@
     from fordstair.budgets.transport import FleetBudgets
     from fordstair.membership.swim import SwimMember
     from fordstair.membership.transport import Membership
-    from fordstair.replication.service import Service
+    from fordstair.replication.service import ReplicationService
 
 ToUnix = Callable[[float], float]  # from a moment of the monotonic clock; 0 stays 0
 
 
 def member_views(
-    membership: Membership | None, ledger: Service | None, started_unix_ms: float, to_unix: ToUnix
+    membership: Membership | None, ledger: ReplicationService | None, started_unix_ms: float, to_unix: ToUnix
 ) -> dict[str, MemberView]:
     """Return the members by name, this one first; none where there is no fleet."""
     if membership is None or (swim := membership.swim) is None:
@@ -33,7 +33,7 @@
     return {f"{row.member}|{row.budget}": QuotaView(*row) for row in budgets.rows(now_unix_ms)}
 
 
-def _own_view(swim: SwimMember, ledger: Service | None, started_unix_ms: float) -> MemberView:
+def _own_view(swim: SwimMember, ledger: ReplicationService | None, started_unix_ms: float) -> MemberView:
     own = swim.local.update
     return MemberView(
         own.name,
@@ -43,13 +43,14 @@
         started_unix_ms,
         is_self=True,
         awareness_score=swim.local_health.score,
-        ledger_entries=len(ledger.holder.entries) if ledger is not None else 0,
-        store_bytes=ledger.disk.size_bytes if ledger is not None else 0,
-        ledger_fault=ledger.holder.doubted or ledger.writer.broken if ledger is not None else "",
+        ledger_entries=len(ledger.state.claim_replica.entries) if ledger is not None else 0,
+        store_bytes=ledger.state.file.size_bytes if ledger is not None else 0,
+        ledger_fault=ledger.state.unavailable_reason if ledger is not None else "",
     )
 
 
-def _other_views(swim: SwimMember, ledger: Service | None, to_unix: ToUnix) -> list[MemberView]:
+def _other_views(swim: SwimMember, ledger: ReplicationService | None, to_unix: ToUnix) -> list[MemberView]:
+    differing_ranges = ledger.claim_sync.differing_ranges if ledger is not None else {}
     views = []
     for member in swim.members.values():
         suspicion = member.suspicion
@@ -64,7 +65,7 @@
                 len(suspicion.accusers) if suspicion is not None else 0,
                 to_unix(suspicion.expires_ms) if suspicion is not None else 0.0,
                 member.link_cut,
-                ranges_behind=ledger.behind.get(member.name) if ledger is not None else None,
+                ranges_behind=differing_ranges.get(member.name),
             )
         )
     return views
