--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -16,9 +16,10 @@
 from fordstair.decisions.engine_list import EngineEntry, ListUpdateKind
 from fordstair.decisions.settings import Idempotency, RequestClass, Settings, Tenant
 from fordstair.net.clients.odata_model import EntitySet, Operator
+from fordstair.net.engine_list_wire import EngineListEvent
 
 if TYPE_CHECKING:
-    from fordstair.budgets.whole import Part, Whole
+    from fordstair.budgets.plan import FleetBudgetsConfig, FleetLimit
     from fordstair.membership.configuration import MembershipConfig
     from fordstair.replication.settings import ReplicationSettings
 
@@ -100,7 +101,7 @@
         memory_mb=file.limits.memory_mb,
         channel="",
         cursor=1,
-        known=((1, ListUpdateKind.FULL, engines),),
+        known=(EngineListEvent(1, ListUpdateKind.FULL, engines),),
         settings=decision_settings(file),
         connect_timeout_ms=file.limits.connect_timeout_ms,
         idle_ms=file.limits.idle_timeout_ms,
@@ -140,12 +141,13 @@
         listen=address(front.listen, "odata.listen") if front is not None else None,
         root="/" + (front.root if front is not None else DEFAULT_ODATA_ROOT).strip("/"),
         page_rows=front.page_rows if front is not None else DEFAULT_PAGE_ROWS,
-        results_most=front.max_results if front is not None else 1,
-        result_ms=(front.result_lifetime_s if front is not None else DEFAULT_RESULT_LIFETIME_S) * 1000.0,
+        max_results=front.max_results if front is not None else 1,
+        result_lifetime_ms=(front.result_lifetime_s if front is not None else DEFAULT_RESULT_LIFETIME_S)
+        * 1000.0,
         team=front.team if front is not None else "",
         team_header=front.team_header if front is not None else "",
         engines={each.id: each.protocol for each in file.engines},
-        sets={each.name: _entity_set(each) for each in file.entity_sets},
+        entity_sets={each.name: _entity_set(each) for each in file.entity_sets},
         identity=_identity(file),
         console=file.console.socket_path if file.console is not None else "",
         watchers=file.console.max_consoles if file.console is not None else 0,
@@ -213,21 +215,21 @@
     )
 
 
-def _shares(file: File) -> Part | None:
+def _shares(file: File) -> FleetBudgetsConfig | None:
     if file.fleet is None or (table := file.fleet.budgets) is None:
         return None
-    from fordstair.budgets.whole import Part, Plan
+    from fordstair.budgets.plan import BudgetPlan, FleetBudgetsConfig
 
-    plan = Plan(
+    plan = BudgetPlan(
         file.fleet.cluster,
-        tuple(_fleet_budget(file, budget) for budget in table.budgets),
+        tuple(_fleet_limit(file, budget) for budget in table.budgets),
         tuple(sorted(table.members)),
         table.lease_ms,
         table.max_clock_drift,
         table.floor_share,
         table.fleet_size,
     )
-    return Part(
+    return FleetBudgetsConfig(
         plan,
         member_of(file),
         address(table.listen, "fleet.budgets.listen"),
@@ -236,15 +238,15 @@
     )
 
 
-def _fleet_budget(file: File, budget: WholeTable) -> Whole:
-    from fordstair.budgets.whole import MILLI, Whole
+def _fleet_limit(file: File, budget: WholeTable) -> FleetLimit:
+    from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, FleetLimit
 
     scope = (budget.team or "", budget.class_name or "")
     if budget.threads is None:
-        return Whole("rate", int(MILLI * (budget.requests_per_s or 0.0)), *scope)
-    # A share that no request fits into would be of no use.
+        return FleetLimit("rate", int(UNITS_PER_REQUEST_PER_S * (budget.requests_per_s or 0.0)), *scope)
+    # An allotment that no request fits into would be of no use.
     needs = [each.threads for each in file.classes if budget.class_name in (None, each.name)] or [1]
-    return Whole("threads", budget.threads, *scope, quantum=max(needs), least=min(needs))
+    return FleetLimit("threads", budget.threads, *scope, quantum=max(needs), min_useful=min(needs))
 
 
 def _admission_queue(file: File) -> AdmissionQueueSettings | None:
--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -20,7 +20,7 @@
 )
 
 if TYPE_CHECKING:
-    from fordstair.budgets.caps import Caps
+    from fordstair.budgets.local_limits import LocalLimits
     from fordstair.core.coordinator import Coordinator
 
 CHECK_INTERVAL_MS = 20.0  # while something waits: capacity also returns without an end, as pressure falls
@@ -43,7 +43,7 @@
         coordinator: Coordinator,
         scheduler: Scheduler,
         threads_a_core: float,
-        caps: Caps | None = None,
+        caps: LocalLimits | None = None,
         seed: int = 1,
     ) -> None:
         self.coordinator = coordinator
@@ -65,7 +65,7 @@
         self._resize()
         admission = self.scheduler.admit(request, now)
         if self.caps is not None:
-            self.caps.arrives(now, request.team, request.class_index, request.threads)
+            self.caps.request_waiting(now, request.team, request.class_index, request.threads)
         if admission.rejection is not None:
             self._withdraw_demand(live)
             return self._reject(live, admission.rejection, admission.wait.likely_ms)
@@ -94,7 +94,9 @@
         while (released := self.scheduler.release(now, self._capacity_for)) is not None:
             live = self._waiting.pop(released.id)
             if self.caps is not None:
-                self.caps.starts(now, released.id, released.team, released.class_index, released.threads)
+                self.caps.request_started(
+                    now, released.id, released.team, released.class_index, released.threads
+                )
             self.coordinator.counters.add("admission_queue.released")
             self.coordinator.dispatch(self.coordinator.arrival_event(live))
             live.wakeup.set()
@@ -104,7 +106,7 @@
         self.remove(live)
         now = self._now()
         if self.caps is not None:
-            self.caps.ends(now, live.id)
+            self.caps.request_ended(now, live.id)
         self.scheduler.finish(live.id, now, live.used_thread_ms)
         self.release()
 
@@ -131,7 +133,7 @@
         predicted_cost = self.coordinator.gateway.predicted_cost(arrival)
         fleet_quotas: tuple[FleetQuota, ...] = ()
         if self.caps is not None:
-            fleet_quotas = self.caps.binding(now, arrival.tenant, arrival.class_index)
+            fleet_quotas = self.caps.forecast(now, arrival.tenant, arrival.class_index)
         return ArrivingRequest(
             live.id,
             arrival.tenant,
@@ -144,7 +146,7 @@
 
     def _capacity_for(self, request: QueuedRequest) -> Capacity:
         """Return whether a request could go now: to the fleet's budgets first, then to the engines."""
-        if self.caps is not None and not self.caps.fits(
+        if self.caps is not None and not self.caps.admits(
             self._now(), request.team, request.class_index, request.threads
         ):
             return Capacity.QUOTA_FULL
@@ -178,7 +180,7 @@
         if self.caps is not None:
             query = live.query
             threads = self.coordinator.settings.classes[query.class_index].threads
-            self.caps.gives_up(query.tenant_index, query.class_index, threads)
+            self.caps.request_abandoned(query.tenant_index, query.class_index, threads)
 
     def _resize(self) -> None:
         """Follow the capacity of the engines that take new work."""
--- a/fordstair/net/engines/call.py
+++ b/fordstair/net/engines/call.py
@@ -88,11 +88,12 @@
         return self.path
 
     async def start(self) -> QueryProgress:
-        """POST the query, once; where no response follows, poll. Raise AttemptFailed."""
+        """POST the query, once; where no response follows, poll. Raise AttemptFailedError."""
         until_ms = self.deadlines.clock() + self.attempt_request.timeout_ms
         connection = await self._connect()
         failure = "silence"
         try:
+            # While the connection came up, the engine may have begun to drain, or been replaced.
             if not await self.attempt_request.may_send():
                 raise self.end(Status.MOOT, "the engine takes nothing new")
             request = self.start_request(max(1, math.ceil(until_ms - self.deadlines.clock())))
@@ -115,7 +116,7 @@
         return await self.get(self.poll_path, self.read_progress)
 
     async def abandon(self) -> bool:
-        """DELETE the query if its POST went out whole; bounded, since the machine may be silent.
+        """DELETE the query if its POST went out completely; bounded, since the machine may be silent.
 
         Return whether nothing begins or runs on at the engine from now on.
         """
@@ -158,7 +159,7 @@
         """GET until there is a response that can be read.
 
         A response that is broken, cut or missing proves nothing about the query, which the engine keeps under
-        its id: it is requested anew on a fresh connection.
+        its id: it is requested again on a fresh connection.
         """
         broken_responses = 0
         fresh = False
--- a/fordstair/program/coordinator_program.py
+++ b/fordstair/program/coordinator_program.py
@@ -18,7 +18,7 @@
 from fordstair.net.clients.listener import Serve
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.net.clients.rpc_front import RpcFront
-from fordstair.net.command_channel import CommandChannel
+from fordstair.net.engine_list_watch import EngineListWatch
 from fordstair.net.engines.pool import ConnectionPool
 from fordstair.net.engines.rest import RestTransport
 from fordstair.program.configuration_reload import keep_fixed_fields, load_or_log
@@ -100,7 +100,7 @@
         self.intake = EngineListIntake(
             self.coordinator, StartTimes(self.anchor), operator.engines if operator is not None else {}
         )
-        self.command_channel = CommandChannel(
+        self.command_channel = EngineListWatch(
             config.channel, config.cursor, self.intake.from_discovery, self.deadlines, self.counters
         )
         self.acceptor = FrontAcceptor(config.name, self.poll_watch, self.deadlines, self.counters)
@@ -145,8 +145,8 @@
         self.config = keep_fixed_fields(self.config, loaded)
         self._apply_limits()
         for event in loaded.known:
-            self.command_channel.take(*event)
-        self.command_channel.move(loaded.channel)
+            self.command_channel.apply(event)
+        self.command_channel.reconnect(loaded.channel)
         if self.admission_queue is not None and loaded.budgets is not None:
             shares = dict(loaded.budgets.shares)
             self.admission_queue.scheduler.set_quotas(shares, self.deadlines.clock())
--- a/fordstair/program/engine_list_persistence.py
+++ b/fordstair/program/engine_list_persistence.py
@@ -4,7 +4,7 @@
 
 from fordstair.core.coordinator import Coordinator
 from fordstair.decisions.engine_list import ListUpdateKind
-from fordstair.net.command_channel import CommandChannel
+from fordstair.net.engine_list_watch import EngineListWatch
 from fordstair.program.engine_list_intake import EngineListIntake
 from fordstair.replication.engine_restoration import EngineRestorer, replicated_engines
 from fordstair.replication.service import ReplicationService
@@ -25,7 +25,7 @@
         ledger: ReplicationService,
         intake: EngineListIntake,
         coordinator: Coordinator,
-        channel: CommandChannel,
+        channel: EngineListWatch,
         anchor: AnchoredClock,
         deadlines: Deadlines,
     ) -> None:
@@ -48,14 +48,14 @@
         heard_ms = loaded_ms if self._listed_at_start else 0.0
         while True:
             updated = self._intake.next_update()
-            heard_ms = max(heard_ms, self._channel.heard_ms)
+            heard_ms = max(heard_ms, self._channel.last_received_ms)
             if heard_ms > 0.0 and self._coordinator.engines:
                 await self._store(heard_ms)
             with self._deadlines.limit_for(STORE_INTERVAL_MS):
                 await updated.wait()
 
     def _restore(self) -> None:
-        if self._listed_at_start or self._channel.heard_ms > 0.0:
+        if self._listed_at_start or self._channel.last_received_ms > 0.0:
             return
         engines = self._restored.engines(self._anchor.now().value, self._ledger.state.engine_set)
         known = {(engine.entry, engine.address) for engine in self._coordinator.engines.values()}
--- a/fordstair/program/optional_parts.py
+++ b/fordstair/program/optional_parts.py
@@ -17,8 +17,8 @@
 from fordstair.runtime.deadlines import Deadlines
 
 if TYPE_CHECKING:
+    from fordstair.budgets.plan import FleetBudgetsConfig
     from fordstair.budgets.transport import FleetBudgets
-    from fordstair.budgets.whole import Part
     from fordstair.core.admission_queue import AdmissionQueue
     from fordstair.membership.transport import Membership
     from fordstair.net.clients.odata_front import ODataFront
@@ -79,31 +79,30 @@
         raise ConfigError("fleet.budgets: needs [budgets], in a file that tells of the whole site")
     from fordstair.budgets.transport import FleetBudgets
 
-    part = replace(operator.shares, member=operator.shares.member or config.name)
-    budgets = FleetBudgets(part, config.seed)
-    _limit_queue(queue, budgets, part, coordinator)
+    fleet_config = replace(operator.shares, member=operator.shares.member or config.name)
+    budgets = FleetBudgets(fleet_config, config.seed)
+    _limit_queue(queue, budgets, fleet_config, coordinator)
     coordinator.counters.include("shares", lambda: budgets.counts)
     return budgets
 
 
-def _limit_queue(queue: AdmissionQueue, budgets: FleetBudgets, part: Part, coordinator: Coordinator) -> None:
-    """Connect the queue and the member's node: demand goes there, and quotas come back."""
-    from fordstair.budgets.caps import Caps
-    from fordstair.budgets.node import ASKS_A_TERM
+def _limit_queue(
+    queue: AdmissionQueue, budgets: FleetBudgets, fleet_config: FleetBudgetsConfig, coordinator: Coordinator
+) -> None:
+    """Connect the queue and the member: demand goes there, and quotas come back."""
+    from fordstair.budgets.local_limits import LocalLimits
 
     settings = coordinator.settings
-    caps = Caps(
-        part.plan.wholes,
+    limits = LocalLimits(
+        fleet_config.plan.limits,
         [tenant.name for tenant in settings.tenants] or [""],
         [spec.name for spec in settings.classes],
-        budgets.shares,
-        part.plan.term_ms / ASKS_A_TERM,
+        budgets.allotment,
+        fleet_config.plan.request_interval_ms,
     )
-    queue.caps = caps
-    budgets.node.wants = lambda: caps.wants(coordinator.deadlines.clock())
-    budgets.node.needs = caps.needs
-    budgets.node.uses = caps.uses
-    budgets.on_share = queue.release
+    queue.caps = limits
+    budgets.set_demand_source(lambda: limits.demand(coordinator.deadlines.clock()))
+    budgets.on_allotment = queue.release
 
 
 def build_odata_front(
--- a/fordstair/snapshots/fleet_views.py
+++ b/fordstair/snapshots/fleet_views.py
@@ -30,7 +30,7 @@
     """Return the quotas by member and budget; none where there are no fleet budgets."""
     if budgets is None:
         return {}
-    return {f"{row.member}|{row.budget}": QuotaView(*row) for row in budgets.rows(now_unix_ms)}
+    return {f"{row.member}|{row.limit_name}": QuotaView(*row) for row in budgets.rows(now_unix_ms)}
 
 
 def _own_view(swim: SwimMember, ledger: ReplicationService | None, started_unix_ms: float) -> MemberView:
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -44,8 +44,8 @@
 )
 from fordstair.scheduling.shedding import CostShedding
 from fordstair.scheduling.wait_estimation import ForecastCalibration, ReleaseRate, fluid_work
+from tests.scenes import play as played
 from tests.test_console import command
-from tests.test_platform import play as played
 
 many = settings(max_examples=120, derandomize=True, deadline=None)
 steps = st.lists(
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -53,7 +53,7 @@
         ("garden-1", "127.0.0.1:7001"),
         ("garden-2", "127.0.0.1:7002"),
     ]
-    assert operator.sets["Readings"].write == "meter-load"
+    assert operator.entity_sets["Readings"].write_class == "meter-load"
     assert operator.listen == ("127.0.0.1", 8480)
 
 
@@ -349,8 +349,8 @@
     part = operator_file.operator_options(validate_operator_file(good, require_site=False)).shares
     assert part is not None
     assert part.member == "north"
-    assert part.plan.members == ("north",)
-    assert [(each.name, each.units, each.quantum) for each in part.plan.wholes] == [
+    assert part.plan.voters == ("north",)
+    assert [(each.name, each.units, each.quantum) for each in part.plan.limits] == [
         ("threads:karri-energy:*", 64, 4),
         ("rate:*:settlement", 2_500, 1),
     ]
--- a/tests/wires/test_console.py
+++ b/tests/wires/test_console.py
@@ -13,8 +13,8 @@
 
 from fordstair.snapshots.delta import apply_delta, decode, delta_between, encode
 from fordstair.snapshots.snapshot import Snapshot
+from tests.scenes import play
 from tests.standins import config, engine, program
-from tests.test_platform import play
 from tests.wires.recordings import recorded
 
 FRAMES = {name: text.encode() for name, text in recorded("console_frames").items()}
