--- a/fordstair/budgets/local_limits.py
+++ b/fordstair/budgets/local_limits.py
@@ -13,7 +13,7 @@
 
 from fordstair.budgets.demand import Amounts, Demand
 from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, FleetLimit
-from fordstair.scheduling.waits import Cap, Meter
+from fordstair.scheduling.fleet_quotas import RateQuota, ThreadQuota
 
 BURST_S = 1.0  # of its rate that a token bucket holds at most
 DEMAND_MEMORY_MS = 3_000.0  # of what arrives, rejected or not
@@ -71,7 +71,7 @@
     def wanted(self, now_ms: float) -> int:
         """Return the units that could be used."""
 
-    def forecast(self, now_ms: float, allotment: int) -> Cap | Meter:
+    def forecast(self, now_ms: float, allotment: int) -> ThreadQuota | RateQuota:
         """Return how the allotment binds a request that arrives now, for the forecast of its wait."""
 
 
@@ -127,11 +127,11 @@
         wanted = mean + STAFFING_FACTOR * math.sqrt(mean * self._limit.quantum) if mean > MIN_DEMAND else 0.0
         return min(self._limit.units, max(self._in_use, math.ceil(wanted)))
 
-    def forecast(self, now_ms: float, allotment: int) -> Cap:
+    def forecast(self, now_ms: float, allotment: int) -> ThreadQuota:
         """Return the allotment with what is in use, and who competes for it."""
         by_team = bool(self._limit.team)
         by_class = bool(self._limit.class_name)
-        return Cap(allotment, self._in_use, self._hold_ms, by_team, by_class, self._move_ms)
+        return ThreadQuota(allotment, self._in_use, self._hold_ms, by_team, by_class, self._move_ms)
 
 
 class RateLimit:
@@ -185,12 +185,12 @@
         wanted = int(UNITS_PER_REQUEST_PER_S * (RATE_HEADROOM_FACTOR * mean + self._waiting / BURST_S))
         return min(self._limit.units, max(MIN_WANTED_RATE_UNITS, wanted))
 
-    def forecast(self, now_ms: float, allotment: int) -> Meter:
+    def forecast(self, now_ms: float, allotment: int) -> RateQuota:
         """Return the time until one that arrives now has its token."""
         missing = max(0.0, self._waiting + 1 - self._fill(now_ms, allotment))
         if not allotment:
-            return Meter(self._move_ms)
-        return Meter(missing * 1_000.0 * UNITS_PER_REQUEST_PER_S / allotment)
+            return RateQuota(self._move_ms)
+        return RateQuota(missing * 1_000.0 * UNITS_PER_REQUEST_PER_S / allotment)
 
     def _fill(self, now_ms: float, allotment: int) -> float:
         """Fill the bucket at the allotment's rate, and return its tokens."""
@@ -295,7 +295,7 @@
         """Return all three, for the next lease request."""
         return Demand(self.wanted(now_ms), self.needed(), self.in_use())
 
-    def forecast(self, now_ms: float, team: int, class_index: int) -> tuple[Cap | Meter, ...]:
+    def forecast(self, now_ms: float, team: int, class_index: int) -> tuple[ThreadQuota | RateQuota, ...]:
         """Return how the allotments bind a request that arrives now, for the forecast of its wait."""
         allotment = self._allotment(now_ms)
         return tuple(
--- a/fordstair/console/app.py
+++ b/fordstair/console/app.py
@@ -27,7 +27,7 @@
     Pane,
     headline,
 )
-from fordstair.snapshots.publishing import Freshness
+from fordstair.snapshots.freshness import Freshness
 from fordstair.snapshots.snapshot import Snapshot
 
 RECONNECT_S = 0.5  # between attempts to reach the program
@@ -216,11 +216,11 @@
         """Follow the feed, and let ages grow."""
         self.query_one("#engines").focus()
         self.set_interval(REFRESH_S, self.refresh_panes)
-        self.apply_delta()
+        self.follow()
         self.refresh_panes()
 
     @work(exclusive=True, group="feed")
-    async def apply_delta(self) -> None:
+    async def follow(self) -> None:
         """Take picture after picture; reach for the program again when it is lost."""
         while True:
             try:
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -30,8 +30,8 @@
 from fordstair.lab.played_request import PlayedRequest
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
-from fordstair.scheduling.queues import Item
-from fordstair.scheduling.scheduler import Admission, Room, Scheduler, Told
+from fordstair.scheduling.fair_queues import QueuedRequest
+from fordstair.scheduling.scheduler import Admission, ArrivingRequest, Capacity, Scheduler
 
 SAMPLE_MS = 10.0  # between two steps of the fleet's network, and two samples of the threads held
 LAST_ANSWERS_S = 40.0  # a play waits so long for the last answers
@@ -74,19 +74,19 @@
 
     records: dict[int, PlayedRequest]
 
-    def arrive(self, told: Told, now_ms: float) -> Admission:
+    def admit(self, told: ArrivingRequest, now_ms: float) -> Admission:
         """As the scheduler does."""
-        admission = super().arrive(told, now_ms)
-        if admission.refused is None and (record := self.records.get(told.id)) is not None:
+        admission = super().admit(told, now_ms)
+        if admission.rejection is None and (record := self.records.get(told.id)) is not None:
             record.likely_ms = admission.wait.likely_ms
             record.at_most_ms = admission.wait.at_most_ms
         return admission
 
-    def release(self, now_ms: float, room: Callable[[Item], Room]) -> Item | None:
+    def release(self, now_ms: float, room: Callable[[QueuedRequest], Capacity]) -> QueuedRequest | None:
         """As the scheduler does."""
         item = super().release(now_ms, room)
         if item is not None and (record := self.records.get(item.id)) is not None:
-            record.released_ms = now_ms - item.at_ms
+            record.released_ms = now_ms - item.arrived_ms
         return item
 
 
--- a/fordstair/net/console_commands.py
+++ b/fordstair/net/console_commands.py
@@ -24,7 +24,7 @@
 from fordstair.runtime.clock import WallClock
 from fordstair.runtime.event_log import EventLog
 from fordstair.snapshots.collector import SnapshotCollector
-from fordstair.snapshots.snapshot import TABLES
+from fordstair.snapshots.views import TABLES
 
 log = EventLog(__name__)
 
--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -2,7 +2,7 @@
 
 A line of JSON goes in, a line comes back; after ``follow`` the line that comes back is the first of many
 (see ``fordstair/snapshots``), and each is answered by a line feed. A console that stops costs one frame, and
-is cut after CUT_MS.
+is cut after SLOW_FOLLOWER_TIMEOUT_MS.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 from fordstair.runtime.clock import WallClock
 from fordstair.runtime.event_log import EventLog
 from fordstair.snapshots.collector import SnapshotCollector
-from fordstair.snapshots.publishing import CUT_MS
-from fordstair.snapshots.snapshot import LogLineView
+from fordstair.snapshots.publishing import SLOW_FOLLOWER_TIMEOUT_MS
+from fordstair.snapshots.views import LogLineView
 
 if TYPE_CHECKING:
     from fordstair.budgets.transport import FleetBudgets
@@ -156,9 +156,9 @@
 
     async def _send(self, stream: trio.SocketStream, answer: Answer) -> bool:
         """Send an answer; return whether it left in time."""
-        with self.coordinator.deadlines.limit_for(CUT_MS) as limit:
+        with self.coordinator.deadlines.limit_for(SLOW_FOLLOWER_TIMEOUT_MS) as limit:
             await stream.send_all(ujson.dumps(answer).encode() + b"\n")
         if limit.cancelled_caught:
             self.coordinator.counters.add("console.write_stalled")
-            log.warning("console.write_stalled", after_ms=CUT_MS)
+            log.warning("console.write_stalled", after_ms=SLOW_FOLLOWER_TIMEOUT_MS)
         return not limit.cancelled_caught
--- a/fordstair/net/console_stream.py
+++ b/fordstair/net/console_stream.py
@@ -10,8 +10,9 @@
 from fordstair.core.coordinator import Coordinator
 from fordstair.runtime.event_log import EventLog
 from fordstair.snapshots.collector import SnapshotCollector
-from fordstair.snapshots.publishing import CUT_MS, SnapshotSchedule
-from fordstair.snapshots.snapshot import Snapshot, delta_between, encode
+from fordstair.snapshots.delta import delta_between, encode
+from fordstair.snapshots.publishing import SLOW_FOLLOWER_TIMEOUT_MS, SnapshotSchedule
+from fordstair.snapshots.snapshot import Snapshot
 
 log = EventLog(__name__)
 
@@ -141,10 +142,10 @@
 
     async def _send(self, data: bytes, frames: int) -> bool:
         """Send a frame, and wait until so many were taken; return whether that was in time."""
-        with self._deadlines.limit_for(CUT_MS) as limit:
+        with self._deadlines.limit_for(SLOW_FOLLOWER_TIMEOUT_MS) as limit:
             await self._stream.send_all(data)
             await self._acknowledgements.reach(frames)
         if limit.cancelled_caught:
             self._counters.add("console.write_stalled")
-            log.warning("console.write_stalled", after_ms=CUT_MS)
+            log.warning("console.write_stalled", after_ms=SLOW_FOLLOWER_TIMEOUT_MS)
         return not limit.cancelled_caught
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -6,9 +6,6 @@
 
 ROOT = Path(__file__).parent.parent
 LINES_MOST = 400
-STILL_LARGER = {
-    "fordstair/program.py",
-}
 
 
 def test_no_module_is_over_four_hundred_lines() -> None:
@@ -18,4 +15,4 @@
         for path in (ROOT / folder).rglob("*.py")
         if len(path.read_text().splitlines()) > LINES_MOST
     }
-    assert larger == STILL_LARGER
+    assert not larger
