--- a/fordstair/cli/tables.py
+++ b/fordstair/cli/tables.py
@@ -30,8 +30,8 @@
     pane = next(each for each in PANES if each.name == name)
     views = {str(number): msgspec.convert(row, TABLES[name]) for number, row in enumerate(rows)}
     empty = Snapshot()
-    picture = Snapshot(1, at_ms, empty.site, empty.tables.set(name, empty.table(name).update(views)))
-    Console().print(as_table(pane, pane.rows(picture, time.time() * 1000.0, False)))
+    snapshot = Snapshot(1, at_ms, empty.site, empty.tables.set(name, empty.table(name).update(views)))
+    Console().print(as_table(pane, pane.rows(snapshot, time.time() * 1000.0, False)))
 
 
 def print_pairs(values: dict[str, Any]) -> None:
--- a/fordstair/console/app.py
+++ b/fordstair/console/app.py
@@ -69,9 +69,9 @@
         for name in self.pane.columns:
             self.add_column(name, key=name)
 
-    def show(self, picture: Snapshot, now_ms: float, stale: bool) -> None:
+    def show(self, snapshot: Snapshot, now_ms: float, stale: bool) -> None:
         """Bring the rows up to date; only cells that differ are touched."""
-        rows = self.pane.rows(picture, now_ms, stale)
+        rows = self.pane.rows(snapshot, now_ms, stale)
         keys = [key for key, _ in rows]
         if keys != [str(row.value) for row in self.rows]:
             marked = self.marked
@@ -195,7 +195,7 @@
         super().__init__()
         self.path = path
         self.clock = clock
-        self.picture = Snapshot()
+        self.snapshot = Snapshot()
         self.freshness = Freshness()
         self.shown = ""  # the headline as it stands
 
@@ -224,9 +224,9 @@
         """Take picture after picture; reach for the program again when it is lost."""
         while True:
             try:
-                async for picture in follow_snapshots(self.path):
-                    self.picture = picture
-                    self.freshness.delta_received(self.clock()[0], picture.at_ms)
+                async for snapshot in follow_snapshots(self.path):
+                    self.snapshot = snapshot
+                    self.freshness.delta_received(self.clock()[0], snapshot.at_ms)
                     self.refresh_panes()
             except ConsoleConnectionError as error:
                 self.freshness.disconnected(str(error))
@@ -238,13 +238,13 @@
         mono, wall = self.clock()
         stale = self.freshness.staleness(mono, wall)
         line = self.query_one("#headline", Static)
-        self.shown = headline(self.picture, wall, stale)
+        self.shown = headline(self.snapshot, wall, stale)
         line.update(self.shown)
         line.set_class(bool(stale), "stale")
         visible = self.query_one("#lower", ContentSwitcher).current
         for table in self.query(Table):
             if table.pane not in LOWER_PANES or table.pane.name == visible:
-                table.show(self.picture, wall, bool(stale))
+                table.show(self.snapshot, wall, bool(stale))
 
     def action_lower(self, name: str) -> None:
         """Show another lower pane."""
@@ -275,7 +275,7 @@
         """Limit the marked class."""
         if not (class_name := self.query_one("#classes", Table).marked):
             return
-        limit = self.picture.table("classes")[class_name].concurrency_limit
+        limit = self.snapshot.table("classes")[class_name].concurrency_limit
         text = await self.push_screen_wait(LimitBox(class_name, "no limit" if limit is None else str(limit)))
         if text is not None:
             threads = int(text) if text else None
@@ -287,7 +287,7 @@
 
     async def _adjust(self, what: str, command: str, fields: dict[str, Any]) -> None:
         """Ask the program; ask the operator first where it disturbs service."""
-        seen = self.picture.site.revision
+        seen = self.snapshot.site.revision
         try:
             answer = await asyncio.to_thread(send_command, self.path, command, seen=seen, **fields)
             if answer.get("verdict") == "confirm":
--- a/fordstair/console/connection.py
+++ b/fordstair/console/connection.py
@@ -89,11 +89,11 @@
         raise ConsoleConnectionError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
     try:
         writer.write(FOLLOW)
-        picture = Snapshot()
+        snapshot = Snapshot()
         while line := await reader.readline():
-            picture = apply_delta(picture, _frame(line))
+            snapshot = apply_delta(snapshot, _frame(line))
             writer.write(ACKNOWLEDGEMENT)
-            yield picture
+            yield snapshot
     except (OSError, ValueError, SnapshotDeltaError) as error:
         raise ConsoleConnectionError(f"{path}: {error}") from None
     finally:
--- a/fordstair/console/panes.py
+++ b/fordstair/console/panes.py
@@ -54,8 +54,8 @@
     return f"{text}?" if stale else text
 
 
-def _engines(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
-    views: list[EngineView] = picture.rows("engines")
+def _engines(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+    views: list[EngineView] = snapshot.rows("engines")
     return [
         (
             view.id,
@@ -76,7 +76,7 @@
     ]
 
 
-def _classes(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _classes(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             view.name,
@@ -92,11 +92,11 @@
                 str(view.failed),
             ),
         )
-        for view in picture.rows("classes")
+        for view in snapshot.rows("classes")
     ]
 
 
-def _teams(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _teams(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             view.name,
@@ -109,12 +109,12 @@
                 "-" if view.expected_wait_ms is None else span(view.expected_wait_ms),
             ),
         )
-        for view in picture.rows("teams")
+        for view in snapshot.rows("teams")
     ]
 
 
-def _requests(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
-    views = picture.rows("requests")
+def _requests(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+    views = snapshot.rows("requests")
     return [
         (
             str(view.id),
@@ -132,8 +132,8 @@
     ]
 
 
-def _refusals(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
-    views = picture.rows("refusals")
+def _refusals(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+    views = snapshot.rows("refusals")
     return [
         (
             f"{view.class_name}|{view.reason}",
@@ -143,15 +143,15 @@
     ]
 
 
-def _adjustments(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
-    views = picture.rows("adjustments")
+def _adjustments(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+    views = snapshot.rows("adjustments")
     return [
         (view.target, (view.target, view.effect, view.author, age(view.applied_ms, now_ms), "until restart"))
         for view in views
     ]
 
 
-def _members(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _members(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             view.name,
@@ -168,7 +168,7 @@
                 _member_note(view),
             ),
         )
-        for view in picture.rows("members")
+        for view in snapshot.rows("members")
     ]
 
 
@@ -184,7 +184,7 @@
     return ", ".join(notes + ([f"grants nothing: {view.ledger_fault}"] if view.ledger_fault else []))
 
 
-def _shares(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _shares(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             f"{view.member}|{view.budget}",
@@ -200,14 +200,14 @@
                 view.leader or "nobody known",
             ),
         )
-        for view in picture.rows("shares")
+        for view in snapshot.rows("shares")
     ]
 
 
-def _notes(picture: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _notes(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (str(note.number), (age(note.at_ms, now_ms), note.level, note.text))
-        for note in reversed(picture.notes)
+        for note in reversed(snapshot.notes)
     ]
 
 
@@ -265,15 +265,15 @@
 PANES = (ENGINES, CLASSES, TEAMS, REQUESTS, REFUSALS, ADJUSTMENTS, MEMBERS, SHARES, LOG)
 
 
-def headline(picture: Snapshot, now_ms: float, stale: str) -> str:
+def headline(snapshot: Snapshot, now_ms: float, stale: str) -> str:
     """Return the line at the top; STALE comes first, so that it is seen on the narrowest terminal."""
-    site = picture.site
-    if not picture.number:
+    site = snapshot.site
+    if not snapshot.number:
         return f"STALE {stale}"
     waits = site.open_requests - site.in_flight
     text = (
         f"{site.name}  up {age(site.started_ms, now_ms)}  open {site.open_requests}  waiting {waits}"
-        f"  picture {picture.number}, {age(picture.at_ms, now_ms)} old"
+        f"  picture {snapshot.number}, {age(snapshot.at_ms, now_ms)} old"
     )
     if site.draining:
         text = f"DRAINING  {text}"
--- a/fordstair/console/print_once.py
+++ b/fordstair/console/print_once.py
@@ -18,12 +18,12 @@
 def print_once(path: str) -> None:
     """Print every pane once; raise ConsoleConnectionError where the program cannot be reached."""
     with ConsoleConnection(path) as connection:
-        picture = connection.first_snapshot()
+        snapshot = connection.first_snapshot()
     _, wall = read_clocks()
     console = Console()
-    console.print(headline(picture, wall, ""), markup=False, highlight=False)
+    console.print(headline(snapshot, wall, ""), markup=False, highlight=False)
     for pane in PANES:
-        rows = pane.rows(picture, wall, False)
+        rows = pane.rows(snapshot, wall, False)
         if rows:
             console.print()
             console.print(as_table(pane, rows))
--- a/fordstair/lab/fault_shim.py
+++ b/fordstair/lab/fault_shim.py
@@ -43,10 +43,10 @@
 
     def load(self) -> None:
         """Read the faults that hold from now on."""
-        told = ujson.loads(self.path.read_text())
-        self.wall_step_ms = float(told.get("wall_step_ms", 0.0))
-        self.calls = told.get("calls", {})
-        self.random.seed(told.get("seed", 0))
+        faults = ujson.loads(self.path.read_text())
+        self.wall_step_ms = float(faults.get("wall_step_ms", 0.0))
+        self.calls = faults.get("calls", {})
+        self.random.seed(faults.get("seed", 0))
 
     def install(self) -> None:
         """Replace the calls, and follow SIGUSR2."""
--- a/fordstair/lab/gossip.py
+++ b/fordstair/lab/gossip.py
@@ -237,8 +237,8 @@
     addresses = names_of(count)
     known = [Update(address[:-2], address, 1, MemberState.ALIVE, address[:-2]) for address in addresses]
     for number, address in enumerate(addresses):
-        told = replace(config, name=address[:-2], address=address, seeds=tuple(addresses[:2]))
-        node = kind(told, 1, seed * 10_007 + number)
+        own_config = replace(config, name=address[:-2], address=address, seeds=tuple(addresses[:2]))
+        node = kind(own_config, 1, seed * 10_007 + number)
         node.preload(START, [update for update in known if update.address != address])
         network.add(address, node)
     return addresses
--- a/fordstair/lab/machine.py
+++ b/fordstair/lab/machine.py
@@ -136,5 +136,5 @@
             if not capped:
                 return
             left = max(0.0, left - sum(job.rate for job in capped))
-            kept = {id(job) for job in capped}
-            open_jobs = [job for job in open_jobs if id(job) not in kept]
+            capped_ids = {id(job) for job in capped}
+            open_jobs = [job for job in open_jobs if id(job) not in capped_ids]
--- a/fordstair/lab/replay.py
+++ b/fordstair/lab/replay.py
@@ -19,16 +19,16 @@
 
 def compare(path: Path, file: File, seed: int) -> dict[str, dict[str, Any]]:
     """Return figures by team and in all, without budgets and with the file's (or the default ones)."""
-    told = decision_settings(file)
+    settings = decision_settings(file)
     arrivals = list(read(path))
-    known = ({each.name for each in told.classes}, {each.name for each in told.tenants})
+    known = ({each.name for each in settings.classes}, {each.name for each in settings.tenants})
     for number, arrival in enumerate(arrivals, 1):
         if arrival.class_name not in known[0] or arrival.team not in known[1]:
             raise ValueError(
                 f"{path}: line {number}: the file knows no class {arrival.class_name!r} of a team "
                 f"{arrival.team!r}"
             )
-    plain = play(file, told, arrivals, seed, None)
+    plain = play(file, settings, arrivals, seed, None)
     budgets = file.budgets or BudgetsTable()
     cores = sum(each.cores for each in file.engines)
     scheduler = Scheduler(
@@ -40,17 +40,17 @@
     )
     return {
         f"{how} {name}": figures
-        for how, records in (("without", plain), ("with", play(file, told, arrivals, seed, scheduler)))
-        for name, figures in tables(records, told).items()
+        for how, records in (("without", plain), ("with", play(file, settings, arrivals, seed, scheduler)))
+        for name, figures in tables(records, settings).items()
     }
 
 
 def play(
-    file: File, told: Settings, arrivals: list[Arrival], seed: int, scheduler: Scheduler | None
+    file: File, settings: Settings, arrivals: list[Arrival], seed: int, scheduler: Scheduler | None
 ) -> list[PlayedRequest]:
     """Play the traffic once."""
     machines = {each.id: Machine(each.cores) for each in file.engines}
-    return World(told, machines, seed, scheduler).run(arrivals)
+    return World(settings, machines, seed, scheduler).run(arrivals)
 
 
 def priority_weight(records: list[PlayedRequest], settings: Settings) -> float:
@@ -75,11 +75,11 @@
     return record.how == "served" and record.answered_ms <= aim_ms
 
 
-def tables(records: list[PlayedRequest], told: Settings) -> dict[str, dict[str, Any]]:
+def tables(records: list[PlayedRequest], settings: Settings) -> dict[str, dict[str, Any]]:
     """Return the figures of each team, and of all."""
     groups = {
         tenant.name: [each for each in records if each.team == team]
-        for team, tenant in enumerate(told.tenants)
+        for team, tenant in enumerate(settings.tenants)
     }
     shown = dict[str, dict[str, Any]]()
     for name, group in {**groups, "all": records}.items():
@@ -88,7 +88,7 @@
         shown[name] = {
             "asked": len(group),
             **{end: how[end] for end in ("served", "refused", "failed")},
-            "worth": round(priority_weight(group, told), 1),
+            "worth": round(priority_weight(group, settings), 1),
             "wait_p50_ms": round(waits[len(waits) // 2]) if waits else 0,
             "wait_p99_ms": round(waits[len(waits) * 99 // 100]) if waits else 0,
         }
--- a/fordstair/lab/soak/__main__.py
+++ b/fordstair/lab/soak/__main__.py
@@ -19,9 +19,11 @@
     parser.add_argument("--engines", type=int, default=usual.engines)
     parser.add_argument("--faults-per-s", type=float, default=usual.faults_per_s)
     parser.add_argument("--rate-per-s", type=float, default=usual.rate_per_s)
-    told = parser.parse_args()
-    first, _, last = told.seeds.partition("-")
-    plan = Plan(0, told.seconds, told.coordinators, told.engines, told.faults_per_s, told.rate_per_s)
+    options = parser.parse_args()
+    first, _, last = options.seeds.partition("-")
+    plan = Plan(
+        0, options.seconds, options.coordinators, options.engines, options.faults_per_s, options.rate_per_s
+    )
     broken = list[int]()
     late = list[int]()
     for seed in range(int(first), int(last or first) + 1):
--- a/fordstair/lab/soak/coordinators.py
+++ b/fordstair/lab/soak/coordinators.py
@@ -141,9 +141,9 @@
         lines = self._text().splitlines()
         for number, line in enumerate(lines):
             if _LOG_FAULT.search(line):
-                said = " / ".join(lines[max(0, number - 1) : number + 1])
-                if (told := f"{self.name}: {said}") not in self._record.log_faults:
-                    self._record.log_faults.append(told)
+                lines_found = " / ".join(lines[max(0, number - 1) : number + 1])
+                if (found := f"{self.name}: {lines_found}") not in self._record.log_faults:
+                    self._record.log_faults.append(found)
 
     def _runs(self) -> bool:
         return self._process is not None and self._process.returncode is None
--- a/fordstair/lab/soak/discovery.py
+++ b/fordstair/lab/soak/discovery.py
@@ -13,7 +13,6 @@
 
 BEAT_S = 1.0
 NOTHING = 0
-WHOLE_LIST = 1
 CHANGES = 2
 READY = 0
 DRAINING = 1
@@ -32,7 +31,7 @@
         self._changes: list[tuple[int, bytes]] = []
         self._streams: set[trio.SocketStream] = set()
         self._spoken = trio.Event()
-        self._news = trio.Event()
+        self._changed = trio.Event()
         self._spoken.set()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -43,13 +42,13 @@
                 self.ports.append(listeners[0].socket.getsockname()[1])
             task_status.started()
 
-    def tell(self, name: str, state: int) -> None:
+    def announce(self, name: str, state: int) -> None:
         """Tell a new state of an engine."""
         self.states[name] = state
         self.number += 1
         self._changes.append((self.number, self._record(name)))
-        self._news.set()
-        self._news = trio.Event()
+        self._changed.set()
+        self._changed = trio.Event()
 
     def go_silent(self) -> None:
         """Say nothing more, on connections that stay open."""
@@ -99,9 +98,9 @@
                     if number > cursor:
                         await stream.send_all(_frame(number, CHANGES, payload))
                         cursor = number
-                news = self._news
+                changed = self._changed
                 with trio.move_on_after(BEAT_S):
-                    await news.wait()
+                    await changed.wait()
                 await self._spoken.wait()
                 await stream.send_all(_frame(cursor, NOTHING, b""))
         except (trio.BrokenResourceError, trio.ClosedResourceError, struct.error):
--- a/fordstair/lab/soak/oracle.py
+++ b/fordstair/lab/soak/oracle.py
@@ -144,21 +144,25 @@
             left_s = request.sent_s + request.limit_s - attempt.read_s
             spare_s = self.slack_s + self._paused(request, request.sent_s, attempt.read_s)
             if attempt.limit_ms > (left_s + spare_s) * 1e3 + LIMIT_SLACK_MS:
-                told = f"{attempt.txn}: {attempt.limit_ms} ms where {left_s:.3f} s are left"
-                yield Violation("limit", attempt.read_s, told)
+                what = f"{attempt.txn}: {attempt.limit_ms} ms where {left_s:.3f} s are left"
+                yield Violation("limit", attempt.read_s, what)
 
     def _drains(self) -> Iterator[Violation]:
         for attempt in self.record.attempts:
             if (request := self.requests.get(attempt.txn)) is None:
                 continue
             for drain in self.record.drains:
-                told_s = drain.told.from_s
-                told_s += DEAF_FOR_S if self._deaf(request.coordinator, told_s, attempt.read_s) else 0.0
+                announced_s = drain.announced.from_s
+                announced_s += (
+                    DEAF_FOR_S if self._deaf(request.coordinator, announced_s, attempt.read_s) else 0.0
+                )
                 if (
                     drain.engine == attempt.engine
-                    and told_s + DRAIN_SLACK_S + self.slack_s < attempt.read_s < drain.told.to_s
+                    and announced_s + DRAIN_SLACK_S + self.slack_s < attempt.read_s < drain.announced.to_s
                 ):
-                    what = f"{attempt.txn} of {request.coordinator} to {attempt.engine}, told {told_s:.3f}"
+                    what = (
+                        f"{attempt.txn} of {request.coordinator} to {attempt.engine}, told {announced_s:.3f}"
+                    )
                     yield Violation("drain", attempt.read_s, what)
 
     def _deaf(self, coordinator: str, from_s: float, to_s: float) -> bool:
--- a/fordstair/lab/soak/records.py
+++ b/fordstair/lab/soak/records.py
@@ -60,7 +60,7 @@
     """An engine was told to take nothing new, until it was told to be ready again."""
 
     engine: str
-    told: Span
+    announced: Span
 
 
 @dataclass(slots=True)
--- a/fordstair/lab/soak/run.py
+++ b/fordstair/lab/soak/run.py
@@ -217,10 +217,10 @@
             return
         entry = Drain(fault.name, Span(self.now_s(), math.inf))
         self.record.drains.append(entry)
-        self.discovery.tell(fault.name, DRAINING)
+        self.discovery.announce(fault.name, DRAINING)
         await trio.sleep(fault.lasts_s)
-        entry.told = Span(entry.told.from_s, self.now_s())
-        self.discovery.tell(fault.name, READY)
+        entry.announced = Span(entry.announced.from_s, self.now_s())
+        self.discovery.announce(fault.name, READY)
 
     async def _silence_discovery(self, fault: Fault) -> None:
         self.discovery.go_silent()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -183,13 +183,13 @@
             await until(lambda: isinstance(app.screen, Question))
             await pilot.press("n")
             await pilot.pause(0.1)
-            assert not app.picture.table("adjustments")
+            assert not app.snapshot.table("adjustments")
             await pilot.press("a")
             await until(lambda: isinstance(app.screen, Question))
             await pilot.press("y")
-            await until(lambda: "engine:engine-0" in app.picture.table("adjustments"))
+            await until(lambda: "engine:engine-0" in app.snapshot.table("adjustments"))
             # Another operator is first: this console acts on what it has seen, and is told so.
-            stale_revision = app.picture.site.revision
+            stale_revision = app.snapshot.site.revision
             send_command(one.console_socket, "bring-back", engine="engine-0")
             answer = send_command(
                 one.console_socket, "set-aside", engine="engine-0", seen=stale_revision, confirmed=True
