--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -15,7 +15,8 @@
 from typing import Any
 
 from benchmarks.command import run as run_command
-from fordstair.lab.gossip import Heartbeats, Network, names_of, swim_fleet
+from fordstair.lab.membership_fleet import HeartbeatMember, fleet_addresses, swim_fleet
+from fordstair.lab.virtual_network import Network
 from fordstair.membership.configuration import MembershipConfig
 from fordstair.membership.local_health import LocalHealth
 from fordstair.membership.messages import MemberState
@@ -69,7 +70,8 @@
     seed: int,
 ) -> dict[str, Any]:
     """Kill members one after the other; return the times until the first and until all others know."""
-    first, everybody = list[float](), list[float]()
+    first: list[float] = []
+    everybody: list[float] = []
     for run in range(max(1, kills // together)):
         network = Network(seed + run)
         addresses = start(network, seed + run)
@@ -82,18 +84,18 @@
         network.run(network.now + 2.0 * spaced_ms)
         for name, at in died.items():
             # Heartbeats know members by their addresses.
-            told = {
+            delays = {
                 seen.observer: seen.at - at
-                for seen in reversed(network.seen)
+                for seen in reversed(network.observations)
                 if seen.at >= at
                 and seen.change.state == MemberState.DEAD
                 and seen.change.name.split(":")[0] == name
                 and seen.observer in network.nodes
             }
-            if told:
-                first.append(min(told.values()))
-            if len(told) == members - len(died):
-                everybody.append(max(told.values()))
+            if delays:
+                first.append(min(delays.values()))
+            if len(delays) == members - len(died):
+                everybody.append(max(delays.values()))
     return {"first": quantiles(first), "all": quantiles(everybody)}
 
 
@@ -106,7 +108,7 @@
     network.run(seconds * 1000.0)
     died = {
         (seen.change.name, seen.change.incarnation, int(seen.at / 60_000.0))
-        for seen in network.seen
+        for seen in network.observations
         if seen.change.state == MemberState.DEAD
     }
     counts: Counter[str] = Counter()
@@ -118,8 +120,8 @@
 def stalled(members: int, seconds: float, kind: type[SwimMember], seed: int) -> dict[str, Any]:
     """A tenth run for 0.2 s and stand still for 1.5 s, over and over, with 5 % lost: who accuses whom?"""
     network = Network(seed, loss=0.05)
-    told = CONFIG if kind is SwimMember else replace(CONFIG, suspicion_max_factor=1.0)
-    addresses = swim_fleet(network, members, told, seed, kind=kind)
+    config = CONFIG if kind is SwimMember else replace(CONFIG, suspicion_max_factor=1.0)
+    addresses = swim_fleet(network, members, config, seed, kind=kind)
     if kind is PlainSwimMember:
         for node in network.nodes.values():
             assert isinstance(node, SwimMember)
@@ -134,7 +136,7 @@
         network.at(number * 130.0, lambda address=address: stall(address))  # type: ignore[misc]
     network.run(seconds * 1000.0)
     names = {address[:-2] for address in slow}
-    accused = Counter(seen.change.state for seen in network.seen if seen.change.name not in names)
+    accused = Counter(seen.change.state for seen in network.observations if seen.change.name not in names)
     return {"healthy_suspected": accused[MemberState.SUSPECT], "healthy_dead": accused[MemberState.DEAD]}
 
 
@@ -144,58 +146,65 @@
     def swim(network: Network, seed: int) -> list[str]:
         return swim_fleet(network, size.members, CONFIG, seed)
 
-    told: dict[str, Any] = {"swim": detection(size.members, size.kills, size.together, swim, 25_000.0, seed)}
+    figures: dict[str, Any] = {
+        "swim": detection(size.members, size.kills, size.together, swim, 25_000.0, seed)
+    }
     rate, counts = false_deaths(size.members, size.lossy_s, 0.0, swim, seed)
     member_s = size.members * size.lossy_s
     load = counts["sent"] / member_s
-    told["swim"] |= {
+    figures["swim"] |= {
         "messages_per_member_s": round(load, 2),
         "bytes_per_member_s": round(counts["sent_bytes"] / member_s, 1),
     }
     rates = {0.0: rate}
     for loss in LOSSES[1:]:
         rates[loss], lossy = false_deaths(size.members, size.lossy_s, loss, swim, seed)
-        told["swim"][f"messages_at_loss_{loss}"] = round(lossy["sent"] / member_s, 2)
-    told["swim"]["false_deaths_per_member_hour"] = {str(loss): round(rate, 3) for loss, rate in rates.items()}
+        figures["swim"][f"messages_at_loss_{loss}"] = round(lossy["sent"] / member_s, 2)
+    figures["swim"]["false_deaths_per_member_hour"] = {
+        str(loss): round(rate, 3) for loss, rate in rates.items()
+    }
     period_ms = (size.members - 1) / load * 1000.0
     for missed in MISSED:
-        told[f"heartbeats_{missed}"] = heartbeats(size, period_ms, missed, seed)
-    return told
+        figures[f"heartbeats_{missed}"] = heartbeats(size, period_ms, missed, seed)
+    return figures
 
 
 def heartbeats(size: Size, period_ms: float, missed: int, seed: int) -> dict[str, Any]:
     """Return the figures of heartbeats at a period; at 1,000 members only what follows from the period."""
-    told: dict[str, Any] = {"period_s": round(period_ms / 1000.0, 2)}
+    figures: dict[str, Any] = {"period_s": round(period_ms / 1000.0, 2)}
     if size.members > 200:  # the last beat came up to a period before the death
-        return told | {"computed": True, "first": {"median_s": round((missed - 0.5) * period_ms / 1000.0, 1)}}
+        return figures | {
+            "computed": True,
+            "first": {"median_s": round((missed - 0.5) * period_ms / 1000.0, 1)},
+        }
 
     def start(network: Network, seed: int) -> list[str]:
-        addresses = names_of(size.members)
+        addresses = fleet_addresses(size.members)
         for number, address in enumerate(addresses):
             others = [other for other in addresses if other != address]
-            network.add(address, Heartbeats(address, others, period_ms, missed, seed * 10_007 + number))
+            network.add(address, HeartbeatMember(address, others, period_ms, missed, seed * 10_007 + number))
         return addresses
 
     kills, together = (size.kills, size.together) if size.members <= 50 else (size.together, size.together)
-    told |= detection(size.members, kills, together, start, (missed + 2.0) * period_ms, seed)
+    figures |= detection(size.members, kills, together, start, (missed + 2.0) * period_ms, seed)
     seconds = max(size.lossy_s, 10.0 * period_ms / 1000.0)
-    told["false_deaths_per_member_hour"] = {
+    figures["false_deaths_per_member_hour"] = {
         str(loss): round(false_deaths(size.members, seconds, loss, start, seed)[0], 3) for loss in LOSSES
     }
-    return told
+    return figures
 
 
 def measure_all(quick: bool, seed: int) -> dict[str, Any]:
     """Return all figures."""
-    told: dict[str, Any] = {"probe_ms": CONFIG.probe_interval_ms, "seed": seed, "members": {}}
+    figures: dict[str, Any] = {"probe_ms": CONFIG.probe_interval_ms, "seed": seed, "members": {}}
     for size in QUICK if quick else FULL:
         began = time.monotonic()
-        told["members"][size.members] = measure(size, seed)
+        figures["members"][size.members] = measure(size, seed)
         print(f"{size.members} members: {time.monotonic() - began:.0f} s", flush=True)
     seconds = 60.0 if quick else 600.0
     kinds: dict[str, type[SwimMember]] = {"lifeguard": SwimMember, "plain": PlainSwimMember}
-    told["a_tenth_stalled"] = {name: stalled(50, seconds, kind, seed) for name, kind in kinds.items()}
-    return told
+    figures["a_tenth_stalled"] = {name: stalled(50, seconds, kind, seed) for name, kind in kinds.items()}
+    return figures
 
 
 if __name__ == "__main__":
--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -1,6 +1,6 @@
-"""Several running coordinators on one fleet's budgets, with faults between them, and their audit.
+"""Several running coordinators under one fleet's budgets, with faults between them, and their audit.
 
-What the tests and ``benchmarks.fleet_budgets`` share. Each member is a process of the program behind a front
+Shared by the tests and ``benchmarks.fleet_budgets``. Each member is a process of the program behind a front
 of the relay; one stand-in engine serves all, and tells how many threads a class holds at it.
 """
 
@@ -12,48 +12,48 @@
 
 import trio
 
-from fordstair.budgets.whole import MILLI, Plan, Whole
+from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, BudgetPlan, FleetLimit
 from fordstair.lab.appliance import operator_file
-from fordstair.lab.audit import Audit, of_files
+from fordstair.lab.audit import Audit, read_audit
 from fordstair.lab.engine import StandIn
 from fordstair.lab.machine import Machine
 from fordstair.lab.traffic import Kind, Tally, Traffic
 from fordstair.lab.trial_members import TrialMembers
 
-THREADS = 64  # of the fleet's budget
-RATE_PER_S = 400.0  # of the fleet's budget
+SETTLEMENT_THREADS = 4  # as the operator's file says
+CONSOLE_TIMEOUT_S = 0.3  # a stopped member answers nothing
+THREADS = 64  # the fleet's limit for the team
+RATE = 400.0  # requests a second, likewise
 FLOOR_SHARE = 0.35
-SETTLEMENT_THREADS = 4  # as the operator's file has it
-TEAM = "karri-energy"
-SAMPLE_S = 0.02  # between two samples of the threads at the engine
-QUERY_TIMEOUT_S = 0.3  # of a console: the member may be paused
-POLL_S = 0.05
+KARRI = "karri-energy"
+SAMPLE_S = 0.02  # between two looks at the engine's threads
 
 
-class Members(TrialMembers):
-    """Running members by name; ``listed`` of them may lead and have floors."""
+class RunningFleet(TrialMembers):
+    """Running members by name; the first ``voters`` of them may lead and have floors."""
 
     def __init__(
         self,
         folder: Path,
         nursery: trio.Nursery,
         count: int,
-        listed: int,
+        voters: int,
         seed: int,
-        term_ms: float,
-        drift: float,
+        lease_ms: float,
+        max_clock_drift: float,
     ) -> None:
         super().__init__(folder, nursery, count, seed, StandIn("e-1", Machine(512.0), sessions=8_192))
-        self.plan = Plan(  # as the program makes it of the operator's file
+        # As the program makes it of the file below.
+        self.plan = BudgetPlan(
             "trial",
             (
-                Whole("threads", THREADS, TEAM, "", SETTLEMENT_THREADS),
-                Whole("rate", int(RATE_PER_S * MILLI), TEAM),
+                FleetLimit("threads", THREADS, KARRI, quantum=SETTLEMENT_THREADS),
+                FleetLimit("rate", int(RATE * UNITS_PER_REQUEST_PER_S), KARRI),
             ),
-            tuple(self.names[:listed]),
-            term_ms,
-            drift,
-            floor_part=FLOOR_SHARE,
+            tuple(self.names[:voters]),
+            lease_ms,
+            max_clock_drift,
+            floor_share=FLOOR_SHARE,
         )
 
     async def open_fronts(self) -> None:
@@ -71,15 +71,16 @@
         self.relay.behind(name, f"127.0.0.1:{self.ports[name]['budgets']}")
 
     def _operator_file(self, name: str) -> str:
-        members = ", ".join(f'{other} = "{self.fronts[other]}"' for other in self.plan.members)
+        voters = ", ".join(f'{other} = "{self.fronts[other]}"' for other in self.plan.voters)
         return (
             operator_file([self.engine], self.console_socket(name)) + "[budgets]\nthreads_a_core = 4.0\n"
             f'[fleet]\ncluster = "trial"\nmember = "{name}"\nlisten = "127.0.0.1:0"\n'
-            f'[fleet.budgets]\nlisten = "127.0.0.1:0"\nmembers = {{ {members} }}\n'
-            f"term_ms = {self.plan.term_ms}\ndrift = {self.plan.drift}\nfloor_part = {FLOOR_SHARE}\n"
+            f'[fleet.budgets]\nlisten = "127.0.0.1:0"\nmembers = {{ {voters} }}\n'
+            f"term_ms = {self.plan.lease_ms}\ndrift = {self.plan.max_clock_drift}\n"
+            f"floor_part = {FLOOR_SHARE}\n"
             f'audit = "{self.path_of(name, "audit")}"\n'
-            f'[[fleet.budgets.whole]]\nteam = "{TEAM}"\nthreads = {THREADS}\n'
-            f'[[fleet.budgets.whole]]\nteam = "{TEAM}"\nrequests_per_s = {RATE_PER_S}\n'
+            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nthreads = {THREADS}\n'
+            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nrequests_per_s = {RATE}\n'
         )
 
     def kill(self, name: str) -> None:
@@ -91,45 +92,45 @@
         await self.processes.pop(name).stop()
 
     def audit(self) -> Audit:
-        """Return the audit of all starts so far."""
-        return of_files(self.plan, sorted(self.folder.glob("*.audit")))
+        """Return the audit of all processes so far."""
+        return read_audit(self.plan, sorted(self.folder.glob("*.audit")))
 
     def lines(self, name: str, event: str) -> list[str]:
         """Return the lines of that event in a member's present log."""
         text = self.path_of(name, "log").read_text()
         return [line for line in text.splitlines() if event in line]
 
-    async def shares(self) -> dict[str, int]:
+    async def allotments(self) -> dict[str, int]:
         """Return the threads that each running member may use now, floor included; 0 of a stopped one."""
-        shares = dict[str, int]()
+        allotments: dict[str, int] = {}
         for name in self.processes:
-            shares[name] = 0
-            with trio.move_on_after(QUERY_TIMEOUT_S):
+            allotments[name] = 0
+            with trio.move_on_after(CONSOLE_TIMEOUT_S):
                 rows = [row for row in await self.query(name, "shares") if row["own"]]
-                shares[name] = round(next(row["share"] for row in rows if "threads" in row["budget"]))
-        return shares
+                allotments[name] = round(next(row["share"] for row in rows if "threads" in row["budget"]))
+        return allotments
 
     async def leader(self) -> str:
         """Return who grants, by its own word; wait until somebody does."""
         with trio.fail_after(20.0):
             while True:
                 for name in self.processes:
-                    with trio.move_on_after(QUERY_TIMEOUT_S):
+                    with trio.move_on_after(CONSOLE_TIMEOUT_S):
                         if any(row["own"] and row["leads"] for row in await self.query(name, "shares")):
                             return name
-                await trio.sleep(POLL_S)
+                await trio.sleep(0.05)
 
-    async def until_whole(self, within_s: float) -> float:
-        """Wait until running members together hold all of the whole that can be had; return how long it took.
+    async def until_all_leased(self, within_s: float) -> float:
+        """Wait until running members together hold all of the limit that can be had; return how long it took.
 
-        The floors of listed members that do not run stay reserved.
+        The floors of voters that do not run stay reserved.
         """
         began = trio.current_time()
-        running_listed = sum(name in self.plan.members for name in self.processes)
-        wanted = self.plan.pools[0] + self.plan.floors[0] * running_listed
+        running_voters = sum(name in self.plan.voters for name in self.processes)
+        wanted = self.plan.lendable[0] + self.plan.floors[0] * running_voters
         with trio.fail_after(within_s):
-            while sum((await self.shares()).values()) < wanted:
-                await trio.sleep(POLL_S)
+            while sum((await self.allotments()).values()) < wanted:
+                await trio.sleep(0.05)
         return trio.current_time() - began
 
     async def traffic(
@@ -145,9 +146,9 @@
         """
         kinds: dict[str, list[Kind]] = {name: [] for name in self.names}
         for name, rate in rates.items():
-            kinds[name].append(Kind("settlement", TEAM, rate, work_ms, 4_000.0))
+            kinds[name].append(Kind("settlement", KARRI, rate, work_ms, 4_000.0))
         for name, rate in (lookups or {}).items():
-            kinds[name].append(Kind("lookup", TEAM, rate, 20.0, 4_000.0))
+            kinds[name].append(Kind("lookup", KARRI, rate, 20.0, 4_000.0))
         tallies: dict[str, Tally] = {}
         held: list[int] = []
 
@@ -161,12 +162,12 @@
             each = Traffic("127.0.0.1", self.ports[name]["listens"], kinds[name], seed, max_connections=64)
             tallies[name] = await each.run(seconds)
 
-        async with trio.open_nursery() as samples:
-            samples.start_soon(sample)
+        async with trio.open_nursery() as sampling:
+            sampling.start_soon(sample)
             async with trio.open_nursery() as nursery:
                 for name in (name for name in self.names if kinds[name]):
                     nursery.start_soon(send, name)
-            samples.cancel_scope.cancel()
+            sampling.cancel_scope.cancel()
         return tallies, held
 
     def threads_held(self) -> int:
@@ -176,18 +177,18 @@
 
 
 @asynccontextmanager
-async def members(
+async def running_fleet(
     folder: Path,
     count: int = 5,
-    listed: int = 5,
+    voters: int = 5,
     seed: int = 1,
     *,
-    term_ms: float = 2_500.0,
-    drift: float = 0.01,
-) -> AsyncIterator[Members]:
-    """That many members, running; their shares come once a leader has learned."""
+    lease_ms: float = 2_500.0,
+    max_clock_drift: float = 0.01,
+) -> AsyncIterator[RunningFleet]:
+    """Run that many members; their leases come once a leader has learned."""
     async with trio.open_nursery() as nursery:
-        fleet = Members(folder, nursery, count, listed, seed, term_ms, drift)
+        fleet = RunningFleet(folder, nursery, count, voters, seed, lease_ms, max_clock_drift)
         await nursery.start(fleet.engine.serve)
         await fleet.open_fronts()
         try:
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -14,9 +14,8 @@
 
 import trio
 
-from fordstair.budgets.caps import Caps
-from fordstair.budgets.node import ASKS_A_TERM
-from fordstair.budgets.whole import Plan
+from fordstair.budgets.local_limits import LocalLimits
+from fordstair.budgets.plan import BudgetPlan
 from fordstair.core.admission_queue import AdmissionQueue
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import AttemptRequest, Engine, Query
@@ -24,11 +23,11 @@
 from fordstair.decisions.engine_list import ListUpdateKind
 from fordstair.decisions.settings import Settings
 from fordstair.lab.billing_close import Arrival
+from fordstair.lab.budget_fleet import BudgetFleet
 from fordstair.lab.clockwork import now_ms
 from fordstair.lab.modelled_call import ModelledCall
 from fordstair.lab.modelled_engine import ModelledEngine
 from fordstair.lab.played_request import PlayedRequest
-from fordstair.lab.shares import Fleet
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.scheduling.queues import Item
@@ -127,17 +126,17 @@
             )
             self.coordinator.extensions.admission_queue = self.admission_queue
 
-    def join(self, fleet: Fleet) -> Caps:
+    def join(self, fleet: BudgetFleet) -> LocalLimits:
         """Take part in the fleet's budgets, as the program does where the operator's file says so."""
         queue = self.admission_queue
         settings = self.settings
         assert queue is not None, "budgets of a fleet need queues"
-        queue.caps = Caps(
-            fleet.plan.wholes,
+        queue.caps = LocalLimits(
+            fleet.plan.limits,
             [each.name for each in settings.tenants],
             [each.name for each in settings.classes],
-            lambda now: fleet.share_of(self.name),
-            fleet.plan.term_ms / ASKS_A_TERM,
+            lambda now: fleet.allotment_of(self.name),
+            fleet.plan.request_interval_ms,
         )
         return queue.caps
 
@@ -191,7 +190,7 @@
         coordinators: int,
         seed: int,
         queueing: Queueing | None = None,
-        plan: Plan | None = None,
+        plan: BudgetPlan | None = None,
         *,
         eject_silent_zones: bool = False,
     ) -> None:
@@ -203,14 +202,14 @@
         self.coordinators = [
             ModelledCoordinator(self, f"m{number}", seed * 1_009 + number) for number in range(coordinators)
         ]
-        self.fleet: Fleet | None = None
+        self.fleet: BudgetFleet | None = None
         if plan is not None:
-            fleet = Fleet(plan, coordinators, seed, skewed=True)
+            fleet = BudgetFleet(plan, coordinators, seed, skewed=True)
             self.fleet = fleet
-            caps = {coordinator.name: coordinator.join(fleet) for coordinator in self.coordinators}
-            fleet.demand = lambda name: caps[name].wants(now_ms())
-            fleet.needs = lambda name: caps[name].needs()
-            fleet.uses = lambda name: caps[name].uses()
+            limits = {coordinator.name: coordinator.join(fleet) for coordinator in self.coordinators}
+            fleet.wanted = lambda name: limits[name].wanted(now_ms())
+            fleet.needed = lambda name: limits[name].needed()
+            fleet.in_use = lambda name: limits[name].in_use()
         self.held = list[tuple[float, dict[int, int]]]()  # threads at engines by team, each SAMPLE_MS
 
     async def play(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from fordstair.lab.gossip import START, Network, swim_fleet
+from fordstair.lab.membership_fleet import member_states, swim_fleet
+from fordstair.lab.virtual_network import START, Network
 from fordstair.membership.configuration import MembershipConfig
 from fordstair.membership.invariants import check_invariants
 from fordstair.membership.messages import (
@@ -24,6 +25,7 @@
 )
 from fordstair.membership.suspicion import Suspicion
 from fordstair.membership.swim import SwimMember
+from fordstair.runtime.invariants import InvariantViolationError
 from fordstair.runtime.message_codec import MalformedMessageError
 
 CONFIG = MembershipConfig("gardens", "x", "x:1")
@@ -46,7 +48,7 @@
 def deaths(network: Network, since: float = 0.0) -> list[tuple[str, str]]:
     return [
         (seen.observer, seen.change.name)
-        for seen in network.seen
+        for seen in network.observations
         if seen.change.state == MemberState.DEAD and seen.at >= since
     ]
 
@@ -223,7 +225,7 @@
     network.kill(addresses[1])
     network.run(60_000.0)
     assert not deaths(network)
-    assert all(view[addresses[1][:-2]] == MemberState.LEFT for view in network.views().values())
+    assert all(view[addresses[1][:-2]] == MemberState.LEFT for view in member_states(network).values())
 
 
 def test_dead_members_are_forgotten_and_no_table_keeps_them() -> None:
@@ -414,7 +416,7 @@
             "h:1",
         )
     assert sorted(swim.members) == ["a", "b"]
-    assert swim.counts["members_refused"] == 2
+    assert swim.counts["members_rejected"] == 2
 
 
 def test_no_datagram_is_larger_than_is_read() -> None:
@@ -430,3 +432,14 @@
     sizes += [len(datagram) for _, datagram in node.outgoing()]
     assert len(sizes) > 10
     assert max(sizes) <= MAX_DATAGRAM_BYTES
+
+
+def test_a_state_that_contradicts_itself_is_found() -> None:
+    network, addresses = fleet(3)
+    network.run(5_000.0)
+    node = network.nodes[addresses[0]]
+    assert isinstance(node, SwimMember)
+    check_invariants(node)
+    node.members[addresses[1][:-2]].state = MemberState.SUSPECT
+    with pytest.raises(InvariantViolationError, match="suspicion of"):
+        check_invariants(node)
