--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -1,6 +1,6 @@
-"""Several running coordinators on one fleet's budgets, with faults between them, and their audit.
+"""Several running coordinators under one fleet's budgets, with faults between them, and their audit.
 
-What the tests and ``benchmarks.fleet_budgets`` share. Each member is a process of the program behind a front
+Shared by the tests and ``benchmarks.fleet_budgets``. Each member is a process of the program behind a front
 of the relay; one stand-in engine serves all, and tells how many threads a class holds at it.
 """
 
@@ -20,18 +20,17 @@
 from fordstair.lab.traffic import Kind, Tally, Traffic
 from fordstair.lab.trial_members import TrialMembers
 
-THREADS = 64  # of the fleet's budget
-RATE_PER_S = 400.0  # of the fleet's budget
+SETTLEMENT_THREADS = 4  # as the operator's file says
+CONSOLE_TIMEOUT_S = 0.3  # a stopped member answers nothing
+THREADS = 64  # the fleet's limit for the team
+RATE = 400.0  # requests a second, likewise
 FLOOR_SHARE = 0.35
-SETTLEMENT_THREADS = 4  # as the operator's file has it
-TEAM = "karri-energy"
-SAMPLE_S = 0.02  # between two samples of the threads at the engine
-QUERY_TIMEOUT_S = 0.3  # of a console: the member may be paused
-POLL_S = 0.05
+KARRI = "karri-energy"
+SAMPLE_S = 0.02  # between two looks at the engine's threads
 
 
 class RunningFleet(TrialMembers):
-    """Running members by name; ``listed`` of them may lead and have floors."""
+    """Running members by name; the first ``voters`` of them may lead and have floors."""
 
     def __init__(
         self,
@@ -44,11 +43,12 @@
         max_clock_drift: float,
     ) -> None:
         super().__init__(folder, nursery, count, seed, StandIn("e-1", Machine(512.0), sessions=8_192))
-        self.plan = BudgetPlan(  # as the program makes it of the operator's file
+        # As the program makes it of the file below.
+        self.plan = BudgetPlan(
             "trial",
             (
-                FleetLimit("threads", THREADS, TEAM, "", SETTLEMENT_THREADS),
-                FleetLimit("rate", int(RATE_PER_S * UNITS_PER_REQUEST_PER_S), TEAM),
+                FleetLimit("threads", THREADS, KARRI, quantum=SETTLEMENT_THREADS),
+                FleetLimit("rate", int(RATE * UNITS_PER_REQUEST_PER_S), KARRI),
             ),
             tuple(self.names[:voters]),
             lease_ms,
@@ -79,8 +79,8 @@
             f"term_ms = {self.plan.lease_ms}\ndrift = {self.plan.max_clock_drift}\n"
             f"floor_part = {FLOOR_SHARE}\n"
             f'audit = "{self.path_of(name, "audit")}"\n'
-            f'[[fleet.budgets.whole]]\nteam = "{TEAM}"\nthreads = {THREADS}\n'
-            f'[[fleet.budgets.whole]]\nteam = "{TEAM}"\nrequests_per_s = {RATE_PER_S}\n'
+            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nthreads = {THREADS}\n'
+            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nrequests_per_s = {RATE}\n'
         )
 
     def kill(self, name: str) -> None:
@@ -92,7 +92,7 @@
         await self.processes.pop(name).stop()
 
     def audit(self) -> Audit:
-        """Return the audit of all starts so far."""
+        """Return the audit of all processes so far."""
         return read_audit(self.plan, sorted(self.folder.glob("*.audit")))
 
     def lines(self, name: str, event: str) -> list[str]:
@@ -102,10 +102,10 @@
 
     async def allotments(self) -> dict[str, int]:
         """Return the threads that each running member may use now, floor included; 0 of a stopped one."""
-        allotments = dict[str, int]()
+        allotments: dict[str, int] = {}
         for name in self.processes:
             allotments[name] = 0
-            with trio.move_on_after(QUERY_TIMEOUT_S):
+            with trio.move_on_after(CONSOLE_TIMEOUT_S):
                 rows = [row for row in await self.query(name, "shares") if row["own"]]
                 allotments[name] = round(next(row["share"] for row in rows if "threads" in row["budget"]))
         return allotments
@@ -115,22 +115,22 @@
         with trio.fail_after(20.0):
             while True:
                 for name in self.processes:
-                    with trio.move_on_after(QUERY_TIMEOUT_S):
+                    with trio.move_on_after(CONSOLE_TIMEOUT_S):
                         if any(row["own"] and row["leads"] for row in await self.query(name, "shares")):
                             return name
-                await trio.sleep(POLL_S)
+                await trio.sleep(0.05)
 
     async def until_all_leased(self, within_s: float) -> float:
-        """Wait until running members together hold all of the whole that can be had; return how long it took.
+        """Wait until running members together hold all of the limit that can be had; return how long it took.
 
-        The floors of listed members that do not run stay reserved.
+        The floors of voters that do not run stay reserved.
         """
         began = trio.current_time()
-        running_listed = sum(name in self.plan.voters for name in self.processes)
-        wanted = self.plan.lendable[0] + self.plan.floors[0] * running_listed
+        running_voters = sum(name in self.plan.voters for name in self.processes)
+        wanted = self.plan.lendable[0] + self.plan.floors[0] * running_voters
         with trio.fail_after(within_s):
             while sum((await self.allotments()).values()) < wanted:
-                await trio.sleep(POLL_S)
+                await trio.sleep(0.05)
         return trio.current_time() - began
 
     async def traffic(
@@ -146,9 +146,9 @@
         """
         kinds: dict[str, list[Kind]] = {name: [] for name in self.names}
         for name, rate in rates.items():
-            kinds[name].append(Kind("settlement", TEAM, rate, work_ms, 4_000.0))
+            kinds[name].append(Kind("settlement", KARRI, rate, work_ms, 4_000.0))
         for name, rate in (lookups or {}).items():
-            kinds[name].append(Kind("lookup", TEAM, rate, 20.0, 4_000.0))
+            kinds[name].append(Kind("lookup", KARRI, rate, 20.0, 4_000.0))
         tallies: dict[str, Tally] = {}
         held: list[int] = []
 
@@ -162,12 +162,12 @@
             each = Traffic("127.0.0.1", self.ports[name]["listens"], kinds[name], seed, max_connections=64)
             tallies[name] = await each.run(seconds)
 
-        async with trio.open_nursery() as samples:
-            samples.start_soon(sample)
+        async with trio.open_nursery() as sampling:
+            sampling.start_soon(sample)
             async with trio.open_nursery() as nursery:
                 for name in (name for name in self.names if kinds[name]):
                     nursery.start_soon(send, name)
-            samples.cancel_scope.cancel()
+            sampling.cancel_scope.cancel()
         return tallies, held
 
     def threads_held(self) -> int:
@@ -186,7 +186,7 @@
     lease_ms: float = 2_500.0,
     max_clock_drift: float = 0.01,
 ) -> AsyncIterator[RunningFleet]:
-    """That many members, running; their shares come once a leader has learned."""
+    """Run that many members; their leases come once a leader has learned."""
     async with trio.open_nursery() as nursery:
         fleet = RunningFleet(folder, nursery, count, voters, seed, lease_ms, max_clock_drift)
         await nursery.start(fleet.engine.serve)
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -206,10 +206,10 @@
         if plan is not None:
             fleet = BudgetFleet(plan, coordinators, seed, skewed=True)
             self.fleet = fleet
-            caps = {coordinator.name: coordinator.join(fleet) for coordinator in self.coordinators}
-            fleet.wanted = lambda name: caps[name].wanted(now_ms())
-            fleet.needed = lambda name: caps[name].needed()
-            fleet.in_use = lambda name: caps[name].in_use()
+            limits = {coordinator.name: coordinator.join(fleet) for coordinator in self.coordinators}
+            fleet.wanted = lambda name: limits[name].wanted(now_ms())
+            fleet.needed = lambda name: limits[name].needed()
+            fleet.in_use = lambda name: limits[name].in_use()
         self.held = list[tuple[float, dict[int, int]]]()  # threads at engines by team, each SAMPLE_MS
 
     async def play(
