--- a/benchmarks/decision_play.py
+++ b/benchmarks/decision_play.py
@@ -47,6 +47,7 @@
     "latency_objective_work_factor": "aim_stretch",
     "client_timeout_ms": "give_up_ms",
     "priority_weight": "worth",
+    "request_over": "complete",
 }
 
 
@@ -138,7 +139,7 @@
             action.engine,
             status,
             latency_ms,
-            complete=complete,
+            request_over=complete,
             work_ms=latency_ms if complete else 0.0,
             report=(utilisation, float(running)) if complete else (),
         )
--- a/fordstair/configuration/settings_document.py
+++ b/fordstair/configuration/settings_document.py
@@ -23,7 +23,7 @@
     "idempotency_key": Idempotency.WITH_KEY,
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
-_DISCOVERY = {"push": Discovery.PUSH, "ask": Discovery.ASK}
+_DISCOVERY = {"push": Discovery.PUSH, "ask": Discovery.POLL}
 _DEDUPLICATION_SCOPES = {scope.value: scope for scope in DeduplicationScope}
 _BOOLEANS = {"true": True, "false": False}
 DEFAULT_RETRY_WINDOW_MS = 5_000.0
--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -34,7 +34,7 @@
         coordinator: whose requests wait here.
         scheduler: decides on the order, and on what is shed.
         threads_a_core: threads that engines are given at a time, for each of their cores.
-        caps: this coordinator's quotas of the fleet's budgets; None where there are none.
+        local_limits: this coordinator's quotas of the fleet's budgets; None where there are none.
         seed: of the random spread of Retry-After times.
     """
 
@@ -43,13 +43,13 @@
         coordinator: Coordinator,
         scheduler: Scheduler,
         threads_a_core: float,
-        caps: LocalLimits | None = None,
+        local_limits: LocalLimits | None = None,
         seed: int = 1,
     ) -> None:
         self.coordinator = coordinator
         self.scheduler = scheduler
         self.threads_a_core = threads_a_core
-        self.caps = caps
+        self.local_limits = local_limits
         self._retry_after = RetryAfterSchedule(seed)
         self._waiting: dict[int, LiveRequest] = {}
         self._check_scheduled = False
@@ -64,8 +64,8 @@
         request = self._arriving(live, now)
         self._resize()
         admission = self.scheduler.admit(request, now)
-        if self.caps is not None:
-            self.caps.request_waiting(now, request.team, request.class_index, request.threads)
+        if self.local_limits is not None:
+            self.local_limits.request_waiting(now, request.team, request.class_index, request.threads)
         if admission.rejection is not None:
             self._withdraw_demand(live)
             return self._reject(live, admission.rejection, admission.wait.likely_ms)
@@ -93,8 +93,8 @@
             self._reject_waiting(request.id, QueueRejection.TOO_LATE)
         while (released := self.scheduler.release(now, self._capacity_for)) is not None:
             live = self._waiting.pop(released.id)
-            if self.caps is not None:
-                self.caps.request_started(
+            if self.local_limits is not None:
+                self.local_limits.request_started(
                     now, released.id, released.team, released.class_index, released.threads
                 )
             self.coordinator.counters.add("admission_queue.released")
@@ -105,8 +105,8 @@
         """A request's task has ended: settle what it used, and release others."""
         self.remove(live)
         now = self._now()
-        if self.caps is not None:
-            self.caps.request_ended(now, live.id)
+        if self.local_limits is not None:
+            self.local_limits.request_ended(now, live.id)
         self.scheduler.finish(live.id, now, live.used_thread_ms)
         self.release()
 
@@ -132,8 +132,8 @@
         spec = self.coordinator.settings.classes[arrival.class_index]
         predicted_cost = self.coordinator.gateway.predicted_cost(arrival)
         fleet_quotas: tuple[FleetQuota, ...] = ()
-        if self.caps is not None:
-            fleet_quotas = self.caps.forecast(now, arrival.tenant, arrival.class_index)
+        if self.local_limits is not None:
+            fleet_quotas = self.local_limits.forecast(now, arrival.tenant, arrival.class_index)
         return ArrivingRequest(
             live.id,
             arrival.tenant,
@@ -146,7 +146,7 @@
 
     def _capacity_for(self, request: QueuedRequest) -> Capacity:
         """Return whether a request could go now: to the fleet's budgets first, then to the engines."""
-        if self.caps is not None and not self.caps.admits(
+        if self.local_limits is not None and not self.local_limits.admits(
             self._now(), request.team, request.class_index, request.threads
         ):
             return Capacity.QUOTA_FULL
@@ -177,10 +177,10 @@
 
     def _withdraw_demand(self, live: LiveRequest) -> None:
         """Take a request that will not run off what this coordinator asks of the fleet's budgets."""
-        if self.caps is not None:
+        if self.local_limits is not None:
             query = live.query
             threads = self.coordinator.settings.classes[query.class_index].threads
-            self.caps.request_abandoned(query.tenant_index, query.class_index, threads)
+            self.local_limits.request_abandoned(query.tenant_index, query.class_index, threads)
 
     def _resize(self) -> None:
         """Follow the capacity of the engines that take new work."""
--- a/fordstair/core/attempt_executor.py
+++ b/fordstair/core/attempt_executor.py
@@ -77,7 +77,9 @@
             # Its client left, or the engine went, before the attempt's turn came: nothing is sent, but the
             # decision module counts it as in flight until it is notified of an end.
             self._record_denial(live, send, denial or Denial.ENGINE_CLOSED)
-            return AttemptEnded(live.id, number, send.engine, Status.MOOT, 0.0, complete=live.finished)
+            return AttemptEnded(
+                live.id, number, send.engine, Status.NOT_STARTED, 0.0, request_over=live.finished
+            )
         return await self._run(Attempt(live, engine, send, number))
 
     async def _run(self, attempt: Attempt) -> AttemptEnded:
@@ -106,10 +108,10 @@
             attempt.engine_id,
             outcome.status,
             took_ms,
-            complete=live.finished,
+            request_over=live.finished,
             report=outcome.load_report,
             may_still_run=outcome.may_still_run,
-            late=outcome.may_connect_late,
+            may_connect_late=outcome.may_connect_late,
         )
 
     def _until_ms(self, attempt: Attempt, sent_ms: float) -> float:
--- a/fordstair/core/coordinator.py
+++ b/fordstair/core/coordinator.py
@@ -101,7 +101,7 @@
         return sum(1 for _ in self.requests.unanswered())
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Hold the tasks of all requests, until cancelled."""
+        """Run the nursery of all requests' tasks, until cancelled."""
         async with trio.open_nursery() as self._nursery:
             task_status.started()
             await trio.sleep_forever()
@@ -123,7 +123,7 @@
         return live
 
     def client_disconnected(self, live: LiveRequest) -> None:
-        """The client has stopped waiting: no answer is owed."""
+        """The client has stopped waiting: no answer is sent any more."""
         if live.finished:
             return
         self.counters.add("client.disconnected")
@@ -169,7 +169,11 @@
         self.dispatch(EngineListChanged(kind, tuple(engine.notified_entry for engine in updated)))
 
     def engine_unreachable(self, address: str, after_ms: float) -> None:
-        """A connection there has not come up for long: what answers there next may have started anew."""
+        """A connection to an address has not come up for long: the process there next may be a new one.
+
+        Reported as a failed health check, though none was made: the decision module counts it as silence, and
+        the engine as started anew.
+        """
         for name in self.registry.at_address(address):
             self.dispatch(HealthCheckEnded(name, Status.CONNECT_FAILED, after_ms))
 
@@ -218,7 +222,7 @@
         number = live.attempt_count - 1
         try:
             self.dispatch(ClientDisconnected(live.id))
-            self.dispatch(AttemptEnded(live.id, number, live.engine, Status.ERROR, 0.0, complete=True))
+            self.dispatch(AttemptEnded(live.id, number, live.engine, Status.ERROR, 0.0, request_over=True))
         except Exception:
             log.exception("decisions.internal_error", txn=live.query.transaction_id)
 
--- a/fordstair/core/invariants.py
+++ b/fordstair/core/invariants.py
@@ -22,7 +22,10 @@
 
 
 class Invariants:
-    """Counts and logs violations. What would be one is not done: a count above 0 is a fault found in time."""
+    """Counts and logs violations; a count above 0 shows a fault of this program.
+
+    The send guard prevents the first two. The others are counted after the fact.
+    """
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
--- a/fordstair/core/live_request.py
+++ b/fordstair/core/live_request.py
@@ -43,7 +43,7 @@
         return send
 
     def abandon(self) -> None:
-        """Owe the client nothing more, and give up the attempt in flight."""
+        """Finish without an answer, and give up the attempt in flight."""
         self.finished = True
         self.wakeup.set()
         if self.attempt_scope is not None:
--- a/fordstair/core/ports.py
+++ b/fordstair/core/ports.py
@@ -45,7 +45,7 @@
 
     @property
     def notified_entry(self) -> EngineEntry:
-        """The entry as the decision module is told of it: one that takes nothing new counts as draining."""
+        """The entry as the decision module gets it: an engine that takes nothing new counts as draining."""
         if self.ready or self.entry.state is not EngineState.READY:
             return self.entry
         return replace(self.entry, state=EngineState.DRAINING)
--- a/fordstair/decisions/actions.py
+++ b/fordstair/decisions/actions.py
@@ -11,7 +11,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a request got its final answer without being served; the texts are shown to operators."""
+    """Why a request got its final answer without being served; the texts go to clients and consoles."""
 
     OVER_QUOTA = "over the team's share"
     OVER_CONCURRENCY_LIMIT = "over the limit set here"
@@ -31,7 +31,7 @@
 
     request: int
     engine: EngineId
-    limit_ms: float = 0.0  # 0: it may run until the client leaves
+    limit_ms: float = 0.0  # 0: until the client's deadline; the gateway sets no other
     begin_by: float = math.inf  # after that it must not begin: engines may have forgotten an earlier run
 
 
--- a/fordstair/decisions/admission.py
+++ b/fordstair/decisions/admission.py
@@ -1,7 +1,8 @@
 """Admission: whether a request that arrives is admitted or rejected at once, and why.
 
 Rules in order: the tenant's quota, the operator's limit on its class, this coordinator's part of the fleet's
-threads, and the rate of expensive requests. Quota and rate bind under pressure only.
+threads (one over the number of coordinators), and the rate of expensive requests. Quota and rate bind under
+pressure only.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 # Times its class's mean cost from which a request is expensive: when calm, and under full pressure.
 EXPENSIVE_FACTOR_WHEN_CALM = 3.0
 EXPENSIVE_FACTOR_WHEN_FULL = 0.3
-# Own threads in flight a core of this coordinator's part; past the knee, more of them do less work.
+# Own threads in flight a core of this coordinator's part; above it, throughput falls.
 THREADS_PER_CORE = 2.0
 THREADS_FACTOR_WHEN_CALM = 1.8
 THREADS_FACTOR_OF_HIGH_PRIORITY = 1.3
 THREADS_FACTOR_OF_COSTLY_REQUESTS = 0.6
-# A part of the fleet under one query tells nothing: so many of them fit in any case.
+# A lower bound on the limit on threads, for fleets in which each coordinator's part is under one query.
 SMALLEST_QUERIES_IN_FLIGHT = 2.0
 # Retry-After of a rejection, over the largest that the settings allow: when calm, and what pressure adds.
 RETRY_AFTER_SHARE_WHEN_CALM = 0.25
--- a/fordstair/decisions/attempt_monitoring.py
+++ b/fordstair/decisions/attempt_monitoring.py
@@ -38,7 +38,8 @@
     def is_overlong(self, now: float, attempt: TrackedAttempt) -> bool:
         """Whether an attempt at a live engine has run too long; asked at its checks.
 
-        Where progress notes come, they tell a bad plan from a long run, and the span alone proves nothing.
+        Where progress notes come, they tell a bad plan from a long run, and the time alone proves nothing. A
+        query that waits for loads is likely to be waiting for one, which another engine may not have.
         """
         if self._has_progress_notes:
             return False
--- a/fordstair/decisions/engine_list.py
+++ b/fordstair/decisions/engine_list.py
@@ -20,10 +20,10 @@
 class ListUpdateKind(Enum):
     """What an update of the list holds; the numbers are those of the simulator's wire."""
 
-    CACHED = 0
-    FULL = 1
-    DELTA = 2
-    FAILED = 3
+    CACHED = 0  # the whole list, as discovery last had it; taken as a full one
+    FULL = 1  # the whole list: engines that it does not name are gone
+    DELTA = 2  # the engines that have changed
+    FAILED = 3  # discovery failed: the watch must be started again
 
 
 @dataclass(slots=True, frozen=True)
--- a/fordstair/decisions/engine_selection.py
+++ b/fordstair/decisions/engine_selection.py
@@ -25,8 +25,9 @@
 HEALTH_CHECKS_PER_REQUEST = 0.4
 HEALTH_CHECK_CREDIT_MOST = 8.0
 ENGINES_CHECKED_PER_ATTEMPT = 4
-STALE_REPORT_MS = 500.0
-FRESH_REPORT_MS = 700.0
+# A report younger than the first needs no health check; the second allows for the time that a check takes.
+HEALTH_CHECK_IF_REPORT_OLDER_MS = 500.0
+REPORT_USABLE_AFTER_CHECK_MS = 700.0
 
 
 class EngineSelector:
@@ -87,8 +88,10 @@
         """
         eligible = self.eligible(request.class_index)
         candidates = self._candidates(request, eligible)
-        if request.health_checks_sent:
-            fresh = [engine for engine in candidates if now - engine.reported_at <= FRESH_REPORT_MS]
+        if request.health_checks_considered:
+            fresh = [
+                engine for engine in candidates if now - engine.reported_at <= REPORT_USABLE_AFTER_CHECK_MS
+            ]
             if len(fresh) > 1:
                 candidates = fresh
         return self._draw(now, request, candidates, eligible)
@@ -96,14 +99,14 @@
     def engines_to_check(self, now: float, request: TrackedRequest) -> list[TrackedEngine]:
         """Return the engines to check before a costly request goes out, drawn as it would be sent.
 
-        Asked once before each attempt. None where the settings allow no health checks, the request is cheap,
+        Asked once before each attempt. Empty where the settings allow no health checks, the request is cheap,
         the credit is spent or reports are fresh.
         """
-        if request.health_checks_sent or not self._settings.health_checks:
+        if request.health_checks_considered or not self._settings.health_checks:
             return []
         if request.cost < self._cost_model.typical_cost.value:
             return []
-        request.health_checks_sent = True
+        request.health_checks_considered = True
         eligible = self.eligible(request.class_index)
         candidates = self._candidates(request, eligible)
         checked: list[TrackedEngine] = []
@@ -118,7 +121,7 @@
     def _needs_health_check(self, now: float, engine: TrackedEngine) -> bool:
         if self._health_check_credit < 1.0:
             return False
-        return now - max(engine.reported_at, engine.health_checked_at) >= STALE_REPORT_MS
+        return now - max(engine.reported_at, engine.health_checked_at) >= HEALTH_CHECK_IF_REPORT_OLDER_MS
 
     def _candidates(self, request: TrackedRequest, eligible: list[TrackedEngine]) -> list[TrackedEngine]:
         """Leave out engines that would not discard a duplicate, and the last one tried unless it is alone."""
@@ -163,19 +166,21 @@
         candidates: Sequence[TrackedEngine],
         warm_up_factors: Sequence[float],
     ) -> list[float]:
-        loads = [self._load.threads_per_core(now, engine) for engine in candidates]
-        mean_load = sum(loads) / max(1, len(candidates))
-        heeds_loads = request.spec.is_load or request.spec.waits_for_loads
+        threads_per_core = [self._load.threads_per_core(now, engine) for engine in candidates]
+        mean_threads = sum(threads_per_core) / max(1, len(candidates))
+        conflicts_with_loads = request.spec.is_load or request.spec.waits_for_loads
         weights: list[float] = []
-        for engine, load, warm_up_factor in zip(candidates, loads, warm_up_factors, strict=True):
+        for engine, threads, warm_up_factor in zip(
+            candidates, threads_per_core, warm_up_factors, strict=True
+        ):
             reliability = self._outliers.reliability(now, engine)
             # What fails fast or is refused looks idle: such an engine counts as loaded as the mean.
-            credible_load = max(load, mean_load if reliability < BELIEVABLE_RELIABILITY else 0.0)
-            health = self._outliers.selection_factor(reliability, engine)
-            weight = engine.cores * warm_up_factor * health
-            weight /= (BASE_THREADS_PER_CORE + credible_load) ** LOAD_EXPONENT
+            credible = max(threads, mean_threads if reliability < BELIEVABLE_RELIABILITY else 0.0)
+            selection_factor = self._outliers.selection_factor(reliability, engine)
+            weight = engine.cores * warm_up_factor * selection_factor
+            weight /= (BASE_THREADS_PER_CORE + credible) ** LOAD_EXPONENT
             weight *= PREFERRED_FACTOR if self.is_preferred(engine) else 1.0
-            if heeds_loads and request.table_group in engine.own_loads:
+            if conflicts_with_loads and request.table_group in engine.own_loads:
                 weight *= RUNNING_LOAD_FACTOR
             weights.append(weight)
         return weights
--- a/fordstair/decisions/engine_registry.py
+++ b/fordstair/decisions/engine_tracker.py
@@ -22,16 +22,16 @@
     cores: float
     own_attempts: int  # in flight
     own_threads: int  # of these
-    threads_per_core: float  # those of other coordinators by report
+    threads_per_core: float  # own ones in flight and others', as last reported
     reliability: float  # 1 without faults and silence, towards 0 with them
-    is_reliable: bool  # under that, what looks idle there is taken for a fault
-    warm_up_factor: float  # the share of its capacity that it surely has
+    is_reliable: bool  # whether the reliability reaches BELIEVABLE_RELIABILITY
+    warm_up_factor: float  # a lower bound on the share of its full capacity that it has
     silence_score: float
     heard_at: float  # last sign of work done
     reported_at: float  # last load report
 
 
-class EngineRegistry:
+class EngineTracker:
     """Keeps the engines by their latest list entry, and passes on what they show to those who judge it."""
 
     def __init__(
--- a/fordstair/decisions/events.py
+++ b/fordstair/decisions/events.py
@@ -10,21 +10,21 @@
 
 
 class Status(Enum):
-    """How an attempt or a health check ended."""
+    """How an attempt or a health check ended; the values are those of counters and log lines."""
 
-    OK = "ok"
-    ERROR = "error"
-    FULL = "full"
-    TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
-    CANCELLED = "cancelled"
-    MOOT = "moot"
+    OK = "ok"  # served
+    ERROR = "error"  # the engine answered with an error; the statement itself may be wrong
+    FULL = "full"  # rejected by the engine for lack of capacity; it never ran
+    TIMEOUT = "timeout"  # stopped at its limit; it may have run
+    CONNECT_FAILED = "connect_failed"  # there was no connection; it never ran
+    RESET = "reset"  # the connection or the engine was lost; it may have run
+    CANCELLED = "cancelled"  # stopped by this coordinator; it may have run
+    NOT_STARTED = "moot"  # denied by the send guard, or the engine says that it was never begun
 
     @property
     def proves_not_run(self) -> bool:
         """Whether the attempt certainly never ran."""
-        return self in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
+        return self in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_STARTED)
 
 
 class NoteKind(Enum):
@@ -56,13 +56,13 @@
     memory_mb: float = 0.0  # estimate
     table_group: float = 0.0  # the tables that the query reads
     ordering_key: int = 0
-    is_client_retry: bool = False
-    is_write: bool = False
+    is_client_retry: bool = False  # told by the simulator, and not used
+    is_write: bool = False  # told by the simulator, and not used
 
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """The answer of an attempt has started to stream."""
+    """The client gets the answer from now on: the request is over and is not retried (simulator only)."""
 
     request: int
     attempt: int
@@ -79,12 +79,12 @@
     engine: EngineId
     status: Status
     latency_ms: float
-    complete: bool = False  # the request is over
+    request_over: bool = False  # its client has its answer, or has gone
     work_ms: float = 0.0  # thread-milliseconds
     memory_mb: float = 0.0
     report: tuple[float, ...] = ()  # load report, in the order of the settings
     may_still_run: bool = False  # it could not be taken back, and may begin or run yet
-    late: bool = False  # no connection came up in time; that shows nobody to be down
+    may_connect_late: bool = False  # the connect timed out, which does not show that the engine is down
 
 
 @dataclass(slots=True, frozen=True)
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A message from another coordinator."""
+    """A message from another coordinator; part of the simulator's protocol, which the gateway ignores."""
 
     sender: int
     payload: bytes
--- a/fordstair/decisions/gateway.py
+++ b/fordstair/decisions/gateway.py
@@ -21,8 +21,8 @@
 from fordstair.decisions.attempt_monitoring import AttemptMonitor
 from fordstair.decisions.cost_model import CostModel
 from fordstair.decisions.engine_list import EngineId, ListUpdateKind
-from fordstair.decisions.engine_registry import EngineAssessment, EngineRegistry
 from fordstair.decisions.engine_selection import EngineSelector
+from fordstair.decisions.engine_tracker import EngineAssessment, EngineTracker
 from fordstair.decisions.events import (
     AttemptEnded,
     AttemptNote,
@@ -47,9 +47,9 @@
 from fordstair.decisions.load_estimation import LoadEstimator
 from fordstair.decisions.outcome_learning import OutcomeLearner
 from fordstair.decisions.outlier_detection import OutlierDetector
-from fordstair.decisions.query_priorities import QueryResources
+from fordstair.decisions.query_resources import QueryResources
 from fordstair.decisions.request_ordering import OrderingQueue, settled_at
-from fordstair.decisions.retries import RetryPolicy, client_may_retry, deduplication_ends_at
+from fordstair.decisions.retries import RetryPolicy, client_may_retry, latest_retry_start
 from fordstair.decisions.settings import Discovery, Idempotency, Settings
 from fordstair.decisions.slow_start import SlowStart
 from fordstair.decisions.statistics import is_usable
@@ -59,7 +59,7 @@
 
 # The client must have its final answer this long before its deadline.
 DEADLINE_MARGIN_MS = 10.0
-# How long a request waits for the answers to health checks.
+# A request is always delayed by this after its health checks were sent.
 HEALTH_CHECK_WAIT_MS = 25.0
 
 
@@ -83,7 +83,7 @@
         self.selector = EngineSelector(
             settings, random, self.engines, self.cost_model, self.load, self.outliers, self.slow_start
         )
-        self.registry = EngineRegistry(
+        self.tracker = EngineTracker(
             settings, self.engines, self.selector.hash_position, self.load, self.outliers, self.slow_start
         )
         self.admission = AdmissionPolicy(
@@ -98,7 +98,7 @@
         self.now = 0.0  # of the latest event
         self._actions: list[Action] = []
         self._opening_actions: list[Action] = []
-        if settings.discovery is Discovery.ASK:
+        if settings.discovery is Discovery.POLL:
             self._opening_actions.append(WatchEngineList())
         self._handlers: dict[type, Callable[[Any], None]] = {
             RequestArrived: self._on_request_arrived,
@@ -140,7 +140,7 @@
 
     def assess(self, engine_id: EngineId) -> EngineAssessment | None:
         """Return what is believed of an engine, for those who look on; None for one that is not listed."""
-        return self.registry.assess(self.now, engine_id)
+        return self.tracker.assess(self.now, engine_id)
 
     # Engines
 
@@ -148,22 +148,24 @@
         if event.kind is ListUpdateKind.FAILED:
             self._actions.append(WatchEngineList())
         else:
-            self.registry.update_list(event)
+            self.tracker.update_list(event)
 
     def _on_health_check_ended(self, event: HealthCheckEnded) -> None:
         engine = self.engines.get(event.engine)
         if engine is None:
             return
-        self._move_attempts_if(self.registry.health_check_ended(self.now, engine, event.status), engine)
-        self._move_attempts_if(self.registry.load_reported(self.now, engine, event.report), engine)
+        self._retry_silent_attempts_if(
+            self.tracker.health_check_ended(self.now, engine, event.status), engine
+        )
+        self._retry_silent_attempts_if(self.tracker.load_reported(self.now, engine, event.report), engine)
 
-    def _move_attempts_if(self, ejected: bool, engine: TrackedEngine) -> None:
-        """Once an engine is ejected for silence, what else waits there need not wait as long."""
+    def _retry_silent_attempts_if(self, ejected: bool, engine: TrackedEngine) -> None:
+        """Where an engine was just ejected, cancel and retry attempts sent after its last sign of work."""
         if not ejected:
             return
         for attempt in list(self.attempts.values()):
             if attempt.engine is engine and attempt.sent_at >= engine.heard_at:
-                self._move(attempt)
+                self._cancel_for_retry(attempt)
 
     # Requests
 
@@ -183,7 +185,7 @@
             self._end_unserved(request, reason)
             return
         self._start_timer(max(0.0, min(request.useful_until, objective_ends_at) - self.now), request)
-        if request.queue_key:
+        if request.binding_ordering_key:
             self._enqueue(request)
         else:
             self._send_next_attempt(request)
@@ -228,7 +230,7 @@
         request.finished = True
         request.awaits_health_checks = False
         self.requests.pop(request.id, None)
-        self._advance(self._queues.get(request.queue_key))
+        self._advance(self._queues.get(request.binding_ordering_key))
 
     def _advance(self, queue: OrderingQueue | None) -> None:
         """Send the next request of a key, once nothing of it is in flight and the last one has settled."""
@@ -272,7 +274,7 @@
     def _send(self, request: TrackedRequest, engine: TrackedEngine) -> None:
         memory_mb = self._resources.memory_grant_mb(request, engine)
         self._actions.append(SetQueryResources(request.id, memory_mb, self._resources.priority(request)))
-        begin_by = deduplication_ends_at(request)
+        begin_by = latest_retry_start(request)
         if request.attempts_sent:
             self._retries.record_retry(self.now)
         expected_ms = self.cost_model.expected_latency_ms(request)
@@ -280,16 +282,16 @@
         request.attempts_sent += 1
         request.current_attempt = attempt
         request.last_engine = engine.entry.engine
-        request.health_checks_sent = False
+        request.health_checks_considered = False
         self.attempts[request.id, attempt.number] = attempt
         engine.attempt_sent(self.now, request.spec, request.table_group)
-        if request.queue_key:
+        if request.binding_ordering_key:
             self._queues[request.ordering_key].attempts_in_flight += 1
         self._actions.append(SendAttempt(request.id, engine.entry.engine, begin_by=begin_by))
         self._start_timer(self._monitor.first_check_ms(attempt), attempt)
 
-    def _move(self, attempt: TrackedAttempt) -> None:
-        """Cancel an attempt in order to try elsewhere, where its class and the retry budget allow that."""
+    def _cancel_for_retry(self, attempt: TrackedAttempt) -> None:
+        """Cancel an attempt where its class and the retry budget allow another, which its end then starts."""
         request = attempt.request
         if request.current_attempt is not attempt or request.spec.idempotency is Idempotency.NON_IDEMPOTENT:
             return
@@ -309,7 +311,7 @@
         if event.kind is not NoteKind.PROGRESS or not is_usable(event.value):
             return
         if self._monitor.has_bad_plan(self.now, attempt, event.value):
-            self._move(attempt)
+            self._cancel_for_retry(attempt)
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         attempt = self.attempts.pop((event.request, event.attempt), None)
@@ -317,26 +319,26 @@
             return
         request = attempt.request
         attempt.engine.attempt_ended(self.now, request.spec, request.table_group)
-        if request.queue_key:
+        if request.binding_ordering_key:
             self._queues[request.ordering_key].attempt_ended(
                 settled_at(self.now, event.status, self.settings)
             )
         self._learner.learn(self.now, attempt, event)
-        self._take_report_of_end(event)
-        self._note_uncertain_end(attempt, event.status)
+        self._update_engine_at_end(event)
+        self._record_end(attempt, event.status)
         self._continue_after_end(request, event)
-        self._advance(self._queues.get(request.queue_key))
+        self._advance(self._queues.get(request.binding_ordering_key))
 
-    def _take_report_of_end(self, event: AttemptEnded) -> None:
+    def _update_engine_at_end(self, event: AttemptEnded) -> None:
         engine = self.engines.get(event.engine)
         if engine is None:
             return
-        if event.status is Status.CONNECT_FAILED and not event.late:
+        if event.status is Status.CONNECT_FAILED and not event.may_connect_late:
             engine.unreachable_at = self.now
-        self._move_attempts_if(self.registry.load_reported(self.now, engine, event.report), engine)
+        self._retry_silent_attempts_if(self.tracker.load_reported(self.now, engine, event.report), engine)
 
     @staticmethod
-    def _note_uncertain_end(attempt: TrackedAttempt, status: Status) -> None:
+    def _record_end(attempt: TrackedAttempt, status: Status) -> None:
         request = attempt.request
         if not status.proves_not_run and request.may_have_run_since is None:
             request.may_have_run_since = attempt.sent_at
@@ -345,7 +347,7 @@
             request.current_attempt = None
 
     def _continue_after_end(self, request: TrackedRequest, event: AttemptEnded) -> None:
-        if event.complete or event.status is Status.OK:
+        if event.request_over or event.status is Status.OK:
             self._finish(request)
         elif request.finished:
             return
@@ -370,7 +372,10 @@
             self._check_request(target)
 
     def _check_request(self, request: TrackedRequest) -> None:
-        """Go on after health checks; else the latency objective has passed."""
+        """Send the request after its health checks; else check whether a late answer is still wanted.
+
+        Either of its two timers may fire first: while health checks are awaited, any of them ends that wait.
+        """
         if request.awaits_health_checks:
             self._send_next_attempt(request)
         elif request.finished:
@@ -384,9 +389,9 @@
     def _check_attempt(self, attempt: TrackedAttempt) -> None:
         """Move an attempt whose engine is silent, or that runs overlong; else check it again."""
         if self._monitor.is_silent(attempt):
-            self._move(attempt)
-            self._move_attempts_if(self.outliers.record_silence(attempt.engine), attempt.engine)
+            self._cancel_for_retry(attempt)
+            self._retry_silent_attempts_if(self.outliers.record_silence(attempt.engine), attempt.engine)
         elif self._monitor.is_overlong(self.now, attempt):
-            self._move(attempt)
+            self._cancel_for_retry(attempt)
         if not attempt.cancelled:
             self._start_timer(self._monitor.next_check_ms(attempt), attempt)
--- a/fordstair/decisions/latency_objective.py
+++ b/fordstair/decisions/latency_objective.py
@@ -34,6 +34,6 @@
 def may_be_late(now: float, request: TrackedRequest, pressure: float) -> bool:
     """Whether an answer after the objective is waited for; asked when that has passed, and at later checks.
 
-    It is while it earns anything, but not under pressure: what it occupies keeps a jam going.
+    It is while it earns anything, but not under pressure: what it occupies prolongs the overload.
     """
     return now < request.useful_until and pressure <= BINDING_PRESSURE
--- a/fordstair/decisions/load_estimation.py
+++ b/fordstair/decisions/load_estimation.py
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """One engine's load report, in threads; nan where it does not tell."""
+    """One engine's load report, in threads; nan where it does not report it."""
 
     own_threads: int  # in flight when the report was made, as far as is known
     utilised_threads: float  # running threads, by the engine's utilisation
@@ -80,7 +80,7 @@
         self.lateness.add_at(now, min(LARGEST_LATENESS, latency_ms / max(1.0, objective_ms)), weight)
 
     def record_missed_objective(self, now: float, weight: float) -> None:
-        """Take in that a request was given up as too late: a jam shows here first."""
+        """Take in that a request was given up as too late: overload shows here first."""
         self.lateness.add_at(now, FULL_LATENESS, weight)
 
     def read_report(self, now: float, engine: TrackedEngine, report: Sequence[float]) -> LoadReport:
--- a/fordstair/decisions/query_priorities.py
+++ b/fordstair/decisions/query_resources.py
@@ -12,7 +12,7 @@
 NORMAL_PRIORITY = 2
 LOW_PRIORITY = 1
 DEFAULT_PRIORITY = 1
-# Stands for the memory of an engine that does not tell it, MB: no grant reaches it.
+# Stands for the memory of an engine that does not report it, MB: no grant reaches it.
 UNKNOWN_MEMORY_MB = 1e9
 
 
--- a/fordstair/decisions/request_ordering.py
+++ b/fordstair/decisions/request_ordering.py
@@ -1,4 +1,7 @@
-"""The queue of an ordering key: its requests are sent one after the other, in the order of arrival."""
+"""The queue of an ordering key: its requests are sent one after the other, in the order of arrival.
+
+Used on the simulator only: the coordinator's fronts know no ordering keys.
+"""
 
 from __future__ import annotations
 
--- a/fordstair/decisions/retries.py
+++ b/fordstair/decisions/retries.py
@@ -19,7 +19,7 @@
 # An attempt is not begun unless this share of its predicted work still fits into the time left.
 SMALLEST_WORK_SHARE_LEFT = 0.5
 DEFAULT_RETRY_BUDGET = RetryBudget(base_retries=1.0, ratio=0.5, window_ms=5_000.0)
-# Both edges of the budget's window are read against us, by this margin on each side.
+# Arrivals are counted over a window shorter by this, retries over one longer: rounding exceeds no budget.
 WINDOW_EDGE_MS = 1.0
 
 
@@ -33,10 +33,11 @@
     return request.spec.idempotency is Idempotency.NON_IDEMPOTENT and may_have_run(request)
 
 
-def deduplication_ends_at(request: TrackedRequest) -> float:
+def latest_retry_start(request: TrackedRequest) -> float:
     """Return when a further attempt may begin at the latest; inf where nothing binds it.
 
-    The host holds the attempt to that, whatever delays it.
+    That is 0.9 of the deduplication window; the host does not begin the attempt later, and its send guard
+    checks the full window.
     """
     if request.spec.idempotency is not Idempotency.WITH_KEY:
         return math.inf
@@ -92,7 +93,7 @@
             return False
         if len(request.engines_with_errors) >= ERRORS_MOST:
             return False
-        if must_not_be_retried(request) or now > deduplication_ends_at(request):
+        if must_not_be_retried(request) or now > latest_retry_start(request):
             return False
         return request.attempts_sent == 0 or self._budget_allows(now)
 
--- a/fordstair/decisions/settings.py
+++ b/fordstair/decisions/settings.py
@@ -35,7 +35,7 @@
     """Whether updates of the engine list are pushed, or the list must be polled."""
 
     PUSH = "push"
-    ASK = "ask"
+    POLL = "ask"  # the gateway asks once, at its start, for the list to be watched
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,7 +49,7 @@
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     latency_objective_ms: float = 1000.0
     latency_objective_work_factor: float = 0.0  # times the work over the threads, added to the objective
-    client_timeout_ms: float = 10000.0  # how long clients of the class usually wait
+    client_timeout_ms: float = 10000.0  # how long clients usually wait; bounds the shutdown, too
     priority_weight: float = 1.0  # what an answer within the objective is worth
     late_weight: float = 0.0  # the share of the weight that a late answer still earns
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
@@ -122,9 +122,9 @@
     priorities: bool = False  # whether engines heed priorities of running work
     progress_interval_ms: float = 0.0  # between notes on a running attempt; 0: none come
     load_report_fields: tuple[str, ...] = ()  # of a load report, in its order
-    reports_by_health_check_only: bool = False
+    reports_by_health_check_only: bool = False  # part of the document; not used yet
     discovery: Discovery = Discovery.PUSH
-    poll_within_ms: float = 10000.0  # the list must be polled at least that often
+    poll_within_ms: float = 10000.0  # part of the document; not used yet
     health_checks: bool = False  # whether health checks are allowed
     may_cancel: bool = False
     sends_retry_after: bool = False
--- a/fordstair/decisions/slow_start.py
+++ b/fordstair/decisions/slow_start.py
@@ -52,8 +52,8 @@
     def warm_up_factor(self, now: float, engine: TrackedEngine) -> float:
         """Return the share of its full capacity that an engine surely has: 1 once it is warm.
 
-        The true ramp is not told, so it is assumed to rise with the square of time. An engine that took no
-        connection counts as started then: a process that was not running is cold when it is back.
+        The true ramp is not reported, so it is assumed to rise with the square of time. An engine that took
+        no connection counts as started then: a process that was not running is cold when it is back.
         """
         settings = self._settings
         started_at = min(now, max(engine.entry.started_ms, engine.unreachable_at))
--- a/fordstair/decisions/statistics.py
+++ b/fordstair/decisions/statistics.py
@@ -6,7 +6,7 @@
 from bisect import bisect_left
 from collections import OrderedDict, deque
 
-# Weight of one sample in a pooled mean: where samples are many, time decides; where few, their number does.
+# Weight of one sample in a pooled mean: by the time since the last one, within these bounds.
 SLOWEST_POOLED_STEP = 0.02
 FASTEST_POOLED_STEP = 0.15
 LARGEST_WEIGHTED_STEP = 0.5
--- a/fordstair/decisions/token_bucket.py
+++ b/fordstair/decisions/token_bucket.py
@@ -15,7 +15,7 @@
     __slots__ = ("refilled_at", "tokens")
 
     def __init__(self) -> None:
-        self.tokens = math.nan  # until the first request tells the burst
+        self.tokens = math.nan  # until first use
         self.refilled_at = 0.0
 
     def take(self, now: float, rate_per_s: float, burst: float, random: Random) -> bool:
--- a/fordstair/decisions/tracked_request.py
+++ b/fordstair/decisions/tracked_request.py
@@ -34,7 +34,7 @@
     may_have_run_on: EngineEntry | None = None
     last_engine: EngineId | None = None
     engines_with_errors: list[TrackedEngine] = field(default_factory=list)
-    health_checks_sent: bool = False  # for its next attempt
+    health_checks_considered: bool = False  # before its next attempt, even if none was needed
     awaits_health_checks: bool = False
 
     @classmethod
@@ -52,7 +52,7 @@
         )
 
     @property
-    def queue_key(self) -> int:
+    def binding_ordering_key(self) -> int:
         """The key whose order binds this request; 0 where none does."""
         return self.ordering_key if self.spec.ordered_by_key else 0
 
--- a/fordstair/lab/modelled_call.py
+++ b/fordstair/lab/modelled_call.py
@@ -47,7 +47,7 @@
             raise AttemptFailedError(Status.CONNECT_FAILED, "nothing came up", reachable=False)
         await self._transit()
         if not await self.attempt_request.may_send():
-            raise AttemptFailedError(Status.MOOT, "the engine takes nothing new")
+            raise AttemptFailedError(Status.NOT_STARTED, "the engine takes nothing new")
         query = self.attempt_request.query
         spec = self.settings.classes[query.class_index]
         run = EngineRun(query.transaction_id, query.tenant_index, spec.threads, now_ms(), spec.is_load)
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -131,14 +131,14 @@
         queue = self.admission_queue
         settings = self.settings
         assert queue is not None, "budgets of a fleet need queues"
-        queue.caps = LocalLimits(
+        queue.local_limits = LocalLimits(
             fleet.plan.limits,
             [each.name for each in settings.tenants],
             [each.name for each in settings.classes],
             lambda now: fleet.allotment_of(self.name),
             fleet.plan.request_interval_ms,
         )
-        return queue.caps
+        return queue.local_limits
 
     def call(self, attempt_request: AttemptRequest) -> ModelledCall:
         """Prepare one attempt; the ``Transport`` of ports.py."""
--- a/fordstair/lab/virtual.py
+++ b/fordstair/lab/virtual.py
@@ -278,7 +278,7 @@
                 engine,
                 status,
                 self.now - running.since_ms,
-                complete=id not in self.open,
+                request_over=id not in self.open,
                 report=tuple(fields[name] for name in self.settings.load_report_fields),
             )
         )
--- a/fordstair/membership/member_table.py
+++ b/fordstair/membership/member_table.py
@@ -106,7 +106,7 @@
         return changes
 
     def apply(self, update: Update) -> bool:
-        """Take one update on another member in: the greater precedence holds. True if it made it known."""
+        """Apply an update on another member if its precedence is greater; return whether it was unknown."""
         member = self.members.get(update.name)
         if member is None:
             return self._join(update)
--- a/fordstair/membership/outbox.py
+++ b/fordstair/membership/outbox.py
@@ -48,8 +48,8 @@
     def put_with_gossip(self, address: str, recipient: str, message: Message) -> None:
         """Send a message with queued updates; ``recipient`` is a member's name, or empty where not known.
 
-        A recipient that is suspected or held for dead is told so first: it can refute at once (Lifeguard's
-        buddy system, section IV-C).
+        A recipient that is suspected or considered dead is notified of that first: it can refute at once
+        (Lifeguard's buddy system, section IV-C).
         """
         first: Iterable[Update] = ()
         member = self._table.members.get(recipient)
--- a/fordstair/net/engine_list_watch.py
+++ b/fordstair/net/engine_list_watch.py
@@ -46,8 +46,8 @@
     def reconnect(self, address: str) -> None:
         """Follow another address from the same number; what the old one has sent stays in force.
 
-        The connection is made again also where the address is the same: that brings what an address that has
-        stopped without a sign holds back.
+        The connection is made again also where the address is the same: that brings the updates missed on a
+        connection that died silently.
         """
         self.address = address
         self._scope.cancel()
--- a/fordstair/net/engines/call.py
+++ b/fordstair/net/engines/call.py
@@ -95,13 +95,13 @@
         try:
             # While the connection came up, the engine may have begun to drain, or been replaced.
             if not await self.attempt_request.may_send():
-                raise self.end(Status.MOOT, "the engine takes nothing new")
+                raise self.ended_error(Status.NOT_STARTED, "the engine takes nothing new")
             request = self.start_request(max(1, math.ceil(until_ms - self.deadlines.clock())))
             self.delivery.send_started_ms = self.deadlines.clock()
             with self.deadlines.limit(self.delivery.send_started_ms + RESPONSE_TIMEOUT_MS):
                 response = await connection.exchange(request)
-                self.delivery.read = True
-                return _read_on(connection, response, self.read_progress)
+                self.delivery.read_or_lost = True
+                return _read_or_desynchronize(connection, response, self.read_progress)
         except ExchangeError as error:
             failure = str(error)
         finally:
@@ -169,10 +169,10 @@
                 with self.deadlines.limit_for(RESPONSE_TIMEOUT_MS) as response_limit:
                     connection = await self.pool.acquire(self.address, fresh=fresh)
                     response = await self._exchange_get(connection, path, response_limit)
-                    return _read_on(connection, response, read)
+                    return _read_or_desynchronize(connection, response, read)
             except ConnectRefusedError as error:
-                self.delivery.read = True  # its process has gone: it never reads the POST
-                raise self.end(Status.RESET, str(error)) from error
+                self.delivery.read_or_lost = True  # its process has gone: it never reads the POST
+                raise self.ended_error(Status.RESET, str(error)) from error
             except ConnectError:
                 await self.deadlines.sleep(CONNECT_RETRY_MS)
             except ExchangeError as error:
@@ -185,7 +185,7 @@
                     self.pool.release(connection)
             fresh = True
 
-    def end(self, status: Status, why: str, report: tuple[float, ...] = ()) -> AttemptFailedError:
+    def ended_error(self, status: Status, why: str, report: tuple[float, ...] = ()) -> AttemptFailedError:
         """Note that nothing runs any more; return the error to raise."""
         self.delivery.ended = True
         return AttemptFailedError(status, why, report)
@@ -194,7 +194,7 @@
         try:
             return await self.pool.acquire(self.address)
         except ConnectError as error:
-            failure = self.end(Status.CONNECT_FAILED, str(error))
+            failure = self.ended_error(Status.CONNECT_FAILED, str(error))
             failure.reachable = isinstance(error, ConnectRefusedError)
             failure.may_connect_late = isinstance(error, ConnectTimeoutError)
             raise failure from error
@@ -203,7 +203,7 @@
         if connection.request_sent:
             self.delivery.sent_ms = self.deadlines.clock()
             # A response that has come and is not read yet: then it is this program that is late.
-            self.delivery.read = self.delivery.read or connection.has_unread_bytes
+            self.delivery.read_or_lost = self.delivery.read_or_lost or connection.has_unread_bytes
 
     async def _recover(self, failure: str) -> QueryProgress:
         """Go on after a POST without a response.
@@ -212,7 +212,7 @@
         under its id, would be lost.
         """
         if not self.delivery.sent:  # nothing runs; for a load that is no proof yet
-            raise self.end(Status.RESET, f"the engine does not read: {failure}")
+            raise self.ended_error(Status.RESET, f"the engine does not read: {failure}")
         if not self.path:
             raise AttemptFailedError(Status.RESET, f"the engine did not say where to poll: {failure}")
         self.pool.counters.add("engine.polled_after_reset")
@@ -262,10 +262,10 @@
         return response
 
 
-def _read_on(
+def _read_or_desynchronize(
     connection: PooledConnection, response: HttpResponse, read: Callable[[HttpResponse], ResultT]
 ) -> ResultT:
-    """Read a response; a connection that has brought what is none carries no further request."""
+    """Read a response; after a ProtocolError its connection is not used again."""
     try:
         return read(response)
     except ProtocolError:
--- a/fordstair/net/engines/delivery.py
+++ b/fordstair/net/engines/delivery.py
@@ -17,7 +17,7 @@
 
     send_started_ms: float = 0.0  # when the POST began to go out
     sent_ms: float = 0.0  # when it had gone out completely; 0: it has not
-    read: bool = False  # something shows that the engine has read the POST, or never will
+    read_or_lost: bool = False  # the engine has read the POST, or its process has gone and never will
     ended: bool = False  # nothing runs at the engine any more
 
     @property
@@ -31,7 +31,7 @@
         An engine that does not know the query may get it yet: on another connection, what a machine that was
         cut off has been sent reaches it later than this poll.
         """
-        self.read = self.read or status != UNKNOWN_QUERY_STATUS
+        self.read_or_lost = self.read_or_lost or status != UNKNOWN_QUERY_STATUS
 
     def cannot_begin_later(self, now_ms: float) -> bool:
         """Whether nothing begins at the engine after this moment; decided once the attempt is abandoned.
@@ -39,7 +39,7 @@
         False: a machine that said nothing for longer than PROMPT_MS was cut off, or hung, and perhaps reads
         the POST after a later request.
         """
-        return self.read or not self.sent or now_ms < self.send_started_ms + PROMPT_MS
+        return self.read_or_lost or not self.sent or now_ms < self.send_started_ms + PROMPT_MS
 
     def poll_again_after(self, status: Status) -> bool:
         """Whether the first poll after a reset, which ended with that status, is made a second time.
@@ -47,4 +47,4 @@
         An engine that hung has the POST and the poll before it at once, and may take up the poll first: it
         then says that it does not know the query.
         """
-        return not self.read and status is Status.ERROR
+        return not self.read_or_lost and status is Status.ERROR
--- a/fordstair/net/engines/odata.py
+++ b/fordstair/net/engines/odata.py
@@ -62,7 +62,7 @@
         if not odata_wire.result_succeeded(response):
             http_status = odata_wire.result_status(response)
             status = rest_wire.failure_status(response, http_status)
-            raise self.end(status, f"status {http_status}", report)
+            raise self.ended_error(status, f"status {http_status}", report)
         rows = self._read_rows(response)
         self.delivery.ended = True
         return QueryProgress(False, rows, load_report=report)
@@ -71,21 +71,21 @@
         try:
             named_path = odata_wire.own_path(self.address, odata_wire.monitor_link(response))
         except odata_wire.ForeignLinkError as error:
-            raise self.end(Status.ERROR, str(error)) from error
+            raise self.ended_error(Status.ERROR, str(error)) from error
         self._monitor_path = named_path or self._monitor_path
         if not self._monitor_path:
-            raise self.end(Status.ERROR, "202 without a status monitor")
+            raise self.ended_error(Status.ERROR, "202 without a status monitor")
         self._poll_interval_ms = odata_wire.poll_interval_ms(response)
 
     def _read_page(self, response: HttpResponse) -> bytes:
         if response.status != odata_wire.STATUS_OK:
-            raise self.end(Status.ERROR, f"a page: status {response.status}")
+            raise self.ended_error(Status.ERROR, f"a page: status {response.status}")
         return self._read_rows(response)
 
     def _read_rows(self, response: HttpResponse) -> bytes:
         try:
             page = odata_wire.read_page(self.address, response.body)
         except odata_wire.ForeignLinkError as error:
-            raise self.end(Status.ERROR, str(error)) from error
+            raise self.ended_error(Status.ERROR, str(error)) from error
         self._next_path = page.next_path
         return page.rows
--- a/fordstair/net/engines/rest.py
+++ b/fordstair/net/engines/rest.py
@@ -60,7 +60,7 @@
             return QueryProgress(True, note=rest_wire.note(response), load_report=report)
         if response.status != rest_wire.STATUS_OK:
             status = rest_wire.failure_status(response, response.status)
-            raise self.end(status, f"status {response.status}", report)
+            raise self.ended_error(status, f"status {response.status}", report)
         rows = rest_wire.complete_rows(response.body)
         self._pages = rest_wire.page_count(response)
         self.delivery.ended = True
@@ -68,5 +68,5 @@
 
     def _read_page(self, response: HttpResponse) -> bytes:
         if response.status != rest_wire.STATUS_OK:
-            raise self.end(Status.ERROR, f"page {self._page}: status {response.status}")
+            raise self.ended_error(Status.ERROR, f"page {self._page}: status {response.status}")
         return rest_wire.page_rows(response, self._page)
--- a/fordstair/net/engines/rest_wire.py
+++ b/fordstair/net/engines/rest_wire.py
@@ -27,7 +27,7 @@
 _NOTE_VALUE = b"x-val"
 
 _NOTE_KINDS = {"p": NoteKind.PROGRESS, "s": NoteKind.SPILL, "w": NoteKind.WAIT}
-_NOT_RUN_STATUSES = {503: Status.FULL, 504: Status.MOOT}
+_NOT_RUN_STATUSES = {503: Status.FULL, 504: Status.NOT_STARTED}
 
 
 def query_path(request_id: str) -> str:
--- a/fordstair/program/optional_parts.py
+++ b/fordstair/program/optional_parts.py
@@ -100,7 +100,7 @@
         budgets.allotment,
         fleet_config.plan.request_interval_ms,
     )
-    queue.caps = limits
+    queue.local_limits = limits
     budgets.set_demand_source(lambda: limits.demand(coordinator.deadlines.clock()))
     budgets.on_allotment = queue.release
 
--- a/fordstair/replication/claim_quorum.py
+++ b/fordstair/replication/claim_quorum.py
@@ -34,10 +34,12 @@
 class ClaimVerdict(Enum):
     """What a claimant may do; the values are those in the names of counters."""
 
-    GRANTED = "run"  # a quorum has granted it: the load may run
-    ALREADY_RUN = "answer"  # the load has run, and its outcome is known
-    UNKNOWN = "unknown"  # another claim has the key, and whether its load ran is not known
-    REJECTED = "refuse"  # the load has not run by this claim and will not: a retry is harmless
+    GRANTED = "run"  # counter ledger.claims_run: a quorum has granted it: the load may run
+    ALREADY_RUN = "answer"  # ledger.claims_answer: the load has run, and its outcome is known
+    UNKNOWN = (
+        "unknown"  # ledger.claims_unknown: another claim has the key, and whether its load ran is not known
+    )
+    REJECTED = "refuse"  # ledger.claims_refuse: it has not run by this claim; a retry is harmless
 
 
 class ClaimQuorum:
--- a/fordstair/scheduling/quotas.py
+++ b/fordstair/scheduling/quotas.py
@@ -3,8 +3,8 @@
 A team's quota is its part of the capacity; its account earns at that rate, up to ``burst_ms`` of it, and is
 charged what its team's requests are predicted to take, corrected once they have ended. A team whose account
 is below zero has borrowed what others left idle: it is served after all teams in credit, until it has earned
-its debt back. Debt stops growing at ``debt_ms`` of the rate, so that nobody pays for an idle night all
-morning. Source: the operators' brief (quotas), and the usual token account with a signed balance.
+its debt back. Debt stops growing at ``debt_ms`` of the rate, so that capacity borrowed in an idle time
+is repaid soon. It is the usual token bucket, with a signed balance.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
     def charge(self, amount: float, burst_ms: float, debt_ms: float) -> None:
         """Take an amount off (or, where negative, give it back), within the bounds on credit and debt.
 
-        What is given back of a charge whose debt was forgiven settles that first: it was never owed.
+        A refund first reduces ``forgiven_debt``, and only the rest raises the balance.
         """
         self.used += amount
         if amount < 0.0:
--- a/fordstair/scheduling/scheduler.py
+++ b/fordstair/scheduling/scheduler.py
@@ -107,7 +107,7 @@
 
 
 class Scheduler:
-    """All of it; every method is given the time, in milliseconds, which may even go back.
+    """Orders, sheds and releases waiting requests. Callers pass the time in ms, which may go backwards.
 
     Args:
         quotas: parts of the capacity, by team.
--- a/fordstair/scheduling/shedding.py
+++ b/fordstair/scheduling/shedding.py
@@ -1,8 +1,8 @@
-"""Load shedding while a queue stands: the costly requests of a class first, and of teams beyond their quota.
+"""Load shedding while requests wait: the costly requests of a class first, and of teams beyond their quota.
 
-The design page's rule, "under pressure the heavy queries of a class are refused more than its light ones", is
-the decision module's on engines' pressure. A queue before it keeps that pressure off the engines, so the same
-rule has to read the queue: pressure is the wait to come over the time that the request can spare.
+The rule "under pressure the heavy queries of a class are rejected more than its light ones" is that of
+``decisions/admission.py`` on engines' pressure. A queue before it keeps that pressure off the engines, so
+here the same rule reads the queue: pressure is the forecast wait over the time that the request can spare.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 MAX_COST_AT_FULL_PRESSURE = 0.25
 PRESSURE_STARTS = 0.1  # part of the time to spare that the wait takes
 PRESSURE_FULL = 0.9
-WITHIN_QUOTA_PRESSURE = 0.5  # part of the pressure that a team within its quota feels
+WITHIN_QUOTA_PRESSURE = 0.5  # factor on the pressure for teams within their quota
 MEAN_STEP = 0.02
 
 
--- a/fordstair/scheduling/wait_estimation.py
+++ b/fordstair/scheduling/wait_estimation.py
@@ -3,8 +3,9 @@
 The forecast takes the queues as fluids that drain at the measured rate of release, each team by its weight
 (generalised processor sharing). What it leaves out is corrected by two running quantiles of the ratio of the
 wait that came to the wait that was forecast: the middle one for the estimate, the upper one for the promise.
-A change of the rate itself is noticed by a fast and a slow mean that part: then the slow one, and what was
-learned of errors, starts again from the fast one, so that a doubling of traffic is not averaged away.
+A change of the rate is detected when a fast and a slow mean differ by SHIFT_RATIO for SHIFT_MS: then the slow
+mean is reset to the fast one, and the errors learned are dropped, so that a doubling of traffic is not
+averaged away.
 """
 
 from __future__ import annotations
--- a/fordstair/simulator/event_decoder.py
+++ b/fordstair/simulator/event_decoder.py
@@ -224,7 +224,7 @@
         engine=decode_engine_id(address, port),
         status=record.value(STATUS_BY_CODE, status, "status"),
         latency_ms=latency_ms,
-        complete=bool(complete),
+        request_over=bool(complete),
         work_ms=float(statistics >> MEMORY_BITS),
         memory_mb=float((statistics & (1 << MEMORY_BITS) - 1) * MEMORY_UNIT_MB),
         report=record.report(count, report),
--- a/fordstair/simulator/frames.py
+++ b/fordstair/simulator/frames.py
@@ -65,7 +65,7 @@
     1: Status.CANCELLED,
     4: Status.TIMEOUT,
     8: Status.FULL,
-    9: Status.MOOT,
+    9: Status.NOT_STARTED,
     10: Status.RESET,
     13: Status.ERROR,
     14: Status.CONNECT_FAILED,
--- a/tests/decisions/recording.py
+++ b/tests/decisions/recording.py
@@ -58,7 +58,7 @@
     (Status.CONNECT_FAILED, 1.0),
     (Status.RESET, 1.0),
     (Status.CANCELLED, 0.5),
-    (Status.MOOT, 0.5),
+    (Status.NOT_STARTED, 0.5),
 )
 FAULTY_STATUSES = (
     (Status.OK, 40.0),
@@ -68,7 +68,7 @@
     (Status.CONNECT_FAILED, 10.0),
     (Status.RESET, 10.0),
     (Status.CANCELLED, 1.0),
-    (Status.MOOT, 1.0),
+    (Status.NOT_STARTED, 1.0),
 )
 
 
@@ -219,7 +219,7 @@
         statuses = FAULTY_STATUSES if faulty else SOUND_STATUSES
         status = self.random.choices([s for s, _ in statuses], [w for _, w in statuses])[0]
         latency_ms = self.random.lognormvariate(5.0, 1.0) * (4.0 if faulty else 1.0)
-        if status in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT):
+        if status in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_STARTED):
             latency_ms = self.random.uniform(0.5, 250.0)
         elif status is Status.OK and self.random.random() < 0.02:
             latency_ms *= 40.0  # an engine that hangs, or a bad plan
@@ -242,12 +242,12 @@
             engine,
             status,
             latency_ms,
-            complete=served or self.random.random() < 0.02,
+            request_over=served or self.random.random() < 0.02,
             work_ms=latency_ms * self.random.uniform(0.3, 1.0) if self.random.random() < 0.6 else 0.0,
             memory_mb=self.random.uniform(10.0, 1_500.0) if self.random.random() < 0.4 else 0.0,
             report=self._report(),
             may_still_run=not served and self.random.random() < 0.05,
-            late=status is Status.CONNECT_FAILED and self.random.random() < 0.5,
+            may_connect_late=status is Status.CONNECT_FAILED and self.random.random() < 0.5,
         )
 
     def _report(self) -> tuple[float, ...]:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -137,7 +137,13 @@
         number = len(sends) - 1 if attempt is None else attempt
         return self.feed(
             AttemptEnded(
-                request, number, sends[number].engine, status, latency, complete=status is Status.OK, **more
+                request,
+                number,
+                sends[number].engine,
+                status,
+                latency,
+                request_over=status is Status.OK,
+                **more,
             )
         )
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -271,7 +271,7 @@
     for _ in range(20):
         r = rig.ask(SAFE, 100.0)
         late = rig.sends(r)[0].engine == "10.0.0.1:80"
-        rig.end(r, Status.CONNECT_FAILED if late else Status.OK, 250.0, late=late)
+        rig.end(r, Status.CONNECT_FAILED if late else Status.OK, 250.0, may_connect_late=late)
     assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) == 1.0
     # warm or not, it is avoided while connections to it are slow
     assert rig.gateway.outliers.reliability(rig.gateway.now, engine(rig, 1)) < 0.6
