--- a/fordstair/decisions/admission.py
+++ b/fordstair/decisions/admission.py
@@ -13,28 +13,28 @@
 from fordstair.decisions.actions import RejectionReason
 from fordstair.decisions.cost_model import CostModel
 from fordstair.decisions.engine_selection import EngineSelector
-from fordstair.decisions.load_estimation import BINDING_PRESSURE, LoadEstimator
+from fordstair.decisions.load_estimation import PRESSURE_THRESHOLD, LoadEstimator
 from fordstair.decisions.settings import Settings
 from fordstair.decisions.token_bucket import TokenBucket
 from fordstair.decisions.tracked_engine import TrackedEngine
 from fordstair.decisions.tracked_request import TrackedAttempt, TrackedRequest
 
 BURST_S = 1.0
-SMALLEST_TENANT_BURST = 4.0  # requests
-SMALLEST_EXPENSIVE_BURST = 1.0  # requests
+MIN_TENANT_BURST_REQUESTS = 4.0  # requests
+MIN_EXPENSIVE_BURST_REQUESTS = 1.0  # requests
 # Times its class's mean cost from which a request is expensive: when calm, and under full pressure.
-EXPENSIVE_FACTOR_WHEN_CALM = 3.0
-EXPENSIVE_FACTOR_WHEN_FULL = 0.3
+EXPENSIVE_FACTOR_AT_ZERO_PRESSURE = 3.0
+EXPENSIVE_FACTOR_AT_FULL_PRESSURE = 0.3
 # Own threads in flight a core of this coordinator's part; above it, throughput falls.
 THREADS_PER_CORE = 2.0
-THREADS_FACTOR_WHEN_CALM = 1.8
-THREADS_FACTOR_OF_HIGH_PRIORITY = 1.3
-THREADS_FACTOR_OF_COSTLY_REQUESTS = 0.6
+THREADS_FACTOR_AT_ZERO_PRESSURE = 1.8
+HIGH_PRIORITY_THREADS_FACTOR = 1.3
+COSTLY_REQUEST_THREADS_FACTOR = 0.6
 # A lower bound on the limit on threads, for fleets in which each coordinator's part is under one query.
-SMALLEST_QUERIES_IN_FLIGHT = 2.0
+MIN_QUERIES_IN_FLIGHT = 2.0
 # Retry-After of a rejection, over the largest that the settings allow: when calm, and what pressure adds.
-RETRY_AFTER_SHARE_WHEN_CALM = 0.25
-RETRY_AFTER_SHARE_BY_PRESSURE = 0.75
+RETRY_AFTER_SHARE_AT_ZERO_PRESSURE = 0.25
+RETRY_AFTER_SHARE_ADDED_BY_PRESSURE = 0.75
 
 
 class AdmissionPolicy:
@@ -99,7 +99,7 @@
         if not self._settings.sends_retry_after:
             return 0.0
         pressure = self.pressure(now, class_index)
-        share = RETRY_AFTER_SHARE_WHEN_CALM + RETRY_AFTER_SHARE_BY_PRESSURE * pressure
+        share = RETRY_AFTER_SHARE_AT_ZERO_PRESSURE + RETRY_AFTER_SHARE_ADDED_BY_PRESSURE * pressure
         return self._settings.max_retry_after_ms * share
 
     def _is_over_quota(self, now: float, request: TrackedRequest, pressure: float) -> bool:
@@ -108,9 +108,9 @@
             return False
         tenant = self._settings.tenants[request.tenant]
         rate_per_s = tenant.quota_per_s / self._settings.instances
-        burst = max(SMALLEST_TENANT_BURST, rate_per_s * BURST_S)
+        burst = max(MIN_TENANT_BURST_REQUESTS, rate_per_s * BURST_S)
         is_within = self._tenant_buckets[request.tenant].take(now, rate_per_s, burst, self._random)
-        return rate_per_s > 0.0 and pressure > BINDING_PRESSURE and not is_within
+        return rate_per_s > 0.0 and pressure > PRESSURE_THRESHOLD and not is_within
 
     def _is_over_concurrency_limit(self, request: TrackedRequest) -> bool:
         """Whether the class would have more threads in flight than an operator allows."""
@@ -130,12 +130,12 @@
         """Whether own threads in flight would pass this coordinator's part of the fleet's cores."""
         cores = capacity / self._settings.instances
         limit = THREADS_PER_CORE * cores
-        limit *= THREADS_FACTOR_WHEN_CALM - (THREADS_FACTOR_WHEN_CALM - 1.0) * pressure
+        limit *= THREADS_FACTOR_AT_ZERO_PRESSURE - (THREADS_FACTOR_AT_ZERO_PRESSURE - 1.0) * pressure
         if self._cost_model.is_high_priority(request.class_index):
-            limit *= THREADS_FACTOR_OF_HIGH_PRIORITY
+            limit *= HIGH_PRIORITY_THREADS_FACTOR
         if request.cost > self._cost_model.class_mean(request.class_index):
-            limit *= THREADS_FACTOR_OF_COSTLY_REQUESTS
-        limit = max(limit, SMALLEST_QUERIES_IN_FLIGHT * request.spec.threads)
+            limit *= COSTLY_REQUEST_THREADS_FACTOR
+        limit = max(limit, MIN_QUERIES_IN_FLIGHT * request.spec.threads)
         in_flight = sum(engine.own_threads for engine in engines)
         return in_flight + request.spec.threads > limit
 
@@ -144,15 +144,15 @@
 
         The more pressure, the less a request may cost before it counts as expensive.
         """
-        threshold = self._cost_model.class_mean(request.class_index) * EXPENSIVE_FACTOR_WHEN_CALM
-        threshold *= (EXPENSIVE_FACTOR_WHEN_FULL / EXPENSIVE_FACTOR_WHEN_CALM) ** pressure
+        threshold = self._cost_model.class_mean(request.class_index) * EXPENSIVE_FACTOR_AT_ZERO_PRESSURE
+        threshold *= (EXPENSIVE_FACTOR_AT_FULL_PRESSURE / EXPENSIVE_FACTOR_AT_ZERO_PRESSURE) ** pressure
         if request.cost <= threshold:
             return False
         statistics = self._cost_model.classes[request.class_index]
         statistics.expensive_cost.add(request.cost)
         cores = capacity / self._settings.instances
         rate_per_s = cores * 1000.0 / statistics.expensive_cost.value * (1.0 - pressure) ** 2
-        burst = max(SMALLEST_EXPENSIVE_BURST, rate_per_s * BURST_S)
+        burst = max(MIN_EXPENSIVE_BURST_REQUESTS, rate_per_s * BURST_S)
         bucket = self._expensive_buckets[request.class_index]
         is_within = bucket.take(now, rate_per_s, burst, self._random)
-        return not is_within and pressure > BINDING_PRESSURE and statistics.cost.count > 0
+        return not is_within and pressure > PRESSURE_THRESHOLD and statistics.cost.count > 0
--- a/fordstair/decisions/attempt_monitoring.py
+++ b/fordstair/decisions/attempt_monitoring.py
@@ -7,14 +7,14 @@
 from fordstair.decisions.tracked_request import TrackedAttempt
 
 FIRST_CHECK_FACTOR = 3.0  # times the expected latency
-SHORTEST_CHECK_MS = 300.0
+MIN_CHECK_INTERVAL_MS = 300.0
 # Without progress notes, a run of so many times its expected latency counts as a bad plan.
 OVERLONG_FACTOR = 3.5
 # Progress tells nothing of a plan before this.
-EARLIEST_PROGRESS_MS = 500.0
-SMALLEST_PROGRESS = 0.01
+MIN_ELAPSED_FOR_PROGRESS_MS = 500.0
+MIN_PROGRESS = 0.01
 # A new attempt costs about one expected latency, and may be unlucky as well.
-WORTHWHILE_REMAINDER_FACTOR = 2.0
+MIN_REMAINING_FACTOR = 2.0
 
 
 class AttemptMonitor:
@@ -25,15 +25,15 @@
 
     def first_check_ms(self, attempt: TrackedAttempt) -> float:
         """Return the time from sending an attempt to its first check."""
-        return max(SHORTEST_CHECK_MS, FIRST_CHECK_FACTOR * attempt.expected_latency_ms)
+        return max(MIN_CHECK_INTERVAL_MS, FIRST_CHECK_FACTOR * attempt.expected_latency_ms)
 
     def next_check_ms(self, attempt: TrackedAttempt) -> float:
         """Return the time from one check of an attempt to the next."""
-        return max(SHORTEST_CHECK_MS, attempt.expected_latency_ms)
+        return max(MIN_CHECK_INTERVAL_MS, attempt.expected_latency_ms)
 
     def is_silent(self, attempt: TrackedAttempt) -> bool:
         """Whether its engine has shown no sign of work since the attempt was sent."""
-        return attempt.engine.heard_at < attempt.sent_at
+        return attempt.engine.last_activity_at < attempt.sent_at
 
     def is_overlong(self, now: float, attempt: TrackedAttempt) -> bool:
         """Whether an attempt at a live engine has run too long; asked at its checks.
@@ -50,9 +50,9 @@
     def has_bad_plan(self, now: float, attempt: TrackedAttempt, progress: float) -> bool:
         """Whether a new attempt costs less than waiting this one out, by the share that it has done."""
         elapsed_ms = now - attempt.sent_at
-        if elapsed_ms <= EARLIEST_PROGRESS_MS:
+        if elapsed_ms <= MIN_ELAPSED_FOR_PROGRESS_MS:
             return False
-        total_ms = elapsed_ms / max(SMALLEST_PROGRESS, progress)
+        total_ms = elapsed_ms / max(MIN_PROGRESS, progress)
         if total_ms <= BAD_PLAN_FACTOR * attempt.expected_latency_ms:
             return False
-        return total_ms - elapsed_ms > WORTHWHILE_REMAINDER_FACTOR * attempt.expected_latency_ms
+        return total_ms - elapsed_ms > MIN_REMAINING_FACTOR * attempt.expected_latency_ms
--- a/fordstair/decisions/cost_model.py
+++ b/fordstair/decisions/cost_model.py
@@ -8,8 +8,8 @@
 
 from fordstair.decisions.settings import Settings
 from fordstair.decisions.statistics import (
-    FASTEST_POOLED_STEP,
-    SLOWEST_POOLED_STEP,
+    MAX_POOLED_STEP,
+    MIN_POOLED_STEP,
     BoundedMeans,
     EstimateRatio,
     RunningMean,
@@ -21,16 +21,16 @@
 CACHED_TABLE_GROUPS = 512
 TABLE_GROUP_STEP = 0.1
 CLASS_STEP = 0.06
-SMALLEST_COST_MS = 1.0
-LARGEST_ESTIMATE_RATIO = 4.0
+MIN_COST_MS = 1.0
+MAX_ESTIMATE_RATIO = 4.0
 # An attempt that costs this many times its prediction ran with a bad query plan.
 BAD_PLAN_FACTOR = 16.0
 # Standard room over an estimate of memory, in mean distances of estimates from the truth.
-GRANT_SPREADS = 2.0
-GRANT_WITHOUT_ESTIMATE_FACTOR = 1.3
-SMALLEST_SLOWNESS = 0.1
-LARGEST_CLASS_SLOWNESS = 20.0
-LARGEST_ENGINE_SLOWNESS = 10.0
+MEMORY_GRANT_SPREADS = 2.0
+MEMORY_GRANT_WITHOUT_ESTIMATE_FACTOR = 1.3
+MIN_SLOWNESS = 0.1
+MAX_CLASS_SLOWNESS = 20.0
+MAX_ENGINE_SLOWNESS = 10.0
 FLEET_SLOWNESS_PRIOR_SAMPLES = 3
 # A class whose weight per thread-second is so many times the lowest one's is served first.
 HIGH_PRIORITY_FACTOR = 1.5
@@ -54,8 +54,8 @@
         self.cost_estimate = RunningMean(CLASS_STEP)
         self.expensive_cost = RunningMean(CLASS_STEP)  # of requests that were predicted expensive
         self.memory_mb = RunningMean(CLASS_STEP)
-        self.cost_ratio = EstimateRatio(CLASS_STEP, LARGEST_ESTIMATE_RATIO)
-        self.memory_ratio = EstimateRatio(CLASS_STEP, LARGEST_ESTIMATE_RATIO)
+        self.cost_ratio = EstimateRatio(CLASS_STEP, MAX_ESTIMATE_RATIO)
+        self.memory_ratio = EstimateRatio(CLASS_STEP, MAX_ESTIMATE_RATIO)
         self.slowness = RunningMean(CLASS_STEP, 1.0)  # latency over cost a thread
 
 
@@ -66,15 +66,15 @@
         self.specs = settings.classes
         self.classes = [ClassStatistics() for _ in settings.classes]
         self.table_groups = BoundedMeans(CACHED_TABLE_GROUPS, TABLE_GROUP_STEP)
-        self.typical_cost = RunningMean(SLOWEST_POOLED_STEP)  # of all requests that arrive
-        self._fleet_slowness = RunningMean(FASTEST_POOLED_STEP, 1.0, FLEET_SLOWNESS_PRIOR_SAMPLES)
+        self.typical_cost = RunningMean(MIN_POOLED_STEP)  # of all requests that arrive
+        self._fleet_slowness = RunningMean(MAX_POOLED_STEP, 1.0, FLEET_SLOWNESS_PRIOR_SAMPLES)
 
     def class_mean(self, class_index: int) -> float:
         """Return a class's mean cost: by outcomes, else by estimates, else by its latency objective."""
         statistics = self.classes[class_index]
         spec = self.specs[class_index]
         known = statistics.cost.value or statistics.cost_estimate.value
-        return max(SMALLEST_COST_MS, known or spec.latency_objective_ms * spec.threads)
+        return max(MIN_COST_MS, known or spec.latency_objective_ms * spec.threads)
 
     def largest_class_mean(self) -> float:
         """Return the mean cost of the costliest class."""
@@ -96,9 +96,9 @@
     def predict(self, class_index: int, table_group: float, estimate: float) -> float:
         """Return the predicted cost; nothing is learned from the question."""
         if estimate > 0.0:
-            return max(SMALLEST_COST_MS, estimate * self.classes[class_index].cost_ratio.mean.value)
+            return max(MIN_COST_MS, estimate * self.classes[class_index].cost_ratio.mean.value)
         cached = self.table_groups.get((class_index, table_group))
-        return max(SMALLEST_COST_MS, cached.value) if cached else self.class_mean(class_index)
+        return max(MIN_COST_MS, cached.value) if cached else self.class_mean(class_index)
 
     def learn_served(
         self,
@@ -111,17 +111,17 @@
         """Learn from a served attempt; others teach nothing, as quick errors would drag the means down."""
         statistics = self.classes[request.class_index]
         threads = request.spec.threads
-        cost = max(SMALLEST_COST_MS, work_ms if work_ms > 0.0 else latency_ms * threads)
+        cost = max(MIN_COST_MS, work_ms if work_ms > 0.0 else latency_ms * threads)
         is_bad_plan = cost >= BAD_PLAN_FACTOR * request.cost  # it tells nothing of the next attempt
         if not is_bad_plan or not statistics.cost.count:
             statistics.cost.add(cost)
             self.table_groups.add((request.class_index, request.table_group), cost)
-            statistics.cost_ratio.compare(work_ms, request.cost_estimate)
+            statistics.cost_ratio.add(work_ms, request.cost_estimate)
         if is_usable(memory_mb) and memory_mb > 0.0:
             statistics.memory_mb.add(memory_mb)
-            statistics.memory_ratio.compare(memory_mb, request.memory_estimate_mb)
-        slowness = min(LARGEST_CLASS_SLOWNESS, latency_ms * threads / cost)
-        engine.slowness.add(min(LARGEST_ENGINE_SLOWNESS, slowness / self._class_slowness(statistics)))
+            statistics.memory_ratio.add(memory_mb, request.memory_estimate_mb)
+        slowness = min(MAX_CLASS_SLOWNESS, latency_ms * threads / cost)
+        engine.slowness.add(min(MAX_ENGINE_SLOWNESS, slowness / self._class_slowness(statistics)))
         statistics.slowness.add(slowness)
         self._fleet_slowness.add(slowness)
 
@@ -129,7 +129,7 @@
         """Learn from a stopped attempt how slow its engine is at least; often nothing else shows it."""
         statistics = self.classes[request.class_index]
         slowness = ran_ms * request.spec.threads / request.cost / self._class_slowness(statistics)
-        slowness = min(LARGEST_ENGINE_SLOWNESS, slowness)
+        slowness = min(MAX_ENGINE_SLOWNESS, slowness)
         if slowness > engine.slowness.value:
             engine.slowness.add(slowness)
 
@@ -137,8 +137,10 @@
         """Return the memory to grant: the estimate, corrected, with room for its usual scatter."""
         statistics = self.classes[request.class_index]
         ratio = statistics.memory_ratio
-        by_estimate = request.memory_estimate_mb * (ratio.mean.value + GRANT_SPREADS * ratio.spread.value)
-        return by_estimate or statistics.memory_mb.value * GRANT_WITHOUT_ESTIMATE_FACTOR
+        by_estimate = request.memory_estimate_mb * (
+            ratio.mean.value + MEMORY_GRANT_SPREADS * ratio.spread.value
+        )
+        return by_estimate or statistics.memory_mb.value * MEMORY_GRANT_WITHOUT_ESTIMATE_FACTOR
 
     def expected_latency_ms(self, request: TrackedRequest) -> float:
         """Return the latency that an attempt is expected to have, by its class's slowness and the fleet's."""
@@ -148,4 +150,4 @@
 
     @staticmethod
     def _class_slowness(statistics: ClassStatistics) -> float:
-        return max(SMALLEST_SLOWNESS, statistics.slowness.value)
+        return max(MIN_SLOWNESS, statistics.slowness.value)
--- a/fordstair/decisions/engine_selection.py
+++ b/fordstair/decisions/engine_selection.py
@@ -9,7 +9,7 @@
 from fordstair.decisions.cost_model import CostModel
 from fordstair.decisions.engine_list import EngineId, EngineState
 from fordstair.decisions.load_estimation import LoadEstimator
-from fordstair.decisions.outlier_detection import BELIEVABLE_RELIABILITY, OutlierDetector
+from fordstair.decisions.outlier_detection import CREDIBLE_RELIABILITY, OutlierDetector
 from fordstair.decisions.settings import Idempotency, Settings
 from fordstair.decisions.slow_start import SlowStart
 from fordstair.decisions.tracked_engine import TrackedEngine
@@ -23,11 +23,11 @@
 # For an engine on which a load of the same tables runs, which the request would wait for or disturb.
 RUNNING_LOAD_FACTOR = 0.2
 HEALTH_CHECKS_PER_REQUEST = 0.4
-HEALTH_CHECK_CREDIT_MOST = 8.0
+MAX_HEALTH_CHECK_CREDIT = 8.0
 ENGINES_CHECKED_PER_ATTEMPT = 4
 # A report younger than the first needs no health check; the second allows for the time that a check takes.
-HEALTH_CHECK_IF_REPORT_OLDER_MS = 500.0
-REPORT_USABLE_AFTER_CHECK_MS = 700.0
+MAX_REPORT_AGE_WITHOUT_CHECK_MS = 500.0
+MAX_REPORT_AGE_AFTER_CHECK_MS = 700.0
 
 
 class EngineSelector:
@@ -60,7 +60,7 @@
     def record_arrival(self) -> None:
         """Each request earns a part of a health check: their number stays in proportion to the traffic."""
         self._health_check_credit = min(
-            HEALTH_CHECK_CREDIT_MOST, self._health_check_credit + HEALTH_CHECKS_PER_REQUEST
+            MAX_HEALTH_CHECK_CREDIT, self._health_check_credit + HEALTH_CHECKS_PER_REQUEST
         )
 
     def eligible(self, class_index: int) -> list[TrackedEngine]:
@@ -90,7 +90,7 @@
         candidates = self._candidates(request, eligible)
         if request.health_checks_considered:
             fresh = [
-                engine for engine in candidates if now - engine.reported_at <= REPORT_USABLE_AFTER_CHECK_MS
+                engine for engine in candidates if now - engine.reported_at <= MAX_REPORT_AGE_AFTER_CHECK_MS
             ]
             if len(fresh) > 1:
                 candidates = fresh
@@ -121,7 +121,7 @@
     def _needs_health_check(self, now: float, engine: TrackedEngine) -> bool:
         if self._health_check_credit < 1.0:
             return False
-        return now - max(engine.reported_at, engine.health_checked_at) >= HEALTH_CHECK_IF_REPORT_OLDER_MS
+        return now - max(engine.reported_at, engine.health_checked_at) >= MAX_REPORT_AGE_WITHOUT_CHECK_MS
 
     def _candidates(self, request: TrackedRequest, eligible: list[TrackedEngine]) -> list[TrackedEngine]:
         """Leave out engines that would not discard a duplicate, and the last one tried unless it is alone."""
@@ -129,7 +129,7 @@
         first = request.may_have_run_on
         if first is not None and request.spec.idempotency is Idempotency.WITH_KEY:
             scope = request.spec.deduplication_scope
-            candidates = [engine for engine in candidates if scope.joins(first, engine.entry)]
+            candidates = [engine for engine in candidates if scope.is_shared_by(first, engine.entry)]
         if len(candidates) > 1:
             candidates = [engine for engine in candidates if engine.entry.engine != request.last_engine]
         return candidates
@@ -175,7 +175,7 @@
         ):
             reliability = self._outliers.reliability(now, engine)
             # What fails fast or is refused looks idle: such an engine counts as loaded as the mean.
-            credible = max(threads, mean_threads if reliability < BELIEVABLE_RELIABILITY else 0.0)
+            credible = max(threads, mean_threads if reliability < CREDIBLE_RELIABILITY else 0.0)
             selection_factor = self._outliers.selection_factor(reliability, engine)
             weight = engine.cores * warm_up_factor * selection_factor
             weight /= (BASE_THREADS_PER_CORE + credible) ** LOAD_EXPONENT
--- a/fordstair/decisions/engine_tracker.py
+++ b/fordstair/decisions/engine_tracker.py
@@ -26,7 +26,7 @@
     reliability: float  # 1 without faults and silence, towards 0 with them
     warm_up_factor: float  # a lower bound on the share of its full capacity that it has
     silence_score: float
-    heard_at: float  # last sign of work done
+    last_activity_at: float  # last sign of work done
     reported_at: float  # last load report
 
 
@@ -65,25 +65,25 @@
                 self._engines[entry.engine] = engine
             engine.update(entry, self._settings)
 
-    def health_check_ended(self, now: float, engine: TrackedEngine, status: Status) -> bool:
+    def record_health_check(self, now: float, engine: TrackedEngine, status: Status) -> bool:
         """Take the end of a health check in; return whether it ejects the engine.
 
         A check without an answer counts as silence; an answer takes none back, since a shallow check shows
         hardly more than that a process runs.
         """
         if status is Status.CONNECT_FAILED:
-            self.connect_failed(now, engine)
+            self.record_connect_failure(now, engine)
         return status is not Status.OK and self._outliers.record_silence(engine)
 
-    def connect_failed(self, now: float, engine: TrackedEngine) -> None:
+    def record_connect_failure(self, now: float, engine: TrackedEngine) -> None:
         """Note that an engine took no connection: what answers there next may have just started."""
         engine.unreachable_at = now
 
-    def load_reported(self, now: float, engine: TrackedEngine, values: Sequence[float]) -> bool:
+    def record_load_report(self, now: float, engine: TrackedEngine, values: Sequence[float]) -> bool:
         """Take a load report in; return whether it ejects the engine, which is idle without reason."""
         report = self._load.read_report(now, engine, values)
         expected_threads = self._load.expected_threads(engine, report)
-        is_idle = self._outliers.is_idle_without_reason(report, expected_threads)
+        is_idle = self._outliers.is_unexpectedly_idle(report, expected_threads)
         is_ejected = False
         if is_idle and self._slow_start.warm_up_factor(now, engine) >= 1.0:
             is_ejected = self._outliers.record_idle(engine)
@@ -108,6 +108,6 @@
             reliability=reliability,
             warm_up_factor=self._slow_start.warm_up_factor(now, seen),
             silence_score=seen.silence_score,
-            heard_at=seen.heard_at,
+            last_activity_at=seen.last_activity_at,
             reported_at=seen.reported_at,
         )
--- a/fordstair/decisions/gateway.py
+++ b/fordstair/decisions/gateway.py
@@ -39,8 +39,8 @@
     TimerFired,
 )
 from fordstair.decisions.latency_objective import (
-    LATE_CHECK_MS,
-    may_be_late,
+    LATE_CHECK_INTERVAL_MS,
+    accepts_late_answer,
     objective_end,
     useful_until,
 )
@@ -97,9 +97,9 @@
         self._timers = Timers()
         self.now = 0.0  # of the latest event
         self._actions: list[Action] = []
-        self._opening_actions: list[Action] = []
+        self._initial_actions: list[Action] = []
         if settings.discovery is Discovery.POLL:
-            self._opening_actions.append(WatchEngineList())
+            self._initial_actions.append(WatchEngineList())
         self._handlers: dict[type, Callable[[Any], None]] = {
             RequestArrived: self._on_request_arrived,
             AttemptEnded: self._on_attempt_ended,
@@ -116,8 +116,8 @@
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event at its time; return the actions to carry out, in order."""
         self.now = now
-        self._actions = self._opening_actions
-        self._opening_actions = []
+        self._actions = self._initial_actions
+        self._initial_actions = []
         handler = self._handlers.get(type(event))
         if handler is not None:
             handler(event)
@@ -154,17 +154,15 @@
         engine = self.engines.get(event.engine)
         if engine is None:
             return
-        self._retry_silent_attempts_if(
-            self.tracker.health_check_ended(self.now, engine, event.status), engine
-        )
-        self._retry_silent_attempts_if(self.tracker.load_reported(self.now, engine, event.report), engine)
+        self._retry_silent_attempts(self.tracker.record_health_check(self.now, engine, event.status), engine)
+        self._retry_silent_attempts(self.tracker.record_load_report(self.now, engine, event.report), engine)
 
-    def _retry_silent_attempts_if(self, ejected: bool, engine: TrackedEngine) -> None:
+    def _retry_silent_attempts(self, ejected: bool, engine: TrackedEngine) -> None:
         """Where an engine was just ejected, cancel and retry attempts sent after its last sign of work."""
         if not ejected:
             return
         for attempt in list(self.attempts.values()):
-            if attempt.engine is engine and attempt.sent_at >= engine.heard_at:
+            if attempt.engine is engine and attempt.sent_at >= engine.last_activity_at:
                 self._cancel_for_retry(attempt)
 
     # Requests
@@ -182,7 +180,7 @@
         self.requests[request.id] = request
         reason = self.admission.rejection(self.now, request)
         if reason is not None:
-            self._end_unserved(request, reason)
+            self._reject_or_fail(request, reason)
             return
         self._start_timer(max(0.0, min(request.useful_until, objective_ends_at) - self.now), request)
         if request.binding_ordering_key:
@@ -195,7 +193,7 @@
         queue.requests.append(request)
         wait_ms = sum(self.cost_model.expected_latency_ms(queued) for queued in queue.requests)
         if self.now + wait_ms > request.deadline:
-            self._end_unserved(request, RejectionReason.ORDERING_QUEUE_TOO_LONG)
+            self._reject_or_fail(request, RejectionReason.ORDERING_QUEUE_TOO_LONG)
         else:
             self._advance(queue)
 
@@ -207,12 +205,12 @@
     def _on_request_withdrawn(self, event: RequestWithdrawn) -> None:
         request = self.requests.get(event.request)
         if request is not None:
-            self._end_unserved(request, RejectionReason.SHUTTING_DOWN)
+            self._reject_or_fail(request, RejectionReason.SHUTTING_DOWN)
 
     def _on_concurrency_limit_set(self, event: ConcurrencyLimitSet) -> None:
         self.admission.set_concurrency_limit(event.class_index, event.threads)
 
-    def _end_unserved(self, request: TrackedRequest, reason: RejectionReason) -> None:
+    def _reject_or_fail(self, request: TrackedRequest, reason: RejectionReason) -> None:
         """Give the final answer at once: a rejection where a client's retry does no harm, else a failure."""
         if request.current_attempt is not None:
             self._cancel(request.current_attempt)
@@ -253,13 +251,13 @@
         """Send the next attempt, check engines first, or end the request where no engine may have it."""
         request.awaits_health_checks = False
         if not self._retries.may_attempt(self.now, request):
-            self._end_unserved(request, RejectionReason.NO_FURTHER_ATTEMPT)
+            self._reject_or_fail(request, RejectionReason.NO_FURTHER_ATTEMPT)
             return
         if self._check_engines_first(request):
             return
         engine = self.selector.select(self.now, request)
         if engine is None:
-            self._end_unserved(request, RejectionReason.NO_ELIGIBLE_ENGINE)
+            self._reject_or_fail(request, RejectionReason.NO_ELIGIBLE_ENGINE)
         else:
             self._send(request, engine)
 
@@ -284,7 +282,7 @@
         request.last_engine = engine.entry.engine
         request.health_checks_considered = False
         self.attempts[request.id, attempt.number] = attempt
-        engine.attempt_sent(self.now, request.spec, request.table_group)
+        engine.add_attempt(self.now, request.spec, request.table_group)
         if request.binding_ordering_key:
             self._queues[request.ordering_key].attempts_in_flight += 1
         self._actions.append(SendAttempt(request.id, engine.entry.engine, begin_by=begin_by))
@@ -307,7 +305,7 @@
         attempt = self.attempts.get((event.request, event.attempt))
         if attempt is None:
             return
-        attempt.engine.heard_at = self.now
+        attempt.engine.last_activity_at = self.now
         if event.kind is not NoteKind.PROGRESS or not is_usable(event.value):
             return
         if self._monitor.has_bad_plan(self.now, attempt, event.value):
@@ -318,9 +316,9 @@
         if attempt is None:
             return
         request = attempt.request
-        attempt.engine.attempt_ended(self.now, request.spec, request.table_group)
+        attempt.engine.remove_attempt(self.now, request.spec, request.table_group)
         if request.binding_ordering_key:
-            self._queues[request.ordering_key].attempt_ended(
+            self._queues[request.ordering_key].record_attempt_end(
                 settled_at(self.now, event.status, self.settings)
             )
         self._learner.learn(self.now, attempt, event)
@@ -334,8 +332,8 @@
         if engine is None:
             return
         if event.status is Status.CONNECT_FAILED and not event.may_connect_late:
-            self.tracker.connect_failed(self.now, engine)
-        self._retry_silent_attempts_if(self.tracker.load_reported(self.now, engine, event.report), engine)
+            self.tracker.record_connect_failure(self.now, engine)
+        self._retry_silent_attempts(self.tracker.record_load_report(self.now, engine, event.report), engine)
 
     @staticmethod
     def _record_end(attempt: TrackedAttempt, status: Status) -> None:
@@ -352,7 +350,7 @@
         elif request.finished:
             return
         elif event.may_still_run:  # a further attempt would be a second one beside it
-            self._end_unserved(request, RejectionReason.ATTEMPT_MAY_STILL_RUN)
+            self._reject_or_fail(request, RejectionReason.ATTEMPT_MAY_STILL_RUN)
         else:
             self._send_next_attempt(request)
 
@@ -362,7 +360,7 @@
         self._actions.append(self._timers.start(delay_ms, target))
 
     def _on_timer_fired(self, event: TimerFired) -> None:
-        target = self._timers.fired(event.token)
+        target = self._timers.pop_target(event.token)
         if isinstance(target, OrderingQueue):
             self._advance(target)
         elif isinstance(target, TrackedAttempt):
@@ -380,17 +378,17 @@
             self._send_next_attempt(request)
         elif request.finished:
             return
-        elif may_be_late(self.now, request, self.admission.pressure(self.now, request.class_index)):
-            self._start_timer(min(LATE_CHECK_MS, request.useful_until - self.now), request)
+        elif accepts_late_answer(self.now, request, self.admission.pressure(self.now, request.class_index)):
+            self._start_timer(min(LATE_CHECK_INTERVAL_MS, request.useful_until - self.now), request)
         else:
             self.load.record_missed_objective(self.now, request.spec.priority_weight)
-            self._end_unserved(request, RejectionReason.TOO_LATE)
+            self._reject_or_fail(request, RejectionReason.TOO_LATE)
 
     def _check_attempt(self, attempt: TrackedAttempt) -> None:
         """Move an attempt whose engine is silent, or that runs overlong; else check it again."""
         if self._monitor.is_silent(attempt):
             self._cancel_for_retry(attempt)
-            self._retry_silent_attempts_if(self.outliers.record_silence(attempt.engine), attempt.engine)
+            self._retry_silent_attempts(self.outliers.record_silence(attempt.engine), attempt.engine)
         elif self._monitor.is_overlong(self.now, attempt):
             self._cancel_for_retry(attempt)
         if not attempt.cancelled:
--- a/fordstair/decisions/latency_objective.py
+++ b/fordstair/decisions/latency_objective.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from fordstair.decisions.load_estimation import BINDING_PRESSURE
+from fordstair.decisions.load_estimation import PRESSURE_THRESHOLD
 from fordstair.decisions.settings import RequestClass
 from fordstair.decisions.tracked_request import TrackedRequest
 
 # A request may take that many times its predicted work before its objective counts as missed.
 PREDICTION_SLACK = 1.5
 # Between two checks whether a late answer is still waited for.
-LATE_CHECK_MS = 250.0
+LATE_CHECK_INTERVAL_MS = 250.0
 
 
 def latency_objective_ms(spec: RequestClass, work_ms: float) -> float:
@@ -31,9 +31,9 @@
     return min(request.deadline, objective_ends_at)
 
 
-def may_be_late(now: float, request: TrackedRequest, pressure: float) -> bool:
+def accepts_late_answer(now: float, request: TrackedRequest, pressure: float) -> bool:
     """Whether an answer after the objective is waited for; asked when that has passed, and at later checks.
 
     It is while it earns anything, but not under pressure: what it occupies prolongs the overload.
     """
-    return now < request.useful_until and pressure <= BINDING_PRESSURE
+    return now < request.useful_until and pressure <= PRESSURE_THRESHOLD
--- a/fordstair/decisions/load_estimation.py
+++ b/fordstair/decisions/load_estimation.py
@@ -12,21 +12,21 @@
 from fordstair.decisions.tracked_engine import TrackedEngine
 
 # Threads a core at which pressure starts, and at which it is full.
-CALM_THREADS_PER_CORE = 1.2
-FULL_THREADS_PER_CORE = 2.0
+THREADS_PER_CORE_AT_ZERO_PRESSURE = 1.2
+THREADS_PER_CORE_AT_FULL_PRESSURE = 2.0
 # Latency over its objective at which pressure starts, and at which it is full; the most that a sample counts.
-CALM_LATENESS = 0.35
-FULL_LATENESS = 1.0
-LARGEST_LATENESS = 2.0
+LATENESS_AT_ZERO_PRESSURE = 0.35
+LATENESS_AT_FULL_PRESSURE = 1.0
+MAX_LATENESS = 2.0
 # From here on, pressure makes quotas and objectives bind.
-BINDING_PRESSURE = 0.05
+PRESSURE_THRESHOLD = 0.05
 REPORT_HALF_LIFE_MS = 4_000.0
 # After a pause this long, an engine's next report replaces what was known of other coordinators' threads.
 REPORT_EXPIRY_MS = 2_000.0
 BUSY_CORES_PER_THREAD = 0.75
 # An engine that slows down looks idle while it fills up: from this many times the threads by its utilisation,
 # those by its number of queries are believed.
-COUNT_OVER_UTILISATION = 2.0
+MAX_COUNT_TO_UTILISATION_RATIO = 2.0
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
         self._settings = settings
         self._slow_start = slow_start
         self._mean_threads = sum(spec.threads for spec in settings.classes) / len(settings.classes)
-        self.others_per_core = PooledMean()  # threads a core of other coordinators
+        self.other_threads_per_core = PooledMean()  # threads a core of other coordinators
         self.lateness = PooledMean()  # latency over its objective
         self._utilised_threads = PooledMean()
         self._queries = PooledMean()
@@ -53,8 +53,8 @@
     def threads_per_core(self, now: float, engine: TrackedEngine) -> float:
         """Return an engine's load: own threads, and others' by a report that fades into the fleet's mean."""
         trust: float = 0.5 ** max(0.0, (now - engine.reported_at) / REPORT_HALF_LIFE_MS)
-        pooled_age = max(0.0, (now - self.others_per_core.updated_at) / REPORT_HALF_LIFE_MS)
-        pooled: float = self.others_per_core.value * 0.5**pooled_age
+        pooled_age = max(0.0, (now - self.other_threads_per_core.updated_at) / REPORT_HALF_LIFE_MS)
+        pooled: float = self.other_threads_per_core.value * 0.5**pooled_age
         reported = trust * max(0.0, engine.other_threads.value)
         return (engine.own_threads + reported) / engine.cores + (1.0 - trust) * pooled
 
@@ -69,19 +69,23 @@
         """
         threads = sum(self.threads_per_core(now, engine) * engine.cores for engine in engines)
         load = threads / max(1.0, capacity)
-        by_load = (load - CALM_THREADS_PER_CORE) / (FULL_THREADS_PER_CORE - CALM_THREADS_PER_CORE)
+        by_load = (load - THREADS_PER_CORE_AT_ZERO_PRESSURE) / (
+            THREADS_PER_CORE_AT_FULL_PRESSURE - THREADS_PER_CORE_AT_ZERO_PRESSURE
+        )
         lateness_age = (now - self.lateness.updated_at) / REPORT_HALF_LIFE_MS
         lateness: float = self.lateness.value * 0.5**lateness_age
-        by_lateness = (lateness - CALM_LATENESS) / (FULL_LATENESS - CALM_LATENESS)
+        by_lateness = (lateness - LATENESS_AT_ZERO_PRESSURE) / (
+            LATENESS_AT_FULL_PRESSURE - LATENESS_AT_ZERO_PRESSURE
+        )
         return min(1.0, max(0.0, by_lateness, by_load))
 
     def record_latency(self, now: float, latency_ms: float, objective_ms: float, weight: float) -> None:
         """Take the latency of a served attempt in, weighted by its class."""
-        self.lateness.add_at(now, min(LARGEST_LATENESS, latency_ms / max(1.0, objective_ms)), weight)
+        self.lateness.add_at(now, min(MAX_LATENESS, latency_ms / max(1.0, objective_ms)), weight)
 
     def record_missed_objective(self, now: float, weight: float) -> None:
         """Take in that a request was given up as too late: overload shows here first."""
-        self.lateness.add_at(now, FULL_LATENESS, weight)
+        self.lateness.add_at(now, LATENESS_AT_FULL_PRESSURE, weight)
 
     def read_report(self, now: float, engine: TrackedEngine, report: Sequence[float]) -> LoadReport:
         """Return the report that came from an engine, its values in the order that the settings name."""
@@ -99,7 +103,7 @@
 
     def expected_threads(self, engine: TrackedEngine, report: LoadReport) -> float:
         """Return the threads that an engine should run at least: own ones, or as many as other engines."""
-        return max(report.own_threads, self.others_per_core.value * engine.cores)
+        return max(report.own_threads, self.other_threads_per_core.value * engine.cores)
 
     def record_report(self, now: float, engine: TrackedEngine, report: LoadReport) -> None:
         """Learn the threads of other coordinators from a report; one that tells nothing is passed over."""
@@ -111,7 +115,7 @@
             engine.other_threads.count = 0
         engine.other_threads.add(others)
         engine.reported_at = now
-        self.others_per_core.add_at(now, max(0.0, others) / engine.cores)
+        self.other_threads_per_core.add_at(now, max(0.0, others) / engine.cores)
 
     def _reported_threads(self, now: float, engine: TrackedEngine, report: LoadReport) -> float:
         if math.isnan(report.utilised_threads):
@@ -123,6 +127,6 @@
         self._utilised_threads.add_at(now, report.utilised_threads)
         self._queries.add_at(now, report.queries)
         by_count = report.queries * self._utilised_threads.value / max(1.0, self._queries.value)
-        if by_count > COUNT_OVER_UTILISATION * report.utilised_threads:
+        if by_count > MAX_COUNT_TO_UTILISATION_RATIO * report.utilised_threads:
             return by_count
         return report.utilised_threads
--- a/fordstair/decisions/request_ordering.py
+++ b/fordstair/decisions/request_ordering.py
@@ -35,7 +35,7 @@
     settles_at: float = -math.inf
     is_advancing: bool = False  # guards against advancing anew from within, when the head is rejected
 
-    def attempt_ended(self, settles_at: float) -> None:
+    def record_attempt_end(self, settles_at: float) -> None:
         """Count an attempt that has ended; nothing more of the key is sent until it has settled."""
         self.attempts_in_flight -= 1
         self.settles_at = max(self.settles_at, settles_at)
--- a/fordstair/decisions/retries.py
+++ b/fordstair/decisions/retries.py
@@ -15,12 +15,12 @@
 # Share of the span in which engines discard duplicates; the rest is margin for clocks and transit.
 USABLE_DEDUPLICATION_SHARE = 0.9
 # Engines that may answer with an error before the request itself counts as at fault.
-ERRORS_MOST = 2
+MAX_ENGINE_ERRORS = 2
 # An attempt is not begun unless this share of its predicted work still fits into the time left.
-SMALLEST_WORK_SHARE_LEFT = 0.5
+MIN_WORK_SHARE_IN_TIME = 0.5
 DEFAULT_RETRY_BUDGET = RetryBudget(base_retries=1.0, ratio=0.5, window_ms=5_000.0)
 # Arrivals are counted over a window shorter by this, retries over one longer: rounding exceeds no budget.
-WINDOW_EDGE_MS = 1.0
+WINDOW_ROUNDING_MS = 1.0
 
 
 def may_have_run(request: TrackedRequest) -> bool:
@@ -66,9 +66,9 @@
     """Says whether a request may have one more attempt, its first one included."""
 
     def __init__(self, settings: Settings) -> None:
-        self._attempts_most = settings.max_attempts
+        self._max_attempts = settings.max_attempts
         self._budget = settings.retry_budget or DEFAULT_RETRY_BUDGET
-        window_ms = self._budget.window_ms + 2.0 * WINDOW_EDGE_MS
+        window_ms = self._budget.window_ms + 2.0 * WINDOW_ROUNDING_MS
         self._arrivals = SlidingWindowCounter(window_ms)
         self._retries = SlidingWindowCounter(window_ms)
 
@@ -86,12 +86,12 @@
         Asked before each attempt, and before one is cancelled in order to try elsewhere. False ends the
         request, or leaves the running attempt alone.
         """
-        if request.attempts_sent >= self._attempts_most:
+        if request.attempts_sent >= self._max_attempts:
             return False
-        work_ms = SMALLEST_WORK_SHARE_LEFT * request.cost / request.spec.threads
+        work_ms = MIN_WORK_SHARE_IN_TIME * request.cost / request.spec.threads
         if now + work_ms > request.useful_until:
             return False
-        if len(request.engines_with_errors) >= ERRORS_MOST:
+        if len(request.engines_with_errors) >= MAX_ENGINE_ERRORS:
             return False
         if must_not_be_retried(request) or now > latest_retry_start(request):
             return False
@@ -99,6 +99,6 @@
 
     def _budget_allows(self, now: float) -> bool:
         window_start = now - self._budget.window_ms
-        arrivals = self._arrivals.since(window_start + WINDOW_EDGE_MS)
-        retries = self._retries.since(window_start - WINDOW_EDGE_MS)
+        arrivals = self._arrivals.count_since(window_start + WINDOW_ROUNDING_MS)
+        retries = self._retries.count_since(window_start - WINDOW_ROUNDING_MS)
         return retries + 1 <= self._budget.base_retries + self._budget.ratio * arrivals
--- a/fordstair/decisions/settings.py
+++ b/fordstair/decisions/settings.py
@@ -24,7 +24,7 @@
     ZONE = "zone"
     CELL = "cell"
 
-    def joins(self, one: EngineEntry, other: EngineEntry) -> bool:
+    def is_shared_by(self, one: EngineEntry, other: EngineEntry) -> bool:
         """Whether two engines share it."""
         if self is DeduplicationScope.ALL:
             return True
@@ -62,7 +62,7 @@
     waits_for_loads: bool = False  # waits for loads of its table group at its engine
 
     def __post_init__(self) -> None:
-        _check(
+        _check_not_negative(
             f"classes.{self.name}",
             self,
             "latency_objective_ms",
@@ -90,7 +90,7 @@
     quota_per_s: float = 0.0
 
     def __post_init__(self) -> None:
-        _check(f"tenants.{self.name}", self, "quota_per_s")
+        _check_not_negative(f"tenants.{self.name}", self, "quota_per_s")
 
 
 @dataclass(slots=True, frozen=True)
@@ -102,7 +102,7 @@
     window_ms: float
 
     def __post_init__(self) -> None:
-        _check("retry_budget", self, "base_retries", "ratio", "window_ms")
+        _check_not_negative("retry_budget", self, "base_retries", "ratio", "window_ms")
 
 
 @dataclass(slots=True, frozen=True)
@@ -141,7 +141,7 @@
     slow_start_window_ms: float = 1000.0  # over which the overload factor is measured
 
     def __post_init__(self) -> None:
-        _check(
+        _check_not_negative(
             "settings",
             self,
             "largest_memory_grant_share",
@@ -162,7 +162,7 @@
             raise ValueError("settings.classes: at least one class is needed")
 
 
-def _check(where: str, settings: object, *names: str) -> None:
+def _check_not_negative(where: str, settings: object, *names: str) -> None:
     for name in names:
         value = getattr(settings, name)
         if not math.isfinite(value) or value < 0:
--- a/fordstair/decisions/slow_start.py
+++ b/fordstair/decisions/slow_start.py
@@ -10,13 +10,13 @@
 
 from fordstair.decisions.cost_model import CostModel
 from fordstair.decisions.settings import Settings
-from fordstair.decisions.statistics import SLOWEST_POOLED_STEP, RunningMean
+from fordstair.decisions.statistics import MIN_POOLED_STEP, RunningMean
 from fordstair.decisions.tracked_engine import TrackedEngine
 from fordstair.decisions.tracked_request import TrackedRequest
 
 # A request is light if it takes at most this share of the budget with which an engine starts.
 LIGHT_BUDGET_SHARE = 0.08
-SMALLEST_LIGHT_WORK_SHARE = 0.1
+MIN_LIGHT_WORK_SHARE = 0.1
 # From this warm-up factor on, requests of any cost may go to an engine.
 ANY_COST_WARM_UP_FACTOR = 0.6
 USABLE_BUDGET_SHARE = 1.0
@@ -33,11 +33,11 @@
         self._settings = settings
         self._cost_model = cost_model
         self._light_cost = RunningMean(
-            SLOWEST_POOLED_STEP
+            MIN_POOLED_STEP
         )  # of all requests, with 0 for those that are not light
         kinds = settings.cores_by_kind
         mean_cores = sum(kinds) / max(1, len(kinds))
-        self._light_cost_most = (
+        self._max_light_cost = (
             LIGHT_BUDGET_SHARE
             * settings.slow_start_overload_factor
             * settings.slow_start_initial_capacity
@@ -47,7 +47,7 @@
 
     def record_arrival(self, cost: float) -> None:
         """Learn how much of the work that arrives is light; the cost is in thread-milliseconds."""
-        self._light_cost.add(cost if cost <= self._light_cost_most else 0.0)
+        self._light_cost.add(cost if cost <= self._max_light_cost else 0.0)
 
     def warm_up_factor(self, now: float, engine: TrackedEngine) -> float:
         """Return the share of its full capacity that an engine surely has: 1 once it is warm.
@@ -78,10 +78,10 @@
         engines only they warm an engine up, and others get 0 until it is warm enough.
         """
         settings = self._settings
-        if not all_warming_up and request.cost <= self._light_cost_most:
-            largest_cost = self._light_cost_most
+        if not all_warming_up and request.cost <= self._max_light_cost:
+            largest_cost = self._max_light_cost
             light_share = self._light_cost.value / max(1.0, self._cost_model.typical_cost.value)
-            work_share = max(SMALLEST_LIGHT_WORK_SHARE, light_share)
+            work_share = max(MIN_LIGHT_WORK_SHARE, light_share)
         elif all_warming_up or warm_up_factor >= ANY_COST_WARM_UP_FACTOR:
             largest_cost = self._cost_model.largest_class_mean()
             work_share = 1.0
--- a/fordstair/decisions/statistics.py
+++ b/fordstair/decisions/statistics.py
@@ -7,10 +7,10 @@
 from collections import OrderedDict, deque
 
 # Weight of one sample in a pooled mean: by the time since the last one, within these bounds.
-SLOWEST_POOLED_STEP = 0.02
-FASTEST_POOLED_STEP = 0.15
-LARGEST_WEIGHTED_STEP = 0.5
-POOLED_MEMORY_MS = 2_000.0
+MIN_POOLED_STEP = 0.02
+MAX_POOLED_STEP = 0.15
+MAX_WEIGHTED_STEP = 0.5
+POOLED_MEAN_SPAN_MS = 2_000.0
 
 
 def is_usable(value: float) -> bool:
@@ -40,13 +40,13 @@
     __slots__ = ("updated_at",)
 
     def __init__(self) -> None:
-        super().__init__(SLOWEST_POOLED_STEP)
+        super().__init__(MIN_POOLED_STEP)
         self.updated_at = 0.0
 
     def add_at(self, now: float, sample: float, weight: float = 1.0) -> None:
         """Take one sample in at a time in ms; a heavier one counts by the root of its weight."""
-        step = min(FASTEST_POOLED_STEP, max(SLOWEST_POOLED_STEP, (now - self.updated_at) / POOLED_MEMORY_MS))
-        self.step = min(LARGEST_WEIGHTED_STEP, step * math.sqrt(weight))
+        step = min(MAX_POOLED_STEP, max(MIN_POOLED_STEP, (now - self.updated_at) / POOLED_MEAN_SPAN_MS))
+        self.step = min(MAX_WEIGHTED_STEP, step * math.sqrt(weight))
         self.updated_at = now
         self.add(sample)
 
@@ -83,7 +83,7 @@
         self.spread = RunningMean(step)
         self.largest = largest
 
-    def compare(self, actual: float, estimate: float) -> None:
+    def add(self, actual: float, estimate: float) -> None:
         """Take one pair in; an extreme one counts as the largest ratio allowed."""
         if actual > 0.0 and estimate > 0.0:
             ratio = min(self.largest, actual / estimate)
@@ -106,6 +106,6 @@
         while self.times[0] < now - self.span_ms:
             self.times.popleft()
 
-    def since(self, start: float) -> int:
+    def count_since(self, start: float) -> int:
         """Return how many events happened at or after that time."""
         return len(self.times) - bisect_left(self.times, start)
--- a/fordstair/decisions/timers.py
+++ b/fordstair/decisions/timers.py
@@ -24,6 +24,6 @@
         self._targets[self._last_token] = target
         return StartTimer(self._last_token, delay_ms)
 
-    def fired(self, token: int) -> TimerTarget | None:
+    def pop_target(self, token: int) -> TimerTarget | None:
         """Return what a timer was for; None for a token that was never given, or has fired already."""
         return self._targets.pop(token, None)
--- a/fordstair/decisions/tracked_engine.py
+++ b/fordstair/decisions/tracked_engine.py
@@ -9,7 +9,7 @@
 from fordstair.decisions.settings import RequestClass, Settings
 from fordstair.decisions.statistics import RunningMean
 
-CORES_IF_UNKNOWN = 1.0
+DEFAULT_CORES = 1.0
 ERROR_RATE_STEP = 0.15
 SLOWNESS_STEP = 0.15
 SLOWNESS_PRIOR_SAMPLES = 10
@@ -34,13 +34,13 @@
     cores: float = 0.0
     memory_mb: float = 0.0
     own_threads: int = 0  # of own attempts in flight
-    own_threads_before: int = 0  # the same, a moment before the latest change
-    threads_noted_at: float = -math.inf
+    own_threads_snapshot: int = 0  # the same, a moment before the latest change
+    threads_snapshot_at: float = -math.inf
     scores_decayed_at: float = 0.0
     own_attempts: int = 0  # in flight
     reported_at: float = -math.inf
     health_checked_at: float = -math.inf
-    heard_at: float = -math.inf  # last sign of work done
+    last_activity_at: float = -math.inf  # last sign of work done
     unreachable_at: float = 0.0  # when it last took no connection
     silence_score: float = 0.0
     own_loads: dict[float, int] = field(default_factory=dict)  # own loads in flight, by table group
@@ -57,24 +57,26 @@
         known_cores = settings.cores_by_kind
         known_memory = settings.memory_mb_by_kind
         cores = known_cores[kind] if kind < len(known_cores) else entry.weight
-        self.cores = cores if math.isfinite(cores) and cores > 0.0 else CORES_IF_UNKNOWN
+        self.cores = cores if math.isfinite(cores) and cores > 0.0 else DEFAULT_CORES
         self.memory_mb = known_memory[kind] if kind < len(known_memory) else 0.0
 
     def threads_at_report(self, now: float) -> int:
         """Return the own threads that a report arriving now has most likely seen."""
-        return self.own_threads_before if now - self.threads_noted_at < REPORT_LAG_MS else self.own_threads
+        return (
+            self.own_threads_snapshot if now - self.threads_snapshot_at < REPORT_LAG_MS else self.own_threads
+        )
 
-    def attempt_sent(self, now: float, spec: RequestClass, table_group: float) -> None:
+    def add_attempt(self, now: float, spec: RequestClass, table_group: float) -> None:
         """Count an attempt that goes out."""
-        self._note_threads(now)
+        self._snapshot_threads(now)
         self.own_threads += spec.threads
         self.own_attempts += 1
         if spec.is_load:
             self.own_loads[table_group] = self.own_loads.get(table_group, 0) + 1
 
-    def attempt_ended(self, now: float, spec: RequestClass, table_group: float) -> None:
+    def remove_attempt(self, now: float, spec: RequestClass, table_group: float) -> None:
         """Count an attempt that has ended."""
-        self._note_threads(now)
+        self._snapshot_threads(now)
         self.own_threads -= spec.threads
         self.own_attempts -= 1
         if spec.is_load:
@@ -82,7 +84,7 @@
             if not self.own_loads[table_group]:
                 del self.own_loads[table_group]
 
-    def _note_threads(self, now: float) -> None:
-        if now - self.threads_noted_at >= REPORT_LAG_MS:
-            self.own_threads_before = self.own_threads
-            self.threads_noted_at = now
+    def _snapshot_threads(self, now: float) -> None:
+        if now - self.threads_snapshot_at >= REPORT_LAG_MS:
+            self.own_threads_snapshot = self.own_threads
+            self.threads_snapshot_at = now
--- a/fordstair/routing/zone_outlier_detection.py
+++ b/fordstair/routing/zone_outlier_detection.py
@@ -15,14 +15,14 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-MISSING_ENGINES = 3  # engines of a zone that must miss, or all but one where it has fewer
-MIN_MISSING_ENGINES = 2  # one engine alone tells nothing of its zone
+MISSING_ENGINES_TO_EJECT = 3  # engines of a zone that must miss, or all but one where it has fewer
+MIN_MISSING_ENGINES_TO_EJECT = 2  # one engine alone tells nothing of its zone
 ZONE_SILENCE_MS = 300.0  # without any response from the zone, before its misses count together
 ATTEMPT_SILENCE_MS = 700.0  # a sound engine answers each poll within 250 ms
 BASE_EJECTION_MS = 1_000.0
 MAX_EJECTION_MS = 4_000.0
 EJECTION_GROWTH = 2.0  # each time that a trial was in vain
-OTHER_ZONE_HEARD_MS = (
+OTHER_ZONE_RESPONSE_MS = (
     1_000.0  # another zone must have responded within: else this coordinator is cut off itself
 )
 UNKNOWN_ZONE = -1
@@ -44,9 +44,9 @@
         return self.ejected_until_ms > 0.0
 
     @property
-    def missing_needed(self) -> int:
+    def missing_to_eject(self) -> int:
         """How many of its engines must be missing before it is ejected."""
-        return max(MIN_MISSING_ENGINES, min(MISSING_ENGINES, len(self.engines) - 1))
+        return max(MIN_MISSING_ENGINES_TO_EJECT, min(MISSING_ENGINES_TO_EJECT, len(self.engines) - 1))
 
 
 class ZoneOutlierDetector:
@@ -115,12 +115,12 @@
 
     def _is_outlier(self, zone: ZoneState, now_ms: float) -> bool:
         """Whether a zone is silent, with enough engines missing, while another zone responds."""
-        if zone.ejected or len(zone.missing) < zone.missing_needed:
+        if zone.ejected or len(zone.missing) < zone.missing_to_eject:
             return False
         if now_ms - zone.last_response_ms < ZONE_SILENCE_MS:
             return False
         return any(
-            now_ms - other.last_response_ms <= OTHER_ZONE_HEARD_MS and not other.ejected
+            now_ms - other.last_response_ms <= OTHER_ZONE_RESPONSE_MS and not other.ejected
             for other in self.zones.values()
             if other is not zone
         )
--- a/fordstair/snapshots/collector.py
+++ b/fordstair/snapshots/collector.py
@@ -122,7 +122,7 @@
             known.reliability,
             known.warm_up_factor,
             known.silence_score,
-            now_ms - known.heard_at,
+            now_ms - known.last_activity_at,
         )
         return EngineView(
             name,
@@ -137,7 +137,7 @@
             round(known.reliability, 3),
             round(known.warm_up_factor, 2),
             round(known.silence_score, 2),
-            self._unix(known.heard_at),
+            self._unix(known.last_activity_at),
             self._unix(known.reported_at),
             supports_priorities=engine.protocol != "odata",
         )
--- a/fordstair/snapshots/engine_states.py
+++ b/fordstair/snapshots/engine_states.py
@@ -4,7 +4,7 @@
 
 from fordstair.core.ports import Engine
 from fordstair.decisions.engine_list import EngineState
-from fordstair.decisions.outlier_detection import BELIEVABLE_RELIABILITY
+from fordstair.decisions.outlier_detection import CREDIBLE_RELIABILITY
 from fordstair.snapshots.views import EngineDisplayState
 
 RECENT_WORK_MS = 1_000.0  # an engine that worked within that time is not called silent
@@ -25,7 +25,7 @@
         return "avoided"
     if engine.entry.state is not EngineState.READY:
         return "draining"
-    if reliability < BELIEVABLE_RELIABILITY:  # below it the decision module takes low load there for a fault
+    if reliability < CREDIBLE_RELIABILITY:  # below it the decision module takes low load there for a fault
         if silence_score < MIN_SILENCE_SCORE:
             return "failing"
         return "silent" if since_response_ms > RECENT_WORK_MS else "doubted"
--- a/tests/decisions/recording.py
+++ b/tests/decisions/recording.py
@@ -50,7 +50,7 @@
 BAD_ENGINE_SHARE = 0.2
 
 # An outcome's statuses with their weights: at a sound engine, and at a faulty one.
-SOUND_STATUSES = (
+HEALTHY_STATUSES = (
     (Status.OK, 94.0),
     (Status.ERROR, 1.0),
     (Status.FULL, 1.5),
@@ -141,7 +141,7 @@
         self.event_count += 1
         for action in actions:
             self._digest.update(encode(action))
-            self._carry_out(action)
+            self._execute(action)
         self._digest.update(b"|")
         if self.event_count % EVENTS_PER_DIGEST == 0:
             self.digests.append(self._digest.hexdigest()[:16])
@@ -188,7 +188,7 @@
         elif fate < 0.04:
             self._schedule(self.random.uniform(1.0, 2_000.0), RequestWithdrawn(request))
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case SendAttempt(request, engine):
                 self._send(request, engine)
@@ -216,7 +216,7 @@
         self._attempt_counts[request] = attempt + 1
         self._outstanding[request, attempt] = (engine, self.now)
         faulty = int(engine.rpartition(":")[2]) % 5 == int(self.now / PHASE_MS) % 5
-        statuses = FAULTY_STATUSES if faulty else SOUND_STATUSES
+        statuses = FAULTY_STATUSES if faulty else HEALTHY_STATUSES
         status = self.random.choices([s for s, _ in statuses], [w for _, w in statuses])[0]
         latency_ms = self.random.lognormvariate(5.0, 1.0) * (4.0 if faulty else 1.0)
         if status in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_STARTED):
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -176,7 +176,7 @@
 def test_bad_plan_without_notes_is_cut_by_elapsed_time() -> None:
     rig = Rig(settings(classes=(HEAVY,)))
     r = rig.ask(0, 2000.0, time_left_ms=20000.0)
-    rig.gateway.engines[rig.sends(r)[0].engine].heard_at = rig.now + 1.0  # it answers others
+    rig.gateway.engines[rig.sends(r)[0].engine].last_activity_at = rig.now + 1.0  # it answers others
     rig.pass_time(2900.0)
     assert not rig.cancels(r)
     rig.pass_time(2500.0)
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -21,7 +21,7 @@
 from fordstair.core.ports import Engine
 from fordstair.decisions.engine_list import ListUpdateKind
 from fordstair.decisions.events import Status
-from fordstair.decisions.outlier_detection import BELIEVABLE_RELIABILITY
+from fordstair.decisions.outlier_detection import CREDIBLE_RELIABILITY
 from fordstair.lab.machine import Job, Machine
 from fordstair.logs.handler import EventLogHandler
 from fordstair.logs.repeat_filter import RepeatFilter
@@ -163,7 +163,7 @@
             if view.state == "ready":
                 assert watched.gateway.slow_start.warm_up_factor(watched.gateway.now, believed) >= 1.0
                 assert (
-                    0.2 ** min(3.0, believed.silence_score) >= BELIEVABLE_RELIABILITY - 1e-9
+                    0.2 ** min(3.0, believed.silence_score) >= CREDIBLE_RELIABILITY - 1e-9
                     or believed.scores_decayed_at < now - 250.0
                 )
     assert sent[0] == sent[1]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,7 +6,7 @@
 
 from fordstair.decisions.actions import CheckHealth
 from fordstair.decisions.engine_list import EngineState, ListUpdateKind
-from fordstair.decisions.engine_selection import ENGINES_CHECKED_PER_ATTEMPT, HEALTH_CHECK_CREDIT_MOST
+from fordstair.decisions.engine_selection import ENGINES_CHECKED_PER_ATTEMPT, MAX_HEALTH_CHECK_CREDIT
 from fordstair.decisions.events import EngineListChanged, HealthCheckEnded, RequestArrived, Status
 from fordstair.decisions.gateway import HEALTH_CHECK_WAIT_MS
 from fordstair.decisions.settings import RetryBudget, Tenant
@@ -133,7 +133,7 @@
         r = rig.ask(SAFE, 1000.0)
         rig.pass_time(HEALTH_CHECK_WAIT_MS + 1.0)
         assert rig.sends(r) or rig.answers(r)
-    assert len(rig.of(CheckHealth)) <= HEALTH_CHECK_CREDIT_MOST + 0.4 * 100
+    assert len(rig.of(CheckHealth)) <= MAX_HEALTH_CHECK_CREDIT + 0.4 * 100
 
 
 def test_an_idle_gateway_sets_no_timers_and_sends_no_probes() -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -22,7 +22,7 @@
 from fordstair.routing.zone_outlier_detection import (
     BASE_EJECTION_MS,
     MAX_EJECTION_MS,
-    OTHER_ZONE_HEARD_MS,
+    OTHER_ZONE_RESPONSE_MS,
     ZONE_SILENCE_MS,
     ZoneOutlierDetector,
 )
@@ -66,7 +66,7 @@
 
 
 def test_who_hears_nobody_is_cut_off_itself_and_avoids_nothing() -> None:
-    told, now = halls(), OTHER_ZONE_HEARD_MS + 1.0
+    told, now = halls(), OTHER_ZONE_RESPONSE_MS + 1.0
     assert not any(told.record_miss(now, engine) for engine in ENGINES)
 
 
@@ -77,7 +77,7 @@
         assert [told.record_miss(now, f"{hall}{n}") for n in range(3)] == [False, False, True]
     told.record_response(now, "c0")
     assert not any(
-        told.record_miss(now + OTHER_ZONE_HEARD_MS + 1.0, f"c{n}") for n in range(4)
+        told.record_miss(now + OTHER_ZONE_RESPONSE_MS + 1.0, f"c{n}") for n in range(4)
     )  # there is no other way
     while len(holds) < 4:
         until = told.zones[0].ejected_until_ms
