--- a/fordstair/decisions/actions.py
+++ b/fordstair/decisions/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the decision module answers an event with; its host carries them out in order."""
+"""Actions that the decision module returns for an event; its host executes them in order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a request got its final answer without being served; the texts go to clients and consoles."""
+    """Reason for a final answer to a request that is not served; the texts go to clients and consoles."""
 
     OVER_QUOTA = "over the team's share"
     OVER_CONCURRENCY_LIMIT = "over the limit set here"
@@ -27,17 +27,23 @@
 
 @dataclass(slots=True, frozen=True)
 class SendAttempt:
-    """Send the request's next attempt."""
+    """Send the request's next attempt.
+
+    Attributes:
+        limit_ms: Time limit of the attempt; 0, all that the gateway sets, means the client's deadline.
+        begin_by: Latest time at which the attempt may begin; after it, engines may have forgotten an earlier
+            run of the request.
+    """
 
     request: int
     engine: EngineId
-    limit_ms: float = 0.0  # 0: until the client's deadline; the gateway sets no other
-    begin_by: float = math.inf  # after that it must not begin: engines may have forgotten an earlier run
+    limit_ms: float = 0.0
+    begin_by: float = math.inf
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: rejected; a retry does no harm."""
+    """Give the final answer "rejected"; a retry by the client is safe."""
 
     request: int
     retry_after_ms: float = 0.0
@@ -46,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Final answer: failed; nothing is promised about the effect."""
+    """Give the final answer "failed"; the request may or may not have had its effect."""
 
     request: int
     reason: RejectionReason | str = ""
@@ -54,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop one attempt."""
+    """Cancel one attempt."""
 
     request: int
     attempt: int
@@ -62,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetQueryResources:
-    """Set memory (0: the engine's choice) and priority (0 to 3) of the next attempt, and of running ones."""
+    """Set memory (0: the engine's choice) and priority (0 to 3) of the next attempt and of running ones."""
 
     request: int
     memory_mb: float = 0.0
@@ -71,7 +77,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartTimer:
-    """Ask for a TimerFired after the delay."""
+    """Request a TimerFired event after the delay."""
 
     token: int
     delay_ms: float
@@ -101,7 +107,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """A line for the operators."""
+    """Log a line for the operators."""
 
     text: str
 
--- a/fordstair/decisions/admission.py
+++ b/fordstair/decisions/admission.py
@@ -1,8 +1,8 @@
-"""Admission: whether a request that arrives is admitted or rejected at once, and why.
+"""Admission policy: admits an arriving request, or rejects it at once with a reason.
 
-Rules in order: the tenant's quota, the operator's limit on its class, this coordinator's part of the fleet's
-threads (one over the number of coordinators), and the rate of expensive requests. Quota and rate bind under
-pressure only.
+The rules are applied in this order: the tenant's quota, the operator's concurrency limit on the class, this
+coordinator's share of the fleet's threads (one over the number of coordinators), and the rate of expensive
+requests. The quota and the rate are enforced under pressure only.
 """
 
 from __future__ import annotations
@@ -20,25 +20,31 @@
 from fordstair.decisions.tracked_request import TrackedAttempt, TrackedRequest
 
 BURST_S = 1.0
-MIN_TENANT_BURST_REQUESTS = 4.0  # requests
-MIN_EXPENSIVE_BURST_REQUESTS = 1.0  # requests
-# Times its class's mean cost from which a request is expensive: when calm, and under full pressure.
+MIN_TENANT_BURST_REQUESTS = 4.0
+MIN_EXPENSIVE_BURST_REQUESTS = 1.0
+# A request is expensive above this multiple of its class's mean cost, which falls as pressure rises.
 EXPENSIVE_FACTOR_AT_ZERO_PRESSURE = 3.0
 EXPENSIVE_FACTOR_AT_FULL_PRESSURE = 0.3
-# Own threads in flight a core of this coordinator's part; above it, throughput falls.
+# Own threads in flight per core of this coordinator's share of the fleet; throughput falls above it.
 THREADS_PER_CORE = 2.0
 THREADS_FACTOR_AT_ZERO_PRESSURE = 1.8
 HIGH_PRIORITY_THREADS_FACTOR = 1.3
 COSTLY_REQUEST_THREADS_FACTOR = 0.6
-# A lower bound on the limit on threads, for fleets in which each coordinator's part is under one query.
+# Lower bound of the thread limit, for fleets in which each coordinator's share is less than one query.
 MIN_QUERIES_IN_FLIGHT = 2.0
-# Retry-After of a rejection, over the largest that the settings allow: when calm, and what pressure adds.
+# Retry-After as a share of the configured maximum: without pressure, and the addition at full pressure.
 RETRY_AFTER_SHARE_AT_ZERO_PRESSURE = 0.25
 RETRY_AFTER_SHARE_ADDED_BY_PRESSURE = 0.75
 
 
 class AdmissionPolicy:
-    """Decides on requests when they arrive; quotas are this coordinator's part of the fleet's."""
+    """Decides whether an arriving request is admitted.
+
+    Quotas are enforced on this coordinator's share of the fleet's quotas.
+
+    Attributes:
+        concurrency_limits: Operators' limits on the threads in flight, by class index.
+    """
 
     def __init__(
         self,
@@ -57,16 +63,16 @@
         self._selector = selector
         self._tenant_buckets = [TokenBucket() for _ in settings.tenants]
         self._expensive_buckets = [TokenBucket() for _ in settings.classes]
-        self.concurrency_limits: dict[int, int] = {}  # threads, by class, as an operator has set
+        self.concurrency_limits: dict[int, int] = {}
 
     def set_concurrency_limit(self, class_index: int, threads: int | None) -> None:
-        """Limit the threads that a class may have in flight; None lifts the limit."""
+        """Limit the threads that a class may have in flight; None removes the limit."""
         self.concurrency_limits.pop(class_index, None)
         if threads is not None:
             self.concurrency_limits[class_index] = threads
 
     def rejection(self, now: float, request: TrackedRequest) -> RejectionReason | None:
-        """Return why a request that arrives now is rejected; None to admit it."""
+        """Return the reason to reject a request that arrives now, or None to admit it."""
         engines = self._selector.eligible(request.class_index)
         capacity = self._load.capacity(now, engines)
         pressure = self._load.pressure(now, engines, capacity)
@@ -81,7 +87,7 @@
         return None
 
     def has_capacity(self, now: float, request: TrackedRequest) -> bool:
-        """Whether the limits on threads would admit a request now; nothing is changed by the question."""
+        """Return whether an engine is eligible and the thread limits admit a request; changes no state."""
         engines = self._selector.eligible(request.class_index)
         if not engines or self._is_over_concurrency_limit(request):
             return False
@@ -90,12 +96,12 @@
         return not self._is_over_own_threads(request, engines, capacity, pressure)
 
     def pressure(self, now: float, class_index: int) -> float:
-        """Return the pressure on a class: 0 when calm, 1 when full."""
+        """Return the pressure on a class, from 0 (none) to 1 (full)."""
         engines = self._selector.eligible(class_index)
         return self._load.pressure(now, engines, self._load.capacity(now, engines))
 
     def retry_after_ms(self, now: float, class_index: int) -> float:
-        """Return the Retry-After of a rejection in ms, longer with pressure; 0 where none is sent."""
+        """Return the Retry-After of a rejection in ms, which grows with pressure; 0 if none is sent."""
         if not self._settings.sends_retry_after:
             return 0.0
         pressure = self.pressure(now, class_index)
@@ -103,17 +109,17 @@
         return self._settings.max_retry_after_ms * share
 
     def _is_over_quota(self, now: float, request: TrackedRequest, pressure: float) -> bool:
-        """Whether the tenant's requests come faster than its quota, while there is pressure."""
+        """Return whether the tenant exceeds its quota while there is pressure."""
         if not 0 <= request.tenant < len(self._tenant_buckets):
             return False
         tenant = self._settings.tenants[request.tenant]
         rate_per_s = tenant.quota_per_s / self._settings.instances
         burst = max(MIN_TENANT_BURST_REQUESTS, rate_per_s * BURST_S)
-        is_within = self._tenant_buckets[request.tenant].take(now, rate_per_s, burst, self._random)
-        return rate_per_s > 0.0 and pressure > PRESSURE_THRESHOLD and not is_within
+        has_token = self._tenant_buckets[request.tenant].take(now, rate_per_s, burst, self._random)
+        return rate_per_s > 0.0 and pressure > PRESSURE_THRESHOLD and not has_token
 
     def _is_over_concurrency_limit(self, request: TrackedRequest) -> bool:
-        """Whether the class would have more threads in flight than an operator allows."""
+        """Return whether the request would exceed the operator's limit on threads of its class."""
         limit = self.concurrency_limits.get(request.class_index)
         if limit is None:
             return False
@@ -127,7 +133,7 @@
     def _is_over_own_threads(
         self, request: TrackedRequest, engines: Sequence[TrackedEngine], capacity: float, pressure: float
     ) -> bool:
-        """Whether own threads in flight would pass this coordinator's part of the fleet's cores."""
+        """Return whether own threads in flight would exceed this coordinator's share of the fleet's cores."""
         cores = capacity / self._settings.instances
         limit = THREADS_PER_CORE * cores
         limit *= THREADS_FACTOR_AT_ZERO_PRESSURE - (THREADS_FACTOR_AT_ZERO_PRESSURE - 1.0) * pressure
@@ -140,9 +146,9 @@
         return in_flight + request.spec.threads > limit
 
     def _is_too_costly(self, now: float, request: TrackedRequest, capacity: float, pressure: float) -> bool:
-        """Whether expensive requests come faster than what pressure leaves of the capacity.
+        """Return whether expensive requests arrive faster than the capacity allows under this pressure.
 
-        The more pressure, the less a request may cost before it counts as expensive.
+        The cost above which a request counts as expensive falls as pressure rises.
         """
         threshold = self._cost_model.class_mean(request.class_index) * EXPENSIVE_FACTOR_AT_ZERO_PRESSURE
         threshold *= (EXPENSIVE_FACTOR_AT_FULL_PRESSURE / EXPENSIVE_FACTOR_AT_ZERO_PRESSURE) ** pressure
@@ -154,5 +160,5 @@
         rate_per_s = cores * 1000.0 / statistics.expensive_cost.value * (1.0 - pressure) ** 2
         burst = max(MIN_EXPENSIVE_BURST_REQUESTS, rate_per_s * BURST_S)
         bucket = self._expensive_buckets[request.class_index]
-        is_within = bucket.take(now, rate_per_s, burst, self._random)
-        return not is_within and pressure > PRESSURE_THRESHOLD and statistics.cost.count > 0
+        has_token = bucket.take(now, rate_per_s, burst, self._random)
+        return not has_token and pressure > PRESSURE_THRESHOLD and statistics.cost.count > 0
--- a/fordstair/decisions/cost_model.py
+++ b/fordstair/decisions/cost_model.py
@@ -1,7 +1,8 @@
 """Predicted cost, memory and latency of requests, learned from the outcomes of attempts.
 
-Cost is work on one thread: thread-milliseconds. A prediction is the client's estimate, corrected by how
-estimates of its class turned out; without one, the mean of its class and table group, or of its class.
+Cost is work in thread-milliseconds. A predicted cost is the client's estimate, corrected by the mean ratio of
+actual to estimated cost in its class; without an estimate, the mean of its class and table group, or else of
+its class.
 """
 
 from __future__ import annotations
@@ -25,19 +26,24 @@
 MAX_ESTIMATE_RATIO = 4.0
 # An attempt that costs this many times its prediction ran with a bad query plan.
 BAD_PLAN_FACTOR = 16.0
-# Standard room over an estimate of memory, in mean distances of estimates from the truth.
+# Headroom of a memory grant over the estimate, in mean deviations of the ratio of actual to estimated memory.
 MEMORY_GRANT_SPREADS = 2.0
 MEMORY_GRANT_WITHOUT_ESTIMATE_FACTOR = 1.3
 MIN_SLOWNESS = 0.1
 MAX_CLASS_SLOWNESS = 20.0
 MAX_ENGINE_SLOWNESS = 10.0
 FLEET_SLOWNESS_PRIOR_SAMPLES = 3
-# A class whose weight per thread-second is so many times the lowest one's is served first.
+# A class has high priority if its weight per thread-second is at least this many times the lowest one.
 HIGH_PRIORITY_FACTOR = 1.5
 
 
 class ClassStatistics:
-    """What outcomes of one request class have shown."""
+    """Statistics of one request class.
+
+    Attributes:
+        expensive_cost: Cost of requests that were predicted to be expensive.
+        slowness: Latency over cost per thread.
+    """
 
     __slots__ = (
         "cost",
@@ -52,25 +58,29 @@
     def __init__(self) -> None:
         self.cost = RunningMean(CLASS_STEP)
         self.cost_estimate = RunningMean(CLASS_STEP)
-        self.expensive_cost = RunningMean(CLASS_STEP)  # of requests that were predicted expensive
+        self.expensive_cost = RunningMean(CLASS_STEP)
         self.memory_mb = RunningMean(CLASS_STEP)
         self.cost_ratio = EstimateRatio(CLASS_STEP, MAX_ESTIMATE_RATIO)
         self.memory_ratio = EstimateRatio(CLASS_STEP, MAX_ESTIMATE_RATIO)
-        self.slowness = RunningMean(CLASS_STEP, 1.0)  # latency over cost a thread
+        self.slowness = RunningMean(CLASS_STEP, 1.0)
 
 
 class CostModel:
-    """Predicts cost, memory and latency, and learns from served attempts."""
+    """Predicts cost, memory and latency, and learns from served and stopped attempts.
+
+    Attributes:
+        typical_cost: Mean predicted cost of all requests that arrive.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.specs = settings.classes
         self.classes = [ClassStatistics() for _ in settings.classes]
         self.table_groups = BoundedMeans(CACHED_TABLE_GROUPS, TABLE_GROUP_STEP)
-        self.typical_cost = RunningMean(MIN_POOLED_STEP)  # of all requests that arrive
+        self.typical_cost = RunningMean(MIN_POOLED_STEP)
         self._fleet_slowness = RunningMean(MAX_POOLED_STEP, 1.0, FLEET_SLOWNESS_PRIOR_SAMPLES)
 
     def class_mean(self, class_index: int) -> float:
-        """Return a class's mean cost: by outcomes, else by estimates, else by its latency objective."""
+        """Return a class's mean cost, from outcomes, else from estimates, else from its latency objective."""
         statistics = self.classes[class_index]
         spec = self.specs[class_index]
         known = statistics.cost.value or statistics.cost_estimate.value
@@ -81,7 +91,7 @@
         return max(self.class_mean(index) for index in range(len(self.specs)))
 
     def is_high_priority(self, class_index: int) -> bool:
-        """Whether a class earns clearly more per thread-second than the one that earns least."""
+        """Return whether a class's weight per thread-second is clearly above the lowest one."""
         rates = [spec.priority_weight / self.class_mean(index) for index, spec in enumerate(self.specs)]
         return rates[class_index] / max(1e-9, min(rates)) >= HIGH_PRIORITY_FACTOR
 
@@ -94,7 +104,7 @@
         return cost
 
     def predict(self, class_index: int, table_group: float, estimate: float) -> float:
-        """Return the predicted cost; nothing is learned from the question."""
+        """Return the predicted cost without learning from the estimate."""
         if estimate > 0.0:
             return max(MIN_COST_MS, estimate * self.classes[class_index].cost_ratio.mean.value)
         cached = self.table_groups.get((class_index, table_group))
@@ -108,11 +118,12 @@
         latency_ms: float,
         memory_mb: float,
     ) -> None:
-        """Learn from a served attempt; others teach nothing, as quick errors would drag the means down."""
+        """Learn from a served attempt; others are left out, as quick errors would lower the means."""
         statistics = self.classes[request.class_index]
         threads = request.spec.threads
         cost = max(MIN_COST_MS, work_ms if work_ms > 0.0 else latency_ms * threads)
-        is_bad_plan = cost >= BAD_PLAN_FACTOR * request.cost  # it tells nothing of the next attempt
+        # The cost of a bad plan does not predict the cost of the next attempt.
+        is_bad_plan = cost >= BAD_PLAN_FACTOR * request.cost
         if not is_bad_plan or not statistics.cost.count:
             statistics.cost.add(cost)
             self.table_groups.add((request.class_index, request.table_group), cost)
@@ -126,7 +137,7 @@
         self._fleet_slowness.add(slowness)
 
     def learn_stopped(self, request: TrackedRequest, engine: TrackedEngine, ran_ms: float) -> None:
-        """Learn from a stopped attempt how slow its engine is at least; often nothing else shows it."""
+        """Learn a lower bound of an engine's slowness from a stopped attempt; often nothing else shows it."""
         statistics = self.classes[request.class_index]
         slowness = ran_ms * request.spec.threads / request.cost / self._class_slowness(statistics)
         slowness = min(MAX_ENGINE_SLOWNESS, slowness)
@@ -134,7 +145,7 @@
             engine.slowness.add(slowness)
 
     def memory_grant_mb(self, request: TrackedRequest) -> float:
-        """Return the memory to grant: the estimate, corrected, with room for its usual scatter."""
+        """Return the memory to grant: the corrected estimate, or else the class's mean, plus headroom."""
         statistics = self.classes[request.class_index]
         ratio = statistics.memory_ratio
         by_estimate = request.memory_estimate_mb * (
@@ -143,9 +154,10 @@
         return by_estimate or statistics.memory_mb.value * MEMORY_GRANT_WITHOUT_ESTIMATE_FACTOR
 
     def expected_latency_ms(self, request: TrackedRequest) -> float:
-        """Return the latency that an attempt is expected to have, by its class's slowness and the fleet's."""
+        """Return the expected latency of an attempt, from the slowness of its class and of the fleet."""
         class_slowness = self.classes[request.class_index].slowness.value
-        slowness = max(1.0, class_slowness, self._fleet_slowness.value)  # a class may be seen seldom
+        # The fleet's slowness stands in for a class that is rarely seen.
+        slowness = max(1.0, class_slowness, self._fleet_slowness.value)
         return request.cost / request.spec.threads * slowness
 
     @staticmethod
--- a/fordstair/decisions/engine_list.py
+++ b/fordstair/decisions/engine_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list of engines, as discovery notifies the decision module of it."""
+"""The list of engines, as discovery reports it to the decision module."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EngineState(Enum):
-    """The state of an engine in the list; the numbers are those of the simulator's wire."""
+    """The state of an engine in the list; the values are those of the simulator's wire protocol."""
 
     GONE = 0
     READY = 1
@@ -18,22 +18,34 @@
 
 
 class ListUpdateKind(Enum):
-    """What an update of the list holds; the numbers are those of the simulator's wire."""
+    """The content of a list update; the values are those of the simulator's wire protocol.
 
-    CACHED = 0  # the whole list, as discovery last had it; taken as a full one
-    FULL = 1  # the whole list: engines that it does not name are gone
-    DELTA = 2  # the engines that have changed
-    FAILED = 3  # discovery failed: the watch must be started again
+    Attributes:
+        CACHED: The whole list as discovery last had it; handled as FULL.
+        FULL: The whole list; engines that it does not contain are gone.
+        DELTA: The engines that have changed.
+        FAILED: No engines, because discovery failed; the watch must be started again.
+    """
+
+    CACHED = 0
+    FULL = 1
+    DELTA = 2
+    FAILED = 3
 
 
 @dataclass(slots=True, frozen=True)
 class EngineEntry:
-    """One engine of the list."""
+    """One engine of the list.
+
+    Attributes:
+        started_ms: Start of the engine's process by the events' clock; 0 if it is long past.
+        weight: Number of cores, used where the machine kind is unknown.
+    """
 
     engine: EngineId
     state: EngineState = EngineState.READY
     zone: int = 0
     cell: int = 0
     kind: int = 0
-    started_ms: float = 0.0  # of its process, by the events' clock; 0: long past
-    weight: float = 1.0  # its cores, where its kind of machine is unknown
+    started_ms: float = 0.0
+    weight: float = 1.0
--- a/fordstair/decisions/engine_selection.py
+++ b/fordstair/decisions/engine_selection.py
@@ -1,4 +1,4 @@
-"""Engine selection: which engines may have a request, and which of them it is sent to."""
+"""Engine selection: which engines are eligible for a request, and to which of them it is sent."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 from fordstair.decisions.tracked_engine import TrackedEngine
 from fordstair.decisions.tracked_request import TrackedRequest
 
-# Draw weight: cores x warm-up x health / (base + threads a core) ^ exponent.
+# Weight of an engine in the draw: cores x warm-up x selection factor / (base + threads per core) ^ exponent.
 LOAD_EXPONENT = 4.0
 BASE_THREADS_PER_CORE = 0.2
 PREFERRED_ENGINES = 8
 PREFERRED_FACTOR = 6.0
-# For an engine on which a load of the same tables runs, which the request would wait for or disturb.
+# For an engine that runs a load of the same tables, which the request would wait for or interfere with.
 RUNNING_LOAD_FACTOR = 0.2
 HEALTH_CHECKS_PER_REQUEST = 0.4
 MAX_HEALTH_CHECK_CREDIT = 8.0
 ENGINES_CHECKED_PER_ATTEMPT = 4
-# A report younger than the first needs no health check; the second allows for the time that a check takes.
+# An engine whose report is younger than this needs no health check.
 MAX_REPORT_AGE_WITHOUT_CHECK_MS = 500.0
+# Age up to which a report counts as fresh after health checks; allows for the time that a check takes.
 MAX_REPORT_AGE_AFTER_CHECK_MS = 700.0
 
 
 class EngineSelector:
-    """Draws the engine of an attempt at random, weighted by what is known of each."""
+    """Selects the engine of an attempt by a weighted random draw."""
 
     def __init__(
         self,
@@ -54,11 +55,11 @@
         self._health_check_credit = 0.0
 
     def hash_position(self, engine: EngineId) -> float:
-        """Return an engine's place in this coordinator's own order, in [0, 1)."""
+        """Return an engine's position in this coordinator's own hash order, in [0, 1)."""
         return crc32(f"{self._salt}|{engine}".encode()) / 2.0**32
 
     def record_arrival(self) -> None:
-        """Each request earns a part of a health check: their number stays in proportion to the traffic."""
+        """Add a fraction of a health check to the credit, so that checks stay in proportion to traffic."""
         self._health_check_credit = min(
             MAX_HEALTH_CHECK_CREDIT, self._health_check_credit + HEALTH_CHECKS_PER_REQUEST
         )
@@ -74,17 +75,19 @@
         ]
 
     def is_preferred(self, engine: TrackedEngine) -> bool:
-        """Whether an engine is one of the few that this coordinator prefers.
+        """Return whether an engine is one of the few that this coordinator prefers.
 
-        Where there are many of both, each coordinator would meet every engine too seldom to learn of it, each
-        time at a new connection; the preferences of all together still cover the engines evenly.
+        Without preferences in a large fleet, each coordinator would send to every engine too rarely to learn
+        its state, and over a new connection each time. The preferences of all coordinators together still
+        cover the engines evenly.
         """
         return engine.hash_position * len(self._engines) < PREFERRED_ENGINES
 
     def select(self, now: float, request: TrackedRequest) -> TrackedEngine | None:
-        """Return the engine of the request's next attempt; None where none may have it now.
+        """Return the engine of the request's next attempt, or None if no engine may get it now.
 
-        After health checks only engines with a fresh report are drawn, if there is more than one.
+        Once health checks were considered, only engines with a fresh report are drawn, if there are at least
+        two of them.
         """
         eligible = self.eligible(request.class_index)
         candidates = self._candidates(request, eligible)
@@ -97,10 +100,10 @@
         return self._draw(now, request, candidates, eligible)
 
     def engines_to_check(self, now: float, request: TrackedRequest) -> list[TrackedEngine]:
-        """Return the engines to check before a costly request goes out, drawn as it would be sent.
+        """Return the engines to check before a costly request is sent, drawn like the engine of an attempt.
 
-        Asked once before each attempt. Empty where the settings allow no health checks, the request is cheap,
-        the credit is spent or reports are fresh.
+        Considered once per attempt. Empty if the settings allow no health checks, the request is cheap, the
+        credit is spent or the reports are fresh.
         """
         if request.health_checks_considered or not self._settings.health_checks:
             return []
@@ -124,7 +127,7 @@
         return now - max(engine.reported_at, engine.health_checked_at) >= MAX_REPORT_AGE_WITHOUT_CHECK_MS
 
     def _candidates(self, request: TrackedRequest, eligible: list[TrackedEngine]) -> list[TrackedEngine]:
-        """Leave out engines that would not discard a duplicate, and the last one tried unless it is alone."""
+        """Leave out engines that would not discard a duplicate, and the last one tried if others remain."""
         candidates = eligible
         first = request.may_have_run_on
         if first is not None and request.spec.idempotency is Idempotency.WITH_KEY:
@@ -141,7 +144,11 @@
         candidates: Sequence[TrackedEngine],
         eligible: Sequence[TrackedEngine],
     ) -> TrackedEngine | None:
-        """Draw by weight; None where all are warming up and their budgets leave nothing."""
+        """Draw an engine by weight.
+
+        Return None if there are no candidates, or if all are warming up and the draw falls outside their
+        slow-start budgets.
+        """
         if not candidates:
             return None
         warm_up_factors = [self._slow_start.warm_up_factor(now, engine) for engine in candidates]
@@ -156,8 +163,8 @@
                     request, candidates[index], factor, fleet_cores, all_warming_up=not warm_weight
                 )
                 weights[index] = min(weights[index], probability * (warm_weight or 1.0))
-        nobody = 0.0 if warm_weight else max(0.0, 1.0 - sum(weights))
-        return self._random.choices([*candidates, None], [*weights, nobody])[0]
+        none_weight = 0.0 if warm_weight else max(0.0, 1.0 - sum(weights))
+        return self._random.choices([*candidates, None], [*weights, none_weight])[0]
 
     def _weights(
         self,
@@ -174,11 +181,11 @@
             candidates, threads_per_core, warm_up_factors, strict=True
         ):
             reliability = self._outliers.reliability(now, engine)
-            # What fails fast or is refused looks idle: such an engine counts as loaded as the mean.
-            credible = max(threads, mean_threads if reliability < CREDIBLE_RELIABILITY else 0.0)
+            # An engine that fails fast or refuses attempts looks idle: assume at least the mean load.
+            assumed_threads = max(threads, mean_threads if reliability < CREDIBLE_RELIABILITY else 0.0)
             selection_factor = self._outliers.selection_factor(reliability, engine)
             weight = engine.cores * warm_up_factor * selection_factor
-            weight /= (BASE_THREADS_PER_CORE + credible) ** LOAD_EXPONENT
+            weight /= (BASE_THREADS_PER_CORE + assumed_threads) ** LOAD_EXPONENT
             weight *= PREFERRED_FACTOR if self.is_preferred(engine) else 1.0
             if conflicts_with_loads and request.table_group in engine.own_loads:
                 weight *= RUNNING_LOAD_FACTOR
--- a/fordstair/decisions/engine_tracker.py
+++ b/fordstair/decisions/engine_tracker.py
@@ -1,4 +1,4 @@
-"""The engines that are listed, and what their health checks and load reports show of them."""
+"""Tracking of the listed engines, their health checks and their load reports."""
 
 from __future__ import annotations
 
@@ -17,21 +17,31 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineAssessment:
-    """What the decision module believes of one engine; times are ms of the events' clock."""
+    """The decision module's view of one engine; times are milliseconds of the events' clock.
+
+    Attributes:
+        own_attempts: This coordinator's attempts in flight.
+        own_threads: Threads of these attempts.
+        threads_per_core: Own threads in flight and those of other coordinators as last reported, per core.
+        reliability: 1 without faults and silence, falling towards 0 with them.
+        warm_up_factor: Lower bound of the share of its full capacity that the engine has.
+        last_activity_at: Time of the last sign of work done.
+        reported_at: Time of the last load report.
+    """
 
     cores: float
-    own_attempts: int  # in flight
-    own_threads: int  # of these
-    threads_per_core: float  # own ones in flight and others', as last reported
-    reliability: float  # 1 without faults and silence, towards 0 with them
-    warm_up_factor: float  # a lower bound on the share of its full capacity that it has
+    own_attempts: int
+    own_threads: int
+    threads_per_core: float
+    reliability: float
+    warm_up_factor: float
     silence_score: float
-    last_activity_at: float  # last sign of work done
-    reported_at: float  # last load report
+    last_activity_at: float
+    reported_at: float
 
 
 class EngineTracker:
-    """Keeps the engines by their latest list entry, and passes on what they show to those who judge it."""
+    """Maintains the listed engines; passes their health checks and load reports to the policies."""
 
     def __init__(
         self,
@@ -50,7 +60,7 @@
         self._slow_start = slow_start
 
     def update_list(self, event: EngineListChanged) -> None:
-        """Apply a full or a delta update of the list; an engine that is gone is forgotten with its scores."""
+        """Apply a full or delta update of the list; an engine that is gone is removed with its scores."""
         if event.kind is not ListUpdateKind.DELTA:
             listed = {entry.engine for entry in event.entries}
             for engine_id in self._engines.keys() - listed:
@@ -66,21 +76,21 @@
             engine.update(entry, self._settings)
 
     def record_health_check(self, now: float, engine: TrackedEngine, status: Status) -> bool:
-        """Take the end of a health check in; return whether it ejects the engine.
+        """Record the end of a health check; return whether it ejects the engine.
 
-        A check without an answer counts as silence; an answer takes none back, since a shallow check shows
-        hardly more than that a process runs.
+        A failed check counts as silence. A successful one does not lower the silence score, since a shallow
+        check shows little more than that a process runs.
         """
         if status is Status.CONNECT_FAILED:
             self.record_connect_failure(now, engine)
         return status is not Status.OK and self._outliers.record_silence(engine)
 
     def record_connect_failure(self, now: float, engine: TrackedEngine) -> None:
-        """Note that an engine took no connection: what answers there next may have just started."""
+        """Record that an engine accepted no connection: the next process there may have just started."""
         engine.unreachable_at = now
 
     def record_load_report(self, now: float, engine: TrackedEngine, values: Sequence[float]) -> bool:
-        """Take a load report in; return whether it ejects the engine, which is idle without reason."""
+        """Record a load report; return whether it ejects the engine as unexpectedly idle."""
         report = self._load.read_report(now, engine, values)
         expected_threads = self._load.expected_threads(engine, report)
         is_idle = self._outliers.is_unexpectedly_idle(report, expected_threads)
@@ -91,23 +101,23 @@
         return is_ejected
 
     def assess(self, now: float, engine_id: EngineId) -> EngineAssessment | None:
-        """Return what is believed of an engine; None for one that is not listed."""
+        """Return the assessment of an engine, or None if it is not listed."""
         engine = self._engines.get(engine_id)
         if engine is None:
             return None
-        # Reading a score brings it up to date: a copy is asked, so that a look changes no decision.
-        seen = copy(engine)
-        seen.error_rate = copy(engine.error_rate)
-        seen.slowness = copy(engine.slowness)
-        reliability = self._outliers.reliability(now, seen)
+        # Reading the reliability decays the scores; a copy is read so that observers change no decision.
+        snapshot = copy(engine)
+        snapshot.error_rate = copy(engine.error_rate)
+        snapshot.slowness = copy(engine.slowness)
+        reliability = self._outliers.reliability(now, snapshot)
         return EngineAssessment(
-            cores=seen.cores,
-            own_attempts=seen.own_attempts,
-            own_threads=seen.own_threads,
-            threads_per_core=self._load.threads_per_core(now, seen),
+            cores=snapshot.cores,
+            own_attempts=snapshot.own_attempts,
+            own_threads=snapshot.own_threads,
+            threads_per_core=self._load.threads_per_core(now, snapshot),
             reliability=reliability,
-            warm_up_factor=self._slow_start.warm_up_factor(now, seen),
-            silence_score=seen.silence_score,
-            last_activity_at=seen.last_activity_at,
-            reported_at=seen.reported_at,
+            warm_up_factor=self._slow_start.warm_up_factor(now, snapshot),
+            silence_score=snapshot.silence_score,
+            last_activity_at=snapshot.last_activity_at,
+            reported_at=snapshot.reported_at,
         )
--- a/fordstair/decisions/gateway.py
+++ b/fordstair/decisions/gateway.py
@@ -1,4 +1,4 @@
-"""The decision module's state machine: events in, actions out; what to decide is asked of the policies."""
+"""The decision module's state machine: it turns events into actions, and asks the policies what to decide."""
 
 from __future__ import annotations
 
@@ -57,17 +57,17 @@
 from fordstair.decisions.tracked_engine import TrackedEngine
 from fordstair.decisions.tracked_request import TrackedAttempt, TrackedRequest
 
-# The client must have its final answer this long before its deadline.
+# The final answer is due this long before the client's deadline.
 DEADLINE_MARGIN_MS = 10.0
-# A request is always delayed by this after its health checks were sent.
+# Delay of a request once its health checks are sent, even if they end earlier.
 HEALTH_CHECK_WAIT_MS = 25.0
 
 
 class Gateway:
-    """Decides for one coordinator: hand each event to ``handle``, and carry out the actions that it returns.
+    """State machine of one coordinator: pass each event to ``handle`` and execute the actions it returns.
 
-    Times are ms of one clock, that of the events. A method ``_on_...`` takes one type of event; the others
-    are the transitions of requests and attempts.
+    Times are milliseconds of the events' clock; ``now`` is the time of the latest event. Each ``_on_...``
+    method handles one type of event; the other private methods are transitions of requests and attempts.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -95,7 +95,7 @@
         self._resources = QueryResources(settings, self.cost_model)
         self._queues: dict[int, OrderingQueue] = {}
         self._timers = Timers()
-        self.now = 0.0  # of the latest event
+        self.now = 0.0
         self._actions: list[Action] = []
         self._initial_actions: list[Action] = []
         if settings.discovery is Discovery.POLL:
@@ -114,7 +114,7 @@
         }
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event at its time; return the actions to carry out, in order."""
+        """Handle one event that occurs at a time; return the actions to execute, in order."""
         self.now = now
         self._actions = self._initial_actions
         self._initial_actions = []
@@ -124,14 +124,15 @@
         return self._actions
 
     def predicted_cost(self, event: RequestArrived) -> float:
-        """Return the predicted cost of a request, in thread-milliseconds, for a host that queues it first."""
+        """Return a request's predicted cost in thread-milliseconds, for a host that queues it first."""
         return self._preview(event).cost
 
     def has_capacity(self, event: RequestArrived) -> bool:
-        """Whether a request would find capacity now, for a host that queues requests; nothing changes."""
+        """Return whether a request would find capacity now, for a host that queues it; changes no state."""
         return self.admission.has_capacity(self.now, self._preview(event))
 
     def _preview(self, event: RequestArrived) -> TrackedRequest:
+        """Return an arriving request with its predicted cost, without recording its arrival."""
         request = TrackedRequest.from_event(event, self.settings.classes[event.class_index])
         request.cost = self.cost_model.predict(
             request.class_index, request.table_group, request.cost_estimate
@@ -139,7 +140,7 @@
         return request
 
     def assess(self, engine_id: EngineId) -> EngineAssessment | None:
-        """Return what is believed of an engine, for those who look on; None for one that is not listed."""
+        """Return the assessment of an engine for observers, or None if it is not listed."""
         return self.tracker.assess(self.now, engine_id)
 
     # Engines
@@ -158,7 +159,7 @@
         self._retry_silent_attempts(self.tracker.record_load_report(self.now, engine, event.report), engine)
 
     def _retry_silent_attempts(self, ejected: bool, engine: TrackedEngine) -> None:
-        """Where an engine was just ejected, cancel and retry attempts sent after its last sign of work."""
+        """If the engine was just ejected, cancel and retry its attempts sent since its last sign of work."""
         if not ejected:
             return
         for attempt in list(self.attempts.values()):
@@ -183,7 +184,7 @@
             self._reject_or_fail(request, reason)
             return
         self._start_timer(max(0.0, min(request.useful_until, objective_ends_at) - self.now), request)
-        if request.binding_ordering_key:
+        if request.effective_ordering_key:
             self._enqueue(request)
         else:
             self._send_next_attempt(request)
@@ -211,7 +212,7 @@
         self.admission.set_concurrency_limit(event.class_index, event.threads)
 
     def _reject_or_fail(self, request: TrackedRequest, reason: RejectionReason) -> None:
-        """Give the final answer at once: a rejection where a client's retry does no harm, else a failure."""
+        """Cancel the current attempt; reject the request if a client's retry is safe, else fail it."""
         if request.current_attempt is not None:
             self._cancel(request.current_attempt)
         if client_may_retry(request):
@@ -228,10 +229,10 @@
         request.finished = True
         request.awaits_health_checks = False
         self.requests.pop(request.id, None)
-        self._advance(self._queues.get(request.binding_ordering_key))
+        self._advance(self._queues.get(request.effective_ordering_key))
 
     def _advance(self, queue: OrderingQueue | None) -> None:
-        """Send the next request of a key, once nothing of it is in flight and the last one has settled."""
+        """Send the key's next request, once no attempt is in flight and the last one has settled."""
         if queue is None or queue.attempts_in_flight or queue.is_advancing:
             return
         queue.is_advancing = True
@@ -248,7 +249,7 @@
     # Attempts
 
     def _send_next_attempt(self, request: TrackedRequest) -> None:
-        """Send the next attempt, check engines first, or end the request where no engine may have it."""
+        """Send the next attempt, check engines first, or end the request if no attempt is possible."""
         request.awaits_health_checks = False
         if not self._retries.may_attempt(self.now, request):
             self._reject_or_fail(request, RejectionReason.NO_FURTHER_ATTEMPT)
@@ -283,13 +284,13 @@
         request.health_checks_considered = False
         self.attempts[request.id, attempt.number] = attempt
         engine.add_attempt(self.now, request.spec, request.table_group)
-        if request.binding_ordering_key:
+        if request.effective_ordering_key:
             self._queues[request.ordering_key].attempts_in_flight += 1
         self._actions.append(SendAttempt(request.id, engine.entry.engine, begin_by=begin_by))
         self._start_timer(self._monitor.first_check_ms(attempt), attempt)
 
     def _cancel_for_retry(self, attempt: TrackedAttempt) -> None:
-        """Cancel an attempt where its class and the retry budget allow another, which its end then starts."""
+        """Cancel an attempt if its class and the retry policy allow another, which starts once it ends."""
         request = attempt.request
         if request.current_attempt is not attempt or request.spec.idempotency is Idempotency.NON_IDEMPOTENT:
             return
@@ -317,7 +318,7 @@
             return
         request = attempt.request
         attempt.engine.remove_attempt(self.now, request.spec, request.table_group)
-        if request.binding_ordering_key:
+        if request.effective_ordering_key:
             self._queues[request.ordering_key].record_attempt_end(
                 settled_at(self.now, event.status, self.settings)
             )
@@ -325,7 +326,7 @@
         self._update_engine_at_end(event)
         self._record_end(attempt, event.status)
         self._continue_after_end(request, event)
-        self._advance(self._queues.get(request.binding_ordering_key))
+        self._advance(self._queues.get(request.effective_ordering_key))
 
     def _update_engine_at_end(self, event: AttemptEnded) -> None:
         engine = self.engines.get(event.engine)
@@ -349,7 +350,8 @@
             self._finish(request)
         elif request.finished:
             return
-        elif event.may_still_run:  # a further attempt would be a second one beside it
+        elif event.may_still_run:
+            # A further attempt could run in parallel with this one.
             self._reject_or_fail(request, RejectionReason.ATTEMPT_MAY_STILL_RUN)
         else:
             self._send_next_attempt(request)
@@ -370,9 +372,9 @@
             self._check_request(target)
 
     def _check_request(self, request: TrackedRequest) -> None:
-        """Send the request after its health checks; else check whether a late answer is still wanted.
+        """Send the request if it awaits health checks; else check whether a late answer is still accepted.
 
-        Either of its two timers may fire first: while health checks are awaited, any of them ends that wait.
+        The request has two timers, and either may fire first: both end a wait for health checks.
         """
         if request.awaits_health_checks:
             self._send_next_attempt(request)
@@ -385,7 +387,7 @@
             self._reject_or_fail(request, RejectionReason.TOO_LATE)
 
     def _check_attempt(self, attempt: TrackedAttempt) -> None:
-        """Move an attempt whose engine is silent, or that runs overlong; else check it again."""
+        """Cancel a silent or overlong attempt for a retry; check it again later unless it was cancelled."""
         if self._monitor.is_silent(attempt):
             self._cancel_for_retry(attempt)
             self._retry_silent_attempts(self.outliers.record_silence(attempt.engine), attempt.engine)
--- a/fordstair/decisions/load_estimation.py
+++ b/fordstair/decisions/load_estimation.py
@@ -1,4 +1,4 @@
-"""The load of engines and of the fleet: own threads in flight, load reports, and how late answers come."""
+"""The load of engines and of the fleet, from own threads in flight, load reports and late answers."""
 
 from __future__ import annotations
 
@@ -11,61 +11,75 @@
 from fordstair.decisions.statistics import PooledMean, is_usable
 from fordstair.decisions.tracked_engine import TrackedEngine
 
-# Threads a core at which pressure starts, and at which it is full.
+# Threads per core between which pressure rises from 0 to 1.
 THREADS_PER_CORE_AT_ZERO_PRESSURE = 1.2
 THREADS_PER_CORE_AT_FULL_PRESSURE = 2.0
-# Latency over its objective at which pressure starts, and at which it is full; the most that a sample counts.
+# Ratios of latency to its objective between which pressure rises from 0 to 1, and the cap of one sample.
 LATENESS_AT_ZERO_PRESSURE = 0.35
 LATENESS_AT_FULL_PRESSURE = 1.0
 MAX_LATENESS = 2.0
-# From here on, pressure makes quotas and objectives bind.
+# Above this pressure, quotas, the rate of expensive requests and latency objectives are enforced.
 PRESSURE_THRESHOLD = 0.05
 REPORT_HALF_LIFE_MS = 4_000.0
-# After a pause this long, an engine's next report replaces what was known of other coordinators' threads.
+# After a gap longer than this, an engine's next report replaces the estimate of others' threads.
 REPORT_EXPIRY_MS = 2_000.0
 BUSY_CORES_PER_THREAD = 0.75
-# An engine that slows down looks idle while it fills up: from this many times the threads by its utilisation,
-# those by its number of queries are believed.
+# An engine that slows down shows a low utilisation while it fills up: above this ratio of the threads by
+# number of queries to those by utilisation, the former are used.
 MAX_COUNT_TO_UTILISATION_RATIO = 2.0
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """One engine's load report, in threads; nan where it does not report it."""
+    """One engine's load report; a value that the engine does not report is NaN.
 
-    own_threads: int  # in flight when the report was made, as far as is known
-    utilised_threads: float  # running threads, by the engine's utilisation
-    queries: float  # queries at the engine
+    Attributes:
+        own_threads: Own threads in flight when the report was made, as far as is known.
+        utilised_threads: Running threads, derived from the engine's utilisation.
+        queries: Number of queries at the engine.
+    """
+
+    own_threads: int
+    utilised_threads: float
+    queries: float
 
 
 class LoadEstimator:
-    """Estimates threads a core at engines, and the pressure on a class of requests."""
+    """Estimates the threads per core of engines, and the pressure on them.
+
+    Attributes:
+        other_threads_per_core: Threads per core of other coordinators, over all engines.
+        lateness: Ratio of latency to its objective, over all engines.
+    """
 
     def __init__(self, settings: Settings, slow_start: SlowStart) -> None:
         self._settings = settings
         self._slow_start = slow_start
         self._mean_threads = sum(spec.threads for spec in settings.classes) / len(settings.classes)
-        self.other_threads_per_core = PooledMean()  # threads a core of other coordinators
-        self.lateness = PooledMean()  # latency over its objective
+        self.other_threads_per_core = PooledMean()
+        self.lateness = PooledMean()
         self._utilised_threads = PooledMean()
         self._queries = PooledMean()
 
     def threads_per_core(self, now: float, engine: TrackedEngine) -> float:
-        """Return an engine's load: own threads, and others' by a report that fades into the fleet's mean."""
-        trust: float = 0.5 ** max(0.0, (now - engine.reported_at) / REPORT_HALF_LIFE_MS)
+        """Return an engine's threads per core: own ones, and those of other coordinators.
+
+        The latter come from the engine's last report; as it ages, the fleet's mean replaces it.
+        """
+        report_weight: float = 0.5 ** max(0.0, (now - engine.reported_at) / REPORT_HALF_LIFE_MS)
         pooled_age = max(0.0, (now - self.other_threads_per_core.updated_at) / REPORT_HALF_LIFE_MS)
         pooled: float = self.other_threads_per_core.value * 0.5**pooled_age
-        reported = trust * max(0.0, engine.other_threads.value)
-        return (engine.own_threads + reported) / engine.cores + (1.0 - trust) * pooled
+        reported = report_weight * max(0.0, engine.other_threads.value)
+        return (engine.own_threads + reported) / engine.cores + (1.0 - report_weight) * pooled
 
     def capacity(self, now: float, engines: Sequence[TrackedEngine]) -> float:
-        """Return the cores that engines surely have: after a release, most may be warming up."""
+        """Return a lower bound of the engines' usable cores: after a release, most may be warming up."""
         return sum(engine.cores * self._slow_start.warm_up_factor(now, engine) for engine in engines)
 
     def pressure(self, now: float, engines: Sequence[TrackedEngine], capacity: float) -> float:
-        """Return 0 (calm) to 1 (full) for engines of that capacity, by their load or by late answers.
+        """Return the pressure on engines of this capacity, from 0 to 1: the higher one of load and lateness.
 
-        Utilisation hides what waits; lateness does not.
+        Utilisation does not show queued work; lateness does.
         """
         threads = sum(self.threads_per_core(now, engine) * engine.cores for engine in engines)
         load = threads / max(1.0, capacity)
@@ -80,15 +94,15 @@
         return min(1.0, max(0.0, by_lateness, by_load))
 
     def record_latency(self, now: float, latency_ms: float, objective_ms: float, weight: float) -> None:
-        """Take the latency of a served attempt in, weighted by its class."""
+        """Record the latency of a served attempt with the weight of its class."""
         self.lateness.add_at(now, min(MAX_LATENESS, latency_ms / max(1.0, objective_ms)), weight)
 
     def record_missed_objective(self, now: float, weight: float) -> None:
-        """Take in that a request was given up as too late: overload shows here first."""
+        """Record that a request was abandoned as too late, which is the first sign of overload."""
         self.lateness.add_at(now, LATENESS_AT_FULL_PRESSURE, weight)
 
     def read_report(self, now: float, engine: TrackedEngine, report: Sequence[float]) -> LoadReport:
-        """Return the report that came from an engine, its values in the order that the settings name."""
+        """Parse an engine's load report, whose values are in the order that the settings name."""
         values = dict(zip(self._settings.load_report_fields, report, strict=False))
         utilisation = values.get("util", math.nan)
         queries = values.get("inflight", math.nan)
@@ -102,15 +116,16 @@
         )
 
     def expected_threads(self, engine: TrackedEngine, report: LoadReport) -> float:
-        """Return the threads that an engine should run at least: own ones, or as many as other engines."""
+        """Return the threads that an engine should run at least: own ones, or the fleet's mean of others'."""
         return max(report.own_threads, self.other_threads_per_core.value * engine.cores)
 
     def record_report(self, now: float, engine: TrackedEngine, report: LoadReport) -> None:
-        """Learn the threads of other coordinators from a report; one that tells nothing is passed over."""
+        """Learn the threads of other coordinators from a report; ignore one without usable values."""
         threads = self._reported_threads(now, engine, report)
         if math.isnan(threads):
             return
-        others = threads - report.own_threads  # what was sent or ended since the report is known here
+        # Own threads are those at the time of the report; own attempts sent or ended since are known exactly.
+        others = threads - report.own_threads
         if now - engine.reported_at > REPORT_EXPIRY_MS:
             engine.other_threads.count = 0
         engine.other_threads.add(others)
--- a/fordstair/decisions/outcome_learning.py
+++ b/fordstair/decisions/outcome_learning.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches: costs, latencies, and the scores of engines."""
+"""Learning from the ends of attempts: costs, latencies, and the scores of engines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class OutcomeLearner:
-    """Passes each end of an attempt on to whatever learns from it."""
+    """Passes the end of each attempt to the cost model, the load estimator and the outlier detector."""
 
     def __init__(self, cost_model: CostModel, load: LoadEstimator, outliers: OutlierDetector) -> None:
         self._cost_model = cost_model
@@ -20,7 +20,7 @@
         self._outliers = outliers
 
     def learn(self, now: float, attempt: TrackedAttempt, event: AttemptEnded) -> None:
-        """Learn from an attempt that has ended; figures that are not usable teach nothing."""
+        """Learn from an attempt that has ended; work and latency that are not usable are ignored."""
         engine = attempt.engine
         if event.status is Status.OK and is_usable(event.work_ms) and is_usable(event.latency_ms):
             self._learn_served(now, attempt, event)
--- a/fordstair/decisions/query_resources.py
+++ b/fordstair/decisions/query_resources.py
@@ -1,4 +1,4 @@
-"""The resources that an attempt is given at its engine: memory, and the priority of its running work."""
+"""The resources that an attempt gets at its engine: memory, and the priority of its running work."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from fordstair.decisions.tracked_engine import TrackedEngine
 from fordstair.decisions.tracked_request import TrackedRequest
 
-# Priorities of the protocol, from 0 to 3; the share of an engine grows with them.
+# Priorities of the protocol, from 0 to 3; a query's share of its engine grows with its priority.
 HIGH_PRIORITY = 3
 NORMAL_PRIORITY = 2
 LOW_PRIORITY = 1
 DEFAULT_PRIORITY = 1
-# Stands for the memory of an engine that does not report it, MB: no grant reaches it.
+# Used for an engine whose memory is unknown; larger than any grant.
 UNKNOWN_MEMORY_MB = 1e9
 
 
 class QueryResources:
-    """Decides on memory and priority right before an attempt is sent."""
+    """Decides on the memory grant and the priority right before an attempt is sent."""
 
     def __init__(self, settings: Settings, cost_model: CostModel) -> None:
         self._settings = settings
@@ -31,7 +31,7 @@
         return min(largest, self._cost_model.memory_grant_mb(request))
 
     def priority(self, request: TrackedRequest) -> int:
-        """Return the priority: by weight per thread-second, and low for the costly requests of a class."""
+        """Return the priority: high for a high-priority class, else low for a costly request, or normal."""
         if not self._settings.priorities:
             return DEFAULT_PRIORITY
         if self._cost_model.is_high_priority(request.class_index):
--- a/fordstair/decisions/request_ordering.py
+++ b/fordstair/decisions/request_ordering.py
@@ -1,6 +1,6 @@
-"""The queue of an ordering key: its requests are sent one after the other, in the order of arrival.
+"""The queue of an ordering key, whose requests are sent one at a time in the order of arrival.
 
-Used on the simulator only: the coordinator's fronts know no ordering keys.
+Used on the simulator only: the coordinator's fronts have no ordering keys.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from fordstair.decisions.settings import Settings
 from fordstair.decisions.tracked_request import TrackedRequest
 
-# How an attempt may end while its work goes on at the engine.
+# Statuses with which an attempt may end while its work continues at the engine.
 UNCERTAIN_STATUSES = (Status.TIMEOUT, Status.RESET, Status.CANCELLED)
 SETTLE_MARGIN_MS = 1.0
 
 
 def settled_at(now: float, status: Status, settings: Settings) -> float:
-    """Return when the next request of a key may be sent after an attempt that ended so."""
+    """Return when the next request of a key may be sent after an attempt that ended with this status."""
     if status in UNCERTAIN_STATUSES:
         return now + settings.ordering_settle_ms + SETTLE_MARGIN_MS
     return now
@@ -27,21 +27,26 @@
 
 @dataclass(slots=True, eq=False)
 class OrderingQueue:
-    """The requests of one key."""
+    """The requests of one key.
+
+    Attributes:
+        settles_at: Time until which nothing is sent, as an ended attempt may still run.
+        is_advancing: Prevents re-entry of the gateway's loop over the queue when it rejects the head.
+    """
 
     key: int
     requests: deque[TrackedRequest] = field(default_factory=deque)
     attempts_in_flight: int = 0
     settles_at: float = -math.inf
-    is_advancing: bool = False  # guards against advancing anew from within, when the head is rejected
+    is_advancing: bool = False
 
     def record_attempt_end(self, settles_at: float) -> None:
-        """Count an attempt that has ended; nothing more of the key is sent until it has settled."""
+        """Record the end of an attempt; no further request of the key is sent until it has settled."""
         self.attempts_in_flight -= 1
         self.settles_at = max(self.settles_at, settles_at)
 
     def next_request(self, now: float) -> TrackedRequest | None:
-        """Return the request whose turn it is to be sent for the first time; finished ones are dropped."""
+        """Return the first unfinished request if it may be sent for the first time; drop finished ones."""
         if self.attempts_in_flight or now < self.settles_at:
             return None
         while self.requests and self.requests[0].finished:
--- a/fordstair/decisions/retries.py
+++ b/fordstair/decisions/retries.py
@@ -1,7 +1,7 @@
-"""Retries: whether a request may be sent (again), and until when its next attempt must have begun.
+"""Retries: whether a request may get a first or further attempt, and the latest time at which that may begin.
 
-What may have run decides, and never the time alone: a request without idempotency is not sent again once an
-attempt may have run. One with an idempotency key may be, while its engines still discard duplicates.
+The decision depends on what may have run, never on time alone: a non-idempotent request is not sent again
+once an attempt may have run. One with an idempotency key may be, while its engines still discard duplicates.
 """
 
 from __future__ import annotations
@@ -12,32 +12,33 @@
 from fordstair.decisions.statistics import SlidingWindowCounter
 from fordstair.decisions.tracked_request import TrackedRequest
 
-# Share of the span in which engines discard duplicates; the rest is margin for clocks and transit.
+# Share of the deduplication window that is used; the rest is margin for clock error and transit time.
 USABLE_DEDUPLICATION_SHARE = 0.9
-# Engines that may answer with an error before the request itself counts as at fault.
+# Errors from engines after which the request itself counts as at fault.
 MAX_ENGINE_ERRORS = 2
-# An attempt is not begun unless this share of its predicted work still fits into the time left.
+# An attempt is sent only if this share of its predicted work fits into the time left.
 MIN_WORK_SHARE_IN_TIME = 0.5
 DEFAULT_RETRY_BUDGET = RetryBudget(base_retries=1.0, ratio=0.5, window_ms=5_000.0)
-# Arrivals are counted over a window shorter by this, retries over one longer: rounding exceeds no budget.
+# Arrivals are counted over a window shorter by this, and retries over one longer by this, so that rounding
+# cannot exceed the budget.
 WINDOW_ROUNDING_MS = 1.0
 
 
 def may_have_run(request: TrackedRequest) -> bool:
-    """Whether an attempt is in flight, or has ended without proof that it never ran."""
+    """Return whether an attempt is in flight, or has ended without proof that it never ran."""
     return request.current_attempt is not None or request.may_have_run_since is not None
 
 
 def must_not_be_retried(request: TrackedRequest) -> bool:
-    """Whether a further attempt could have a second effect, whatever the time."""
+    """Return whether a further attempt could have a second effect, regardless of the time."""
     return request.spec.idempotency is Idempotency.NON_IDEMPOTENT and may_have_run(request)
 
 
 def latest_retry_start(request: TrackedRequest) -> float:
-    """Return when a further attempt may begin at the latest; inf where nothing binds it.
+    """Return the latest time at which a further attempt may begin; inf if there is no limit.
 
-    That is 0.9 of the deduplication window; the host does not begin the attempt later, and its send guard
-    checks the full window.
+    With an idempotency key, the limit is 0.9 of the deduplication window after the first attempt that may
+    have run. The host does not begin the attempt later than this, and its send guard checks the full window.
     """
     if request.spec.idempotency is not Idempotency.WITH_KEY:
         return math.inf
@@ -50,9 +51,9 @@
 
 
 def client_may_retry(request: TrackedRequest) -> bool:
-    """Whether a client's own retry does no harm: such a request is rejected, others are failed.
+    """Return whether a client's own retry is safe: such a request is rejected, any other is failed.
 
-    Under an idempotency key that holds only if all engines share the memory of duplicates.
+    With an idempotency key, a retry is safe only if all engines find each other's duplicates.
     """
     if not may_have_run(request):
         return True
@@ -63,7 +64,7 @@
 
 
 class RetryPolicy:
-    """Says whether a request may have one more attempt, its first one included."""
+    """Decides whether a request may get its first or a further attempt."""
 
     def __init__(self, settings: Settings) -> None:
         self._max_attempts = settings.max_attempts
@@ -73,7 +74,7 @@
         self._retries = SlidingWindowCounter(window_ms)
 
     def record_arrival(self, now: float) -> None:
-        """Count a request that arrives: the budget is in proportion to them."""
+        """Count an arriving request; the retry budget grows in proportion to arrivals."""
         self._arrivals.add(now)
 
     def record_retry(self, now: float) -> None:
@@ -81,10 +82,10 @@
         self._retries.add(now)
 
     def may_attempt(self, now: float, request: TrackedRequest) -> bool:
-        """Whether the next attempt keeps the request's promises, the cap on attempts and the retry budget.
+        """Return whether the next attempt is safe, still useful, and within the attempt cap and retry budget.
 
-        Asked before each attempt, and before one is cancelled in order to try elsewhere. False ends the
-        request, or leaves the running attempt alone.
+        Asked before each attempt, where False ends the request, and before an attempt is cancelled to be
+        retried elsewhere, where False lets it run on.
         """
         if request.attempts_sent >= self._max_attempts:
             return False
--- a/fordstair/decisions/settings.py
+++ b/fordstair/decisions/settings.py
@@ -10,7 +10,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a second run of a request has a second effect: never, never under its key, or always."""
+    """Whether running a request twice has a second effect: never, never under the same key, or always."""
 
     IDEMPOTENT = "idempotent"
     WITH_KEY = "with_key"
@@ -18,48 +18,67 @@
 
 
 class DeduplicationScope(Enum):
-    """Which engines share the memory in which they find duplicates of a request by its idempotency key."""
+    """Which engines find each other's duplicates of a request by its idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
     def is_shared_by(self, one: EngineEntry, other: EngineEntry) -> bool:
-        """Whether two engines share it."""
+        """Return whether two engines find each other's duplicates."""
         if self is DeduplicationScope.ALL:
             return True
         return one.zone == other.zone if self is DeduplicationScope.ZONE else one.cell == other.cell
 
 
 class Discovery(Enum):
-    """Whether updates of the engine list are pushed, or the list must be polled."""
+    """How updates of the engine list arrive.
+
+    Attributes:
+        PUSH: They are pushed.
+        POLL: The list must be polled; the gateway requests that it is watched once, at its start.
+    """
 
     PUSH = "push"
-    POLL = "ask"  # the gateway asks once, at its start, for the list to be watched
+    POLL = "ask"
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
     """One class of requests.
 
-    Raises ValueError, which names the field, for a value that is negative or not finite.
+    Attributes:
+        latency_objective_work_factor: Multiplied by work / threads and added to the objective.
+        client_timeout_ms: Time that clients usually wait; also bounds the shutdown.
+        priority_weight: Worth of an answer within the objective.
+        late_weight: Share of the weight that a late answer still has.
+        deduplication_window_ms: Time for which engines find duplicates by the idempotency key.
+        ordered_by_key: Requests with the same ordering key run one after the other.
+        allowed_zones: Zones in which the class may run; None allows all.
+        allowed_machine_kinds: Machine kinds on which the class may run; None allows all.
+        threads: Threads on which a query runs.
+        is_load: A query locks its table group at its engine while it runs.
+        waits_for_loads: A query waits for loads of its table group at its engine.
+
+    Raises:
+        ValueError: A value is negative, not finite or otherwise out of range; the message names the field.
     """
 
     name: str
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     latency_objective_ms: float = 1000.0
-    latency_objective_work_factor: float = 0.0  # times the work over the threads, added to the objective
-    client_timeout_ms: float = 10000.0  # how long clients usually wait; bounds the shutdown, too
-    priority_weight: float = 1.0  # what an answer within the objective is worth
-    late_weight: float = 0.0  # the share of the weight that a late answer still earns
+    latency_objective_work_factor: float = 0.0
+    client_timeout_ms: float = 10000.0
+    priority_weight: float = 1.0
+    late_weight: float = 0.0
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window_ms: float = 0.0  # for how long engines find duplicates by the idempotency key
-    ordered_by_key: bool = False  # requests with the same ordering key run one after the other
-    allowed_zones: frozenset[int] | None = None  # None: all
-    allowed_machine_kinds: frozenset[int] | None = None  # None: all
-    threads: int = 1  # that a query runs on
-    is_load: bool = False  # locks its table group at its engine while it runs
-    waits_for_loads: bool = False  # waits for loads of its table group at its engine
+    deduplication_window_ms: float = 0.0
+    ordered_by_key: bool = False
+    allowed_zones: frozenset[int] | None = None
+    allowed_machine_kinds: frozenset[int] | None = None
+    threads: int = 1
+    is_load: bool = False
+    waits_for_loads: bool = False
 
     def __post_init__(self) -> None:
         _check_not_negative(
@@ -76,7 +95,7 @@
             raise ValueError(f"classes.{self.name}.threads: must be at least 1, not {self.threads}")
 
     def allows(self, entry: EngineEntry) -> bool:
-        """Whether the class may run on an engine, by its zone and its kind of machine."""
+        """Return whether the class may run on an engine, by its zone and machine kind."""
         if self.allowed_zones is not None and entry.zone not in self.allowed_zones:
             return False
         return self.allowed_machine_kinds is None or entry.kind in self.allowed_machine_kinds
@@ -84,7 +103,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """One tenant; a quota of 0 means none is stated."""
+    """One tenant; a quota of 0 means that it has none."""
 
     name: str
     quota_per_s: float = 0.0
@@ -107,38 +126,58 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a gateway is given at its start.
-
-    Raises ValueError, which names the field, for a value that is out of range.
+    """The settings that a gateway gets at its start.
+
+    Attributes:
+        instances: Number of coordinators in the fleet.
+        cores_by_kind: Cores of an engine, by machine kind.
+        memory_mb_by_kind: Memory of an engine, by machine kind.
+        largest_memory_grant_share: Maximum share of an engine's memory for one query.
+        memory_grants: Engines honour memory grants.
+        priorities: Engines honour priorities of running work.
+        progress_interval_ms: Interval between notes on a running attempt; 0 if engines send none.
+        load_report_fields: Names of the values of a load report, in order.
+        reports_by_health_check_only: Part of the settings document; not used yet.
+        poll_within_ms: Part of the settings document; not used yet.
+        health_checks: Health checks are allowed.
+        max_attempts: Maximum number of attempts of one request, including the first.
+        over_quota_weight: Share of its weight that a request beyond its quota has.
+        retry_budget: None for the default of the retry policy.
+        ordering_settle_ms: Wait of an ordering key after an attempt that may still run.
+        slow_start_initial_capacity: Share of its capacity that a started engine has.
+        slow_start_ms: Time until an engine is warm.
+        slow_start_overload_factor: Multiple of its present capacity above which an engine collapses.
+        slow_start_window_ms: Window over which the overload factor is measured.
+
+    Raises:
+        ValueError: A value is out of range; the message names the field.
     """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    instances: int = 1  # coordinators in the fleet
-    cores_by_kind: tuple[float, ...] = ()  # of an engine, by its kind of machine
+    instances: int = 1
+    cores_by_kind: tuple[float, ...] = ()
     memory_mb_by_kind: tuple[float, ...] = ()
-    largest_memory_grant_share: float = 1.0  # of an engine's memory, for one query
-    memory_grants: bool = False  # whether engines heed memory grants
-    priorities: bool = False  # whether engines heed priorities of running work
-    progress_interval_ms: float = 0.0  # between notes on a running attempt; 0: none come
-    load_report_fields: tuple[str, ...] = ()  # of a load report, in its order
-    reports_by_health_check_only: bool = False  # part of the document; not used yet
+    largest_memory_grant_share: float = 1.0
+    memory_grants: bool = False
+    priorities: bool = False
+    progress_interval_ms: float = 0.0
+    load_report_fields: tuple[str, ...] = ()
+    reports_by_health_check_only: bool = False
     discovery: Discovery = Discovery.PUSH
-    poll_within_ms: float = 10000.0  # part of the document; not used yet
-    health_checks: bool = False  # whether health checks are allowed
+    poll_within_ms: float = 10000.0
+    health_checks: bool = False
     may_cancel: bool = False
     sends_retry_after: bool = False
     max_retry_after_ms: float = 0.0
-    max_attempts: int = 1  # for one request, the first included
-    over_quota_weight: float = 1.0  # the share of its weight that a request beyond its quota earns
-    retry_budget: RetryBudget | None = None  # None: the module's own
-    ordering_settle_ms: float = 0.0  # rest of an ordering key after an attempt that may still run
-    slow_start_initial_capacity: float = 1.0  # the share of its capacity that a started engine has
-    slow_start_ms: float = 0.0  # until an engine is warm
-    slow_start_overload_factor: float = (
-        1.0  # more than that over the present capacity makes an engine collapse
-    )
-    slow_start_window_ms: float = 1000.0  # over which the overload factor is measured
+    max_attempts: int = 1
+    over_quota_weight: float = 1.0
+    retry_budget: RetryBudget | None = None
+    ordering_settle_ms: float = 0.0
+    slow_start_initial_capacity: float = 1.0
+    slow_start_ms: float = 0.0
+    slow_start_overload_factor: float = 1.0
+    slow_start_window_ms: float = 1000.0
 
     def __post_init__(self) -> None:
         _check_not_negative(
--- a/fordstair/decisions/slow_start.py
+++ b/fordstair/decisions/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: how much of its capacity a started engine has, and how much of its budget goes to it from here.
+"""Slow start: the capacity of an engine that has just started, and how often this coordinator sends to it.
 
 An engine that is warming up collapses under more than ``overload factor x present capacity`` of work in a
-window; the budget binds the sum of all coordinators, which do not know of each other's sends.
+window. This budget limits the work of all coordinators together, which do not know of each other's attempts.
 """
 
 from __future__ import annotations
@@ -14,27 +14,26 @@
 from fordstair.decisions.tracked_engine import TrackedEngine
 from fordstair.decisions.tracked_request import TrackedRequest
 
-# A request is light if it takes at most this share of the budget with which an engine starts.
+# A request is light if it costs at most this share of an engine's budget at its start.
 LIGHT_BUDGET_SHARE = 0.08
 MIN_LIGHT_WORK_SHARE = 0.1
-# From this warm-up factor on, requests of any cost may go to an engine.
+# At or above this warm-up factor, requests of any cost may be sent to an engine.
 ANY_COST_WARM_UP_FACTOR = 0.6
 USABLE_BUDGET_SHARE = 1.0
-# Busy cores of an engine at its capacity, over its cores.
+# Share of an engine's cores that is busy at its capacity.
 BUSY_CORES_AT_CAPACITY = 0.85
-# Margin for chance: the sends of independent coordinators scatter by the root of their number.
+# Margin in standard deviations: the attempts of independent coordinators vary by the root of their number.
 SCATTER_SIGMAS = 2.0
 
 
 class SlowStart:
-    """Decides what engines that are warming up may be sent."""
+    """Decides which requests may be sent to engines that are warming up, and with which probability."""
 
     def __init__(self, settings: Settings, cost_model: CostModel) -> None:
         self._settings = settings
         self._cost_model = cost_model
-        self._light_cost = RunningMean(
-            MIN_POOLED_STEP
-        )  # of all requests, with 0 for those that are not light
+        # The mean over all requests, in which those that are not light count as 0.
+        self._light_cost = RunningMean(MIN_POOLED_STEP)
         kinds = settings.cores_by_kind
         mean_cores = sum(kinds) / max(1, len(kinds))
         self._max_light_cost = (
@@ -46,14 +45,15 @@
         )
 
     def record_arrival(self, cost: float) -> None:
-        """Learn how much of the work that arrives is light; the cost is in thread-milliseconds."""
+        """Learn the light share of arriving work from a request's cost in thread-milliseconds."""
         self._light_cost.add(cost if cost <= self._max_light_cost else 0.0)
 
     def warm_up_factor(self, now: float, engine: TrackedEngine) -> float:
-        """Return the share of its full capacity that an engine surely has: 1 once it is warm.
+        """Return a lower bound of the share of its full capacity that an engine has: 1 once it is warm.
 
-        The true ramp is not reported, so it is assumed to rise with the square of time. An engine that took
-        no connection counts as started then: a process that was not running is cold when it is back.
+        Engines do not report their true ramp, so capacity is assumed to rise with the square of time. An
+        engine that accepted no connection counts as started at that time, since a process that was not
+        running is cold when it is back.
         """
         settings = self._settings
         started_at = min(now, max(engine.entry.started_ms, engine.unreachable_at))
@@ -71,11 +71,12 @@
         *,
         all_warming_up: bool,
     ) -> float:
-        """Return the largest probability with which a request may be sent to an engine that is warming up.
+        """Return the maximum probability with which a request may be sent to an engine that is warming up.
 
-        Asked at each draw, for each such engine. With it the sends of all coordinators together, with their
-        scatter, fit the engine's budget. Light requests scatter less, so that more work fits: beside warm
-        engines only they warm an engine up, and others get 0 until it is warm enough.
+        Asked at each draw, for each such engine. At this probability, the attempts of all coordinators
+        together, including their variation, fit the engine's budget. Light requests vary less, so that more
+        work fits: while there are warm engines, only light requests warm an engine up, and others get 0 until
+        its warm-up factor is high enough.
         """
         settings = self._settings
         if not all_warming_up and request.cost <= self._max_light_cost:
@@ -89,6 +90,6 @@
             return 0.0
         overload = settings.slow_start_overload_factor * warm_up_factor * USABLE_BUDGET_SHARE
         budget = overload * BUSY_CORES_AT_CAPACITY * engine.cores * settings.slow_start_window_ms
-        grain = SCATTER_SIGMAS**2 * largest_cost / max(1.0, budget)
-        usable_overload = overload * (math.sqrt(grain + 4.0) - math.sqrt(grain)) ** 2 / 4.0
+        variance = SCATTER_SIGMAS**2 * largest_cost / max(1.0, budget)
+        usable_overload = overload * (math.sqrt(variance + 4.0) - math.sqrt(variance)) ** 2 / 4.0
         return usable_overload * engine.cores / max(1.0, fleet_cores) / work_share
--- a/fordstair/decisions/statistics.py
+++ b/fordstair/decisions/statistics.py
@@ -1,4 +1,4 @@
-"""Running means, ratios and counts over a sliding window: plain arithmetic that decides nothing."""
+"""Running means, ratios, and counts over a sliding window."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from bisect import bisect_left
 from collections import OrderedDict, deque
 
-# Weight of one sample in a pooled mean: by the time since the last one, within these bounds.
+# Bounds of the weight of one sample in a pooled mean, which grows with the time since the previous sample.
 MIN_POOLED_STEP = 0.02
 MAX_POOLED_STEP = 0.15
 MAX_WEIGHTED_STEP = 0.5
@@ -14,12 +14,12 @@
 
 
 def is_usable(value: float) -> bool:
-    """Whether a figure can be learned from: finite and not negative."""
+    """Return whether a value can be learned from: it is finite and not negative."""
     return math.isfinite(value) and value >= 0.0
 
 
 class RunningMean:
-    """A mean that forgets old samples exponentially; exact for its first ``1 / step`` samples."""
+    """An exponentially weighted mean, which is exact for its first ``1 / step`` samples."""
 
     __slots__ = ("count", "step", "value")
 
@@ -29,13 +29,13 @@
         self.step = step
 
     def add(self, sample: float) -> None:
-        """Take one sample in."""
+        """Add one sample."""
         self.count += 1
         self.value += (sample - self.value) * max(self.step, 1.0 / self.count)
 
 
 class PooledMean(RunningMean):
-    """A running mean over all engines, whose memory is a span of time rather than a number of samples."""
+    """A running mean over all engines, which covers a span of time rather than a number of samples."""
 
     __slots__ = ("updated_at",)
 
@@ -44,7 +44,7 @@
         self.updated_at = 0.0
 
     def add_at(self, now: float, sample: float, weight: float = 1.0) -> None:
-        """Take one sample in at a time in ms; a heavier one counts by the root of its weight."""
+        """Add one sample at a time in ms; it counts by the square root of its weight."""
         step = min(MAX_POOLED_STEP, max(MIN_POOLED_STEP, (now - self.updated_at) / POOLED_MEAN_SPAN_MS))
         self.step = min(MAX_WEIGHTED_STEP, step * math.sqrt(weight))
         self.updated_at = now
@@ -61,20 +61,20 @@
         self.step = step
         self.means: OrderedDict[tuple[int, float], RunningMean] = OrderedDict()
 
-    def get(self, pair: tuple[int, float]) -> RunningMean | None:
-        """Return the mean of a pair, if it is cached."""
-        return self.means.get(pair)
+    def get(self, key: tuple[int, float]) -> RunningMean | None:
+        """Return the mean of a class and table group, or None if it is not cached."""
+        return self.means.get(key)
 
-    def add(self, pair: tuple[int, float], sample: float) -> None:
-        """Take one sample in for the pair."""
-        self.means.setdefault(pair, RunningMean(self.step)).add(sample)
-        self.means.move_to_end(pair)
+    def add(self, key: tuple[int, float], sample: float) -> None:
+        """Add one sample to the mean of a class and table group."""
+        self.means.setdefault(key, RunningMean(self.step)).add(sample)
+        self.means.move_to_end(key)
         if len(self.means) > self.size:
             self.means.popitem(last=False)
 
 
 class EstimateRatio:
-    """Actual value over estimate: its mean, and the mean distance from it."""
+    """Ratio of actual value to estimate: its mean, and its mean deviation from that."""
 
     __slots__ = ("largest", "mean", "spread")
 
@@ -84,7 +84,7 @@
         self.largest = largest
 
     def add(self, actual: float, estimate: float) -> None:
-        """Take one pair in; an extreme one counts as the largest ratio allowed."""
+        """Add one pair of positive values, with the ratio capped at ``largest``; ignore any other pair."""
         if actual > 0.0 and estimate > 0.0:
             ratio = min(self.largest, actual / estimate)
             self.spread.add(abs(ratio - self.mean.value))
@@ -92,7 +92,7 @@
 
 
 class SlidingWindowCounter:
-    """Counts events within a sliding span of time."""
+    """Counts events in a sliding window."""
 
     __slots__ = ("span_ms", "times")
 
@@ -101,11 +101,11 @@
         self.span_ms = span_ms
 
     def add(self, now: float) -> None:
-        """Count one event now; those older than the span are forgotten."""
+        """Count one event now; drop those older than the window."""
         self.times.append(now)
         while self.times[0] < now - self.span_ms:
             self.times.popleft()
 
     def count_since(self, start: float) -> int:
-        """Return how many events happened at or after that time."""
+        """Return the number of events at or after a time."""
         return len(self.times) - bisect_left(self.times, start)
--- a/fordstair/decisions/timers.py
+++ b/fordstair/decisions/timers.py
@@ -1,4 +1,4 @@
-"""The timers that a gateway has asked its host for, by their tokens."""
+"""The timers that a gateway has requested from its host, by token."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Timers:
-    """Remembers what each running timer is for."""
+    """Maps the token of each running timer to its target."""
 
     def __init__(self) -> None:
         self._targets: dict[int, TimerTarget] = {}
@@ -25,5 +25,5 @@
         return StartTimer(self._last_token, delay_ms)
 
     def pop_target(self, token: int) -> TimerTarget | None:
-        """Return what a timer was for; None for a token that was never given, or has fired already."""
+        """Remove and return a timer's target; None for a token that is unknown or has already fired."""
         return self._targets.pop(token, None)
--- a/fordstair/decisions/token_bucket.py
+++ b/fordstair/decisions/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket that fits fleets: many coordinators share one rate without a common rhythm."""
+"""A token bucket for fleets, in which many coordinators share one rate without synchronisation."""
 
 from __future__ import annotations
 
@@ -7,19 +7,24 @@
 
 
 class TokenBucket:
-    """A token bucket that starts at a random fill, and lends its last part of a token by chance.
+    """A token bucket with a random initial fill, which grants a partial token with a matching probability.
 
-    Both keep hundreds of coordinators, each with a small part of one rate, from admitting in step or never.
+    Both prevent hundreds of coordinators, each with a small share of one rate, from admitting in lockstep or
+    never.
     """
 
     __slots__ = ("refilled_at", "tokens")
 
     def __init__(self) -> None:
-        self.tokens = math.nan  # until first use
+        # NaN until first use, when the burst is known.
+        self.tokens = math.nan
         self.refilled_at = 0.0
 
     def take(self, now: float, rate_per_s: float, burst: float, random: Random) -> bool:
-        """Refill at the rate, up to the burst; take a token if there is one, or a part of one by chance."""
+        """Refill at the rate up to the burst; return whether a token was taken.
+
+        With less than one token left, the probability of taking it is the part that is left.
+        """
         if math.isnan(self.tokens):
             self.tokens = burst * random.random()
             self.refilled_at = now
--- a/fordstair/decisions/tracked_request.py
+++ b/fordstair/decisions/tracked_request.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its final answer, and one attempt of it that is in flight."""
+"""State of one request from its arrival to its final answer, and of one of its attempts in flight."""
 
 from __future__ import annotations
 
@@ -14,7 +14,19 @@
 
 @dataclass(slots=True, eq=False)
 class TrackedRequest:
-    """One request's state; times are ms of the events' clock, costs thread-milliseconds."""
+    """One request's state; times are milliseconds of the events' clock, costs are thread-milliseconds.
+
+    Attributes:
+        cost_estimate: The client's estimate; 0 if it gave none.
+        memory_estimate_mb: The client's estimate; 0 if it gave none.
+        cost: The predicted cost.
+        deadline: Latest time for the final answer.
+        useful_until: Time from which an answer is worth nothing.
+        may_have_run_since: Send time of the first ended attempt that may have run.
+        may_have_run_on: Engine of that attempt.
+        last_engine: Engine of the latest attempt.
+        health_checks_considered: Health checks were considered for the next attempt, even if none was needed.
+    """
 
     id: int
     class_index: int
@@ -22,24 +34,24 @@
     tenant: int
     table_group: float
     ordering_key: int
-    cost_estimate: float  # as the client stated it; 0 if it did not
-    memory_estimate_mb: float  # as the client stated it; 0 if it did not
-    cost: float = 0.0  # as predicted here
-    deadline: float = 0.0  # last moment for the final answer
-    useful_until: float = 0.0  # from then on an answer is worth nothing
+    cost_estimate: float
+    memory_estimate_mb: float
+    cost: float = 0.0
+    deadline: float = 0.0
+    useful_until: float = 0.0
     attempts_sent: int = 0
     finished: bool = False
     current_attempt: TrackedAttempt | None = None
-    may_have_run_since: float | None = None  # send of the first ended attempt that may have run
+    may_have_run_since: float | None = None
     may_have_run_on: EngineEntry | None = None
     last_engine: EngineId | None = None
     engines_with_errors: list[TrackedEngine] = field(default_factory=list)
-    health_checks_considered: bool = False  # before its next attempt, even if none was needed
+    health_checks_considered: bool = False
     awaits_health_checks: bool = False
 
     @classmethod
     def from_event(cls, event: RequestArrived, spec: RequestClass) -> TrackedRequest:
-        """Return the request as it arrived; odd estimates count as none."""
+        """Return the request as it arrived; estimates that are negative or not finite count as not given."""
         return cls(
             id=event.request,
             class_index=event.class_index,
@@ -52,8 +64,8 @@
         )
 
     @property
-    def binding_ordering_key(self) -> int:
-        """The key whose order binds this request; 0 where none does."""
+    def effective_ordering_key(self) -> int:
+        """The ordering key if the request's class is ordered by key, else 0."""
         return self.ordering_key if self.spec.ordered_by_key else 0
 
 
--- a/fordstair/routing/__init__.py
+++ b/fordstair/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Where requests may go when a zone fails: pure, no I/O, no clock; the decision module draws the engine."""
+"""Routing around failed zones, without I/O or a clock; the decision module selects the engine."""
--- a/fordstair/routing/zone_outlier_detection.py
+++ b/fordstair/routing/zone_outlier_detection.py
@@ -1,13 +1,14 @@
-"""Ejects a whole zone that is out of reach, before each of its engines was found out alone; pure.
+"""Outlier detection for zones: ejects an unreachable zone as a whole, before each engine is detected alone.
 
-Several engines of one zone that miss one after another, with no response from any other of that zone while
-other zones respond, have more likely one cause than several. A suspicion may be wrong, and is taken back at
-the first response (Chandra and Toueg 1996, section 2); a zone is readmitted for a trial as in a circuit
-breaker's half-open state (Nygard, Release It!, 2007, section 5.2) with an ejection time that doubles.
+If several engines of a zone miss, none of its engines responds and other zones do respond, one common cause
+is more likely than several. Such a suspicion may be wrong, and is withdrawn at the first response (Chandra
+and Toueg 1996, section 2). A zone whose ejection time is over is readmitted for a trial, as in a circuit
+breaker's half-open state (Nygard, Release It!, 2007, section 5.2); the ejection time doubles with each trial
+that fails.
 
-A miss is a connect that never came up, or an attempt in flight without a response for ATTEMPT_SILENCE_MS. A
-response is what an engine answers about an attempt that runs, and its result. Errors, resets and refused
-connects are neither.
+A miss is a connect that was never established, or an attempt in flight without a response for
+ATTEMPT_SILENCE_MS. A response is an engine's answer about a running attempt, or its result. Errors, resets
+and refused connects are neither. The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -15,51 +16,63 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-MISSING_ENGINES_TO_EJECT = 3  # engines of a zone that must miss, or all but one where it has fewer
-MIN_MISSING_ENGINES_TO_EJECT = 2  # one engine alone tells nothing of its zone
-ZONE_SILENCE_MS = 300.0  # without any response from the zone, before its misses count together
-ATTEMPT_SILENCE_MS = 700.0  # a sound engine answers each poll within 250 ms
+# Number of engines that must miss to eject their zone, or all but one in a smaller zone.
+MISSING_ENGINES_TO_EJECT = 3
+# A single engine's misses say nothing about its zone.
+MIN_MISSING_ENGINES_TO_EJECT = 2
+# Time without any response from a zone before its misses count together.
+ZONE_SILENCE_MS = 300.0
+# Time without a response after which an attempt is a miss; a healthy engine answers each poll within 250 ms.
+ATTEMPT_SILENCE_MS = 700.0
 BASE_EJECTION_MS = 1_000.0
 MAX_EJECTION_MS = 4_000.0
-EJECTION_GROWTH = 2.0  # each time that a trial was in vain
-OTHER_ZONE_RESPONSE_MS = (
-    1_000.0  # another zone must have responded within: else this coordinator is cut off itself
-)
+# Factor on the ejection time after each failed trial.
+EJECTION_GROWTH = 2.0
+# Another zone must have responded within this time; otherwise this coordinator itself may be cut off.
+OTHER_ZONE_RESPONSE_MS = 1_000.0
 UNKNOWN_ZONE = -1
 
 
 @dataclass(slots=True)
 class ZoneState:
-    """What is known of one zone; times are milliseconds of the caller's clock."""
+    """State of one zone; times are milliseconds of the caller's clock.
+
+    Attributes:
+        last_response_ms: Time of the last response from any of its engines.
+        missing: Engines that have missed since the last response or readmission.
+        ejected_until_ms: End of the ejection; 0 if the zone is not ejected.
+        next_ejection_ms: Duration of the next ejection.
+    """
 
     engines: set[str] = field(default_factory=set)
-    last_response_ms: float = 0.0  # of any of its engines
-    missing: set[str] = field(default_factory=set)  # engines that have missed since then
-    ejected_until_ms: float = 0.0  # 0: it is not ejected
+    last_response_ms: float = 0.0
+    missing: set[str] = field(default_factory=set)
+    ejected_until_ms: float = 0.0
     next_ejection_ms: float = BASE_EJECTION_MS
 
     @property
     def ejected(self) -> bool:
-        """Whether nothing new goes there."""
+        """Return True if no new attempts are sent to the zone."""
         return self.ejected_until_ms > 0.0
 
     @property
     def missing_to_eject(self) -> int:
-        """How many of its engines must be missing before it is ejected."""
+        """The number of missing engines at which the zone is ejected."""
         return max(MIN_MISSING_ENGINES_TO_EJECT, min(MISSING_ENGINES_TO_EJECT, len(self.engines) - 1))
 
 
 class ZoneOutlierDetector:
-    """All zones that engines are listed in, by number."""
+    """Tracks the zones of the listed engines, by zone number."""
 
     def __init__(self) -> None:
         self.zones: dict[int, ZoneState] = {}
         self._zone_of: dict[str, int] = {}
 
     def update_engines(self, now_ms: float, zones: Mapping[str, int], restarted: Iterable[str] = ()) -> None:
-        """Take in the zone of each listed engine, and which of them have a new process.
+        """Update the zone of each listed engine, and record which of them have a new process.
 
-        A process that has just started is a response of its zone: somebody there has told discovery of it.
+        A process that has just started counts as a response of its zone, since discovery has learned of it
+        from there.
         """
         self._zone_of = dict(zones)
         for engine in restarted:
@@ -73,7 +86,7 @@
                 del self.zones[number]
 
     def record_response(self, now_ms: float, engine: str) -> bool:
-        """Note a response of an engine; return whether its zone is readmitted by it."""
+        """Record a response of an engine; return whether it readmits its zone."""
         if (zone := self._zone(engine)) is None:
             return False
         was_ejected = zone.ejected
@@ -84,7 +97,7 @@
         return was_ejected
 
     def record_miss(self, now_ms: float, engine: str) -> bool:
-        """Note a miss of an engine; return whether its zone is ejected from now on."""
+        """Record a miss of an engine; return whether it ejects its zone."""
         if (zone := self._zone(engine)) is None:
             return False
         zone.missing.add(engine)
@@ -95,7 +108,7 @@
         return True
 
     def readmit_expired(self, now_ms: float) -> list[int]:
-        """Return the zones whose ejection is over: they take requests until as many have missed again."""
+        """Readmit and return the zones whose ejection is over; enough new misses eject them again."""
         expired = [
             number for number, zone in self.zones.items() if zone.ejected and zone.ejected_until_ms <= now_ms
         ]
@@ -105,16 +118,16 @@
         return expired
 
     def is_ejected(self, engine: str) -> bool:
-        """Whether an engine's zone is ejected."""
+        """Return whether an engine's zone is ejected."""
         zone = self._zone(engine)
         return zone is not None and zone.ejected
 
     def any_ejected(self) -> bool:
-        """Whether any zone is ejected."""
+        """Return whether any zone is ejected."""
         return any(zone.ejected for zone in self.zones.values())
 
     def _is_outlier(self, zone: ZoneState, now_ms: float) -> bool:
-        """Whether a zone is silent, with enough engines missing, while another zone responds."""
+        """Return whether a zone is silent, with enough engines missing, while another zone responds."""
         if zone.ejected or len(zone.missing) < zone.missing_to_eject:
             return False
         if now_ms - zone.last_response_ms < ZONE_SILENCE_MS:
--- a/tests/decisions/recorded_sites.py
+++ b/tests/decisions/recorded_sites.py
@@ -1,4 +1,4 @@
-"""Settings documents of the recorded runs, in the form that the protocol gives them."""
+"""Settings documents of the recorded runs, in the format of the protocol."""
 
 from __future__ import annotations
 
--- a/tests/decisions/recording.py
+++ b/tests/decisions/recording.py
@@ -1,4 +1,4 @@
-"""A seeded driver of the decision module, and the digest of what the module answers."""
+"""A seeded driver of the decision module, and a digest of the actions that the module returns."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 LIST_CHANGE_MS = 900.0
 BAD_ENGINE_SHARE = 0.2
 
-# An outcome's statuses with their weights: at a sound engine, and at a faulty one.
+# Statuses of attempts with their weights, at a healthy engine and at a faulty one.
 HEALTHY_STATUSES = (
     (Status.OK, 94.0),
     (Status.ERROR, 1.0),
@@ -73,7 +73,7 @@
 
 
 def encode(action: Action) -> bytes:
-    """Return an action's type and every number in it; reasons are texts and left out."""
+    """Return an action's type and fields as bytes, without the text of a reason."""
     match action:
         case SendAttempt(request, engine, limit_ms, begin_by):
             return struct.pack(">BIdd", 1, request, limit_ms, begin_by) + engine.encode()
@@ -91,11 +91,11 @@
             return struct.pack(">BB", 11, on)
         case SetQueryResources(request, memory_mb, priority):
             return struct.pack(">BIdB", 13, request, memory_mb, priority)
-    raise AssertionError(f"the decision module answered {action!r}, which no recorded run has")
+    raise AssertionError(f"unexpected action {action!r}: the recorded runs contain no action of its type")
 
 
 class RecordedRun:
-    """Plays clients, engines and discovery to one gateway, all drawn from one seed."""
+    """Simulates clients, engines and discovery for one gateway, all drawn from one seed."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -105,16 +105,16 @@
         self.event_count = 0
         self.digests: list[str] = []
         self._digest = hashlib.sha256()
-        self._due: list[tuple[float, int, Event | str]] = []
-        self._due_count = 0
+        self._pending: list[tuple[float, int, Event | str]] = []
+        self._pending_count = 0
         self._last_request = 0
         self._attempt_counts: dict[int, int] = {}
         self._outstanding: dict[tuple[int, int], tuple[str, float]] = {}
         self._engines: dict[str, EngineEntry] = {}
         self._engine_count = 0
 
-    def play(self, events: int) -> list[str]:
-        """Feed that many events; return the digest after each thousand."""
+    def run(self, events: int) -> list[str]:
+        """Feed this many events to the gateway; return the running digest after each thousand."""
         for _ in range(ENGINE_COUNT):
             self._add_engine(started_ms=0.0)
         self._feed(EngineListChanged(ListUpdateKind.CACHED, tuple(self._engines.values())[:4]))
@@ -122,7 +122,7 @@
         self._schedule(0.0, "arrive")
         self._schedule(LIST_CHANGE_MS, "change list")
         while self.event_count < events:
-            at, _, event = heapq.heappop(self._due)
+            at, _, event = heapq.heappop(self._pending)
             self.now = max(self.now, at)
             if event == "arrive":
                 self._arrive()
@@ -133,8 +133,8 @@
         return self.digests
 
     def _schedule(self, delay_ms: float, event: Event | str) -> None:
-        self._due_count += 1
-        heapq.heappush(self._due, (self.now + delay_ms, self._due_count, event))
+        self._pending_count += 1
+        heapq.heappush(self._pending, (self.now + delay_ms, self._pending_count, event))
 
     def _feed(self, event: Event) -> None:
         actions = self.gateway.handle(self.now, event)
@@ -149,7 +149,8 @@
     def _deliver(self, event: Event) -> None:
         if isinstance(event, AttemptEnded):
             if self._outstanding.pop((event.request, event.attempt), None) is None:
-                return  # it was cancelled meanwhile
+                # The attempt was cancelled in the meantime.
+                return
         elif isinstance(event, AttemptNote) and (event.request, event.attempt) not in self._outstanding:
             return
         self._feed(event)
@@ -164,10 +165,10 @@
         index = self.random.choices(range(len(classes)), [8.0, 3.0, 2.0, 1.0][: len(classes)])[0]
         cost_ms = self.random.lognormvariate(5.5 + index, 0.8) if self.random.random() < 0.7 else 0.0
         memory_mb = self.random.uniform(10.0, 2_000.0) if self.random.random() < 0.5 else 0.0
-        odd = self.random.random()
-        if odd < 0.005:
+        malformed_draw = self.random.random()
+        if malformed_draw < 0.005:
             cost_ms = math.nan
-        elif odd < 0.01:
+        elif malformed_draw < 0.01:
             memory_mb = -1.0
         time_left_ms = classes[index].client_timeout_ms * self.random.choice((0.1, 0.5, 1.0))
         self._feed(
@@ -182,10 +183,10 @@
                 self.random.randrange(1, 7),
             )
         )
-        fate = self.random.random()
-        if fate < 0.03:
+        end_draw = self.random.random()
+        if end_draw < 0.03:
             self._schedule(self.random.uniform(1.0, 2_000.0), ClientDisconnected(request))
-        elif fate < 0.04:
+        elif end_draw < 0.04:
             self._schedule(self.random.uniform(1.0, 2_000.0), RequestWithdrawn(request))
 
     def _execute(self, action: Action) -> None:
@@ -222,7 +223,8 @@
         if status in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_STARTED):
             latency_ms = self.random.uniform(0.5, 250.0)
         elif status is Status.OK and self.random.random() < 0.02:
-            latency_ms *= 40.0  # an engine that hangs, or a bad plan
+            # The engine hangs, or the query has a bad plan.
+            latency_ms *= 40.0
         self._schedule(latency_ms, self._ended(request, attempt, engine, status, latency_ms))
         if self.random.random() < 0.15:
             kind = self.random.choice(tuple(NoteKind))
@@ -297,9 +299,11 @@
     def _replace_engine(self) -> None:
         old = self._engines[self.random.choice(list(self._engines))]
         draw = self.random.random()
-        if draw < 0.4 and len(self._engines) < ENGINE_COUNT + 3:  # one that joins, cold
+        if draw < 0.4 and len(self._engines) < ENGINE_COUNT + 3:
+            # A cold engine joins.
             self._feed(EngineListChanged(ListUpdateKind.DELTA, (self._add_engine(self.now),)))
-        elif draw < 0.65:  # its process has started anew
+        elif draw < 0.65:
+            # The engine's process is restarted.
             entry = EngineEntry(
                 old.engine, EngineState.READY, old.zone, old.cell, old.kind, self.now, old.weight
             )
@@ -314,4 +318,4 @@
 
 def record(site: str, seed: int, events: int = EVENTS) -> list[str]:
     """Return the digests of one site's recorded run."""
-    return RecordedRun(parse_settings(SETTINGS_DOCUMENTS[site]), seed).play(events)
+    return RecordedRun(parse_settings(SETTINGS_DOCUMENTS[site]), seed).run(events)
--- a/tests/decisions/test_recording.py
+++ b/tests/decisions/test_recording.py
@@ -1,4 +1,4 @@
-"""The decisions are those of the recorded runs, to the last draw and the last bit of each number."""
+"""The decision module's actions equal those of the recorded runs, to the last draw and bit of each number."""
 
 from __future__ import annotations
 
