--- a/fordstair/decisions/attempt_monitoring.py
+++ b/fordstair/decisions/attempt_monitoring.py
@@ -8,8 +8,7 @@
 
 FIRST_CHECK_LATENCY_FACTOR = 3.0
 MIN_CHECK_INTERVAL_MS = 300.0
-# Without progress notes, an attempt that runs for more than this many times its expected latency counts as
-# having a bad plan.
+# Without progress notes, a run longer than this many times the expected latency counts as a bad plan.
 OVERLONG_FACTOR = 3.5
 # Progress does not indicate a bad plan before this much time.
 MIN_ELAPSED_FOR_PROGRESS_MS = 500.0
--- a/fordstair/decisions/load_estimation.py
+++ b/fordstair/decisions/load_estimation.py
@@ -124,7 +124,7 @@
         threads = self._reported_threads(now, engine, report)
         if math.isnan(threads):
             return
-        # Own threads are those at the time of the report; own attempts sent or ended since are known exactly.
+        # Subtract the own threads at the time of the report; later changes are counted in engine.own_threads.
         others = threads - report.own_threads
         if now - engine.reported_at > REPORT_EXPIRY_MS:
             engine.other_threads.count = 0
--- a/fordstair/decisions/settings.py
+++ b/fordstair/decisions/settings.py
@@ -10,7 +10,7 @@
 
 
 class Idempotency(Enum):
-    """Whether running a request twice has a second effect: never, never under the same key, or always."""
+    """Effect of running a request twice: no second effect, none under the same key, or always a second."""
 
     IDEMPOTENT = "idempotent"
     WITH_KEY = "with_key"
@@ -18,7 +18,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which engines find each other's duplicates of a request by its idempotency key."""
+    """The set of engines that find each other's duplicates of a request by its idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
