--- a/fordstair/decisions/attempt_monitoring.py
+++ b/fordstair/decisions/attempt_monitoring.py
@@ -13,7 +13,7 @@
 # Progress does not indicate a bad plan before this much time.
 MIN_ELAPSED_FOR_PROGRESS_MS = 500.0
 MIN_PROGRESS = 0.01
-# A new attempt takes about one expected latency, and may be slow as well.
+# Expected latencies that must remain of a bad plan: a new attempt takes about one, and may be slow as well.
 MIN_REMAINING_FACTOR = 2.0
 
 
