--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -16,7 +16,7 @@
 from fordstair.net.clients.response_writer import ResponseWriter
 from fordstair.net.clients.rpc_query import InvalidRequestError, read_query
 from fordstair.net.clients.rpc_reply import RpcReply
-from fordstair.runtime.deadlines import Ticket
+from fordstair.runtime.deadlines import DeadlineHandle
 from fordstair.runtime.event_log import EventLog
 
 log = EventLog(__name__)
@@ -60,7 +60,7 @@
         self._waits_for_bytes: trio.CancelScope | None = None
         self._timed_out = False
         self._write_stalled = False
-        self._message_timeout: Ticket | None = None
+        self._message_timeout: DeadlineHandle | None = None
         self._scope = trio.CancelScope()
 
     @property
--- a/fordstair/runtime/__init__.py
+++ b/fordstair/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Clocks, deadlines, log events and counters: they know nothing of requests, and everything may use them."""
+"""Clocks, deadlines, log events, counters and message framing, independent of requests."""
--- a/fordstair/runtime/event_log.py
+++ b/fordstair/runtime/event_log.py
@@ -1,7 +1,8 @@
-"""Log lines as events: one name and typed fields, whatever handler renders them.
+"""Structured logging: each record has a fixed event name and typed fields; a handler renders them.
 
-The name is a fixed text such as ``client.idle_timeout``; all that varies is a field. On the platform the
-standard library prints ``name field=value``; an appliance's log takes both apart again (``fordstair/logs``).
+The event name is a constant such as ``client.idle_timeout``; every variable value is a field. On the platform
+PlainFormatter prints ``name field=value``. The handler for appliances (``fordstair/logs``) reads the event
+name and the fields separately.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class EventLog:
-    """A logger of events, under a module's name."""
+    """Logs events to the standard library's logger of a module."""
 
     __slots__ = ("_log",)
 
@@ -21,23 +22,23 @@
         self._log = logging.getLogger(name)
 
     def debug(self, event: str, **fields: Any) -> None:
-        """Log what only a search for a fault needs."""
+        """Log an event that is only of use in debugging."""
         self._write(logging.DEBUG, event, fields)
 
     def info(self, event: str, **fields: Any) -> None:
-        """Log what an operator may want to know."""
+        """Log an event that may interest an operator."""
         self._write(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Log what an operator should look at."""
+        """Log an event that an operator should look into."""
         self._write(logging.WARNING, event, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """Log what did not work."""
+        """Log a failure."""
         self._write(logging.ERROR, event, fields)
 
     def exception(self, event: str, **fields: Any) -> None:
-        """Log an exception that was caught here, with its traceback; call it in the except block."""
+        """Log a failure with the traceback of the exception being handled; call it in an except block."""
         self._write(logging.ERROR, event, fields, exc_info=True)
 
     def _write(self, level: int, event: str, fields: dict[str, Any], exc_info: bool = False) -> None:
@@ -46,10 +47,10 @@
 
 
 class PlainFormatter(logging.Formatter):
-    """``LEVEL logger: event field=value ...``, on one line but for a traceback."""
+    """Formats a record as ``LEVEL logger: event field=value ...`` on one line, plus any traceback."""
 
-    def formatMessage(self, record: logging.LogRecord) -> str:  # noqa: N802 - the standard library calls it so
-        """Return the line."""
+    def formatMessage(self, record: logging.LogRecord) -> str:  # noqa: N802 - overrides logging.Formatter
+        """Return the line without a traceback."""
         fields = "".join(f" {name}={_one_line(value)}" for name, value in getattr(record, FIELDS, {}).items())
         return f"{record.levelname} {record.name}: {record.getMessage()}{fields}"
 
--- a/fordstair/runtime/invariants.py
+++ b/fordstair/runtime/invariants.py
@@ -1,13 +1,13 @@
-"""For the functions that check what always holds for a state machine between two calls."""
+"""Helpers for functions that check the invariants of a state machine between two calls."""
 
 from __future__ import annotations
 
 
 class InvariantViolationError(Exception):
-    """A state contradicts itself; the text names the rule, and whose state it is."""
+    """Raised for a state that violates an invariant; the text names the rule and the state's owner."""
 
 
 def require(holds: bool, rule: str) -> None:
-    """Raise InvariantViolationError where a rule does not hold."""
+    """Raise InvariantViolationError with ``rule`` as its message unless ``holds``."""
     if not holds:
         raise InvariantViolationError(rule)
--- a/fordstair/runtime/message_codec.py
+++ b/fordstair/runtime/message_codec.py
@@ -1,4 +1,4 @@
-"""MessagePack messages between coordinators: array-like structs, all fields checked, sizes bounded; pure."""
+"""MessagePack encoding of messages between coordinators, with checked types and bounded sizes; no I/O."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 
 
 class MalformedMessageError(Exception):
-    """Bytes from a peer that are no message of the protocol; the text says what is wrong with them."""
+    """Raised for bytes from a peer that are not a valid message of the protocol; the text says why."""
 
 
 class WireMessage(Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Base of all messages: on the wire an array of its fields in their order, after the subclass's tag."""
+    """Base of all messages; encoded as an array of the subclass's tag, if any, and its fields in order."""
 
 
 class MessageCodec(Generic[M]):
     """Encodes and decodes the messages of one protocol.
 
-    ``messages`` is a struct or a union of tagged structs; ``max_bytes`` is the largest encoding that is read.
+    Args:
+        messages: a struct, or a union of tagged structs.
+        max_bytes: largest encoding that ``decode`` accepts.
     """
 
     def __init__(self, messages: Any, max_bytes: int) -> None:
@@ -30,13 +32,15 @@
         self._max_bytes = max_bytes
 
     def encode(self, message: M) -> bytes:
-        """Return a message's encoding."""
+        """Encode a message."""
         return self._encoder.encode(message)
 
     def decode(self, encoded: bytes | memoryview) -> M:
-        """Return the message; raise MalformedMessageError for anything that breaks a bound or a type."""
+        """Decode a message; raise MalformedMessageError if it is too large or does not match the types."""
         if len(encoded) > self._max_bytes:
-            raise MalformedMessageError(f"{len(encoded)} bytes, of {self._max_bytes} allowed")
+            raise MalformedMessageError(
+                f"message of {len(encoded)} bytes exceeds the limit of {self._max_bytes} bytes"
+            )
         try:
             return self._decoder.decode(encoded)
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
--- a/fordstair/runtime/udp_endpoint.py
+++ b/fordstair/runtime/udp_endpoint.py
@@ -1,4 +1,4 @@
-"""A UDP socket among peers: addresses as text, errors that concern one peer alone counted and passed over."""
+"""A UDP socket for messages between peers; errors that concern a single peer are counted, not raised."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import trio
 
-RECEIVE_BUFFER_BYTES = 1 << 20  # for what arrives while this program is busy
+RECEIVE_BUFFER_BYTES = 1 << 20  # holds the datagrams that arrive while this process is busy
 _PEER_ERRORS = (
     errno.ECONNREFUSED,
     errno.EHOSTUNREACH,
@@ -24,12 +24,16 @@
 
 
 class UdpEndpoint:
-    """A bound socket; ``counts`` gets ``unreachable`` for each datagram that could not be delivered."""
+    """A bound socket.
+
+    Attributes:
+        counts: ``unreachable`` counts the sends that failed and the delivery errors reported to the socket.
+    """
 
     def __init__(self, sock: trio.socket.SocketType, max_datagram_bytes: int) -> None:
         self.counts: Counter[str] = Counter()
         self._sock = sock
-        self._receive_bytes = max_datagram_bytes + 1  # so that a datagram that is too long shows
+        self._receive_bytes = max_datagram_bytes + 1  # makes an oversized datagram detectable
 
     @property
     def bound(self) -> tuple[str, int]:
@@ -38,11 +42,11 @@
         return host, port
 
     async def receive(self) -> tuple[bytes, str]:
-        """Return the next datagram and its sender's address; raise OSError where the socket itself fails."""
+        """Return the next datagram and its sender's address; raise OSError if the socket itself fails."""
         while True:
             try:
                 datagram, source = await self._sock.recvfrom(self._receive_bytes)
-            except OSError as error:  # a refusal of an earlier datagram is reported here
+            except OSError as error:  # the kernel also reports the refusal of an earlier datagram here
                 if error.errno not in _PEER_ERRORS:
                     raise
                 self.counts["unreachable"] += 1
@@ -50,7 +54,7 @@
             return datagram, address_text(source)
 
     async def send(self, datagrams: Iterable[tuple[str, bytes]]) -> None:
-        """Send datagrams to their addresses, host:port."""
+        """Send each datagram to its address, ``host:port``; count those that cannot be sent."""
         for address, datagram in datagrams:
             host, _, port = address.rpartition(":")
             try:
@@ -61,7 +65,7 @@
 
 @asynccontextmanager
 async def open_udp_endpoint(bind: tuple[str, int], max_datagram_bytes: int) -> AsyncIterator[UdpEndpoint]:
-    """Bind a socket to host and port; raise OSError where they cannot be had."""
+    """Bind a socket to a host and port; raise OSError if that fails."""
     family = socket.AF_INET6 if ":" in bind[0] else socket.AF_INET
     with trio.socket.socket(family, socket.SOCK_DGRAM) as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
@@ -70,6 +74,6 @@
 
 
 def address_text(address: tuple[str, int]) -> str:
-    """Return a socket's address in the form host:port."""
+    """Format a socket address as ``host:port``, with brackets around an IPv6 address."""
     host, port = address[:2]
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
