--- a/fordstair/core/__init__.py
+++ b/fordstair/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes; nothing in here knows a wire."""
+"""Requests, attempts and their outcomes, independent of any wire protocol."""
--- a/fordstair/core/action_dispatcher.py
+++ b/fordstair/core/action_dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the decision module, a method for each type."""
+"""Carries out the actions of the decision module, with one handler for each type."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ActionDispatcher:
-    """Dispatches actions by type. An action for a request whose task has ended does nothing."""
+    """Dispatches actions by type; ignores an action for a request whose task has ended."""
 
     def __init__(
         self,
@@ -49,12 +49,12 @@
             LogMessage: self._log_message,
         }
 
-    def carry_out(self, action: Action, now_ms: float) -> None:
-        """Carry one action out; ``now_ms`` is the monotonic time of the event that it answers."""
+    def dispatch(self, action: Action, now_ms: float) -> None:
+        """Carry out one action; ``now_ms`` is the monotonic time of the event that led to it."""
         handler = self._handlers.get(type(action))
         if handler is not None:
             handler(action, now_ms)
-        else:  # this deployment has neither health checks nor peers, and its discovery pushes
+        else:  # actions for health checks, peers and polled discovery, which this program does not have
             log.warning("decisions.action_ignored", action=action)
 
     def _send_attempt(self, action: SendAttempt, now_ms: float) -> None:
@@ -82,7 +82,7 @@
         live = self._requests.get(action.request)
         if live is None or live.attempt_scope is None:
             return
-        if live.attempt_count == action.attempt + 1:  # else that attempt has ended, and another is out
+        if live.attempt_count == action.attempt + 1:  # otherwise a later attempt has begun
             live.attempt_scope.cancel()
 
     def _set_query_resources(self, action: SetQueryResources, now_ms: float) -> None:
--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -1,4 +1,4 @@
-"""Requests wait here until the scheduler releases them to the decision module."""
+"""The queue in which requests wait until the scheduler releases them to the decision module."""
 
 from __future__ import annotations
 
@@ -23,32 +23,33 @@
     from fordstair.budgets.local_limits import LocalLimits
     from fordstair.core.coordinator import Coordinator
 
-CHECK_INTERVAL_MS = 20.0  # while something waits: capacity also returns without an end, as pressure falls
-SHORTEST_RETRY_AFTER_MS = 100.0
+# Between checks while requests wait: capacity can return without a request ending, as engine load falls.
+CHECK_INTERVAL_MS = 20.0
+MIN_RETRY_AFTER_MS = 100.0
 
 
 class AdmissionQueue:
-    """Puts a scheduler before one coordinator's decision module.
+    """Queues the requests of one coordinator in front of its decision module.
 
     Args:
-        coordinator: whose requests wait here.
-        scheduler: decides on the order, and on what is shed.
-        threads_a_core: threads that engines are given at a time, for each of their cores.
-        local_limits: this coordinator's quotas of the fleet's budgets; None where there are none.
-        seed: of the random spread of Retry-After times.
+        coordinator: the coordinator whose requests are queued.
+        scheduler: decides on the order of release and on what is shed.
+        threads_per_core: threads released to engines at a time for each of their cores.
+        local_limits: this coordinator's quotas of the fleet's budgets; None if there are no budgets.
+        seed: seed of the jitter of Retry-After times.
     """
 
     def __init__(
         self,
         coordinator: Coordinator,
         scheduler: Scheduler,
-        threads_a_core: float,
+        threads_per_core: float,
         local_limits: LocalLimits | None = None,
         seed: int = 1,
     ) -> None:
         self.coordinator = coordinator
         self.scheduler = scheduler
-        self.threads_a_core = threads_a_core
+        self.threads_per_core = threads_per_core
         self.local_limits = local_limits
         self._retry_after = RetryAfterSchedule(seed)
         self._waiting: dict[int, LiveRequest] = {}
@@ -59,10 +60,10 @@
         return len(self._waiting)
 
     async def wait(self, live: LiveRequest) -> None:
-        """Wait until the decision module has been told of the request, or it is finished."""
+        """Wait until the request has been handed to the decision module, or is finished."""
         now = self._now()
-        request = self._arriving(live, now)
-        self._resize()
+        request = self._arriving_request(live, now)
+        self._resize_quotas()
         admission = self.scheduler.admit(request, now)
         if self.local_limits is not None:
             self.local_limits.request_waiting(now, request.team, request.class_index, request.threads)
@@ -79,7 +80,7 @@
             await live.wakeup.wait()
 
     def remove(self, live: LiveRequest) -> bool:
-        """Take a request out, here and at the scheduler alike; return whether it waited here."""
+        """Remove a request from this queue and from the scheduler; return whether it was waiting here."""
         if self._waiting.pop(live.id, None) is None:
             return False
         self.scheduler.remove(live.id)
@@ -87,7 +88,10 @@
         return True
 
     def release(self) -> None:
-        """Hand what has its turn and fits to the decision module, one by one: each takes capacity."""
+        """Reject overdue requests, then release requests to the decision module while there is capacity.
+
+        They are released one by one, because each takes up capacity.
+        """
         now = self._now()
         for request in self.scheduler.pop_overdue(now):
             self._reject_waiting(request.id, QueueRejection.TOO_LATE)
@@ -102,7 +106,7 @@
             live.wakeup.set()
 
     def request_finished(self, live: LiveRequest) -> None:
-        """A request's task has ended: settle what it used, and release others."""
+        """Settle the usage of a request whose task has ended, and release others."""
         self.remove(live)
         now = self._now()
         if self.local_limits is not None:
@@ -111,14 +115,14 @@
         self.release()
 
     def withdraw(self, live: LiveRequest) -> bool:
-        """The program ends: reject the request if it waits here; return whether it did."""
+        """Reject the request if it waits here, because the program ends; return whether it did."""
         if not self.remove(live):
             return False
         self._reject(live, QueueRejection.ENDING, 0.0)
         return True
 
     def expected_wait(self, team: int) -> tuple[int, float]:
-        """Return how many requests of a team wait, and how long in ms one of the first class would."""
+        """Return how many requests of a team wait, and the expected wait in ms of one of the first class."""
         threads = self.coordinator.settings.classes[0].threads
         waiting = sum(live.query.tenant_index == team for live in self._waiting.values())
         return waiting, self.scheduler.expected_wait(team, 0, threads, self._now()).likely_ms
@@ -126,8 +130,8 @@
     def _now(self) -> float:
         return self.coordinator.deadlines.clock()
 
-    def _arriving(self, live: LiveRequest, now: float) -> ArrivingRequest:
-        """Return a request as the scheduler is told of it."""
+    def _arriving_request(self, live: LiveRequest, now: float) -> ArrivingRequest:
+        """Return the scheduler's view of a request."""
         arrival = self.coordinator.arrival_event(live)
         spec = self.coordinator.settings.classes[arrival.class_index]
         predicted_cost = self.coordinator.gateway.predicted_cost(arrival)
@@ -145,7 +149,7 @@
         )
 
     def _capacity_for(self, request: QueuedRequest) -> Capacity:
-        """Return whether a request could go now: to the fleet's budgets first, then to the engines."""
+        """Return the capacity for a request now; checks the fleet's budgets first, then the engines."""
         if self.local_limits is not None and not self.local_limits.admits(
             self._now(), request.team, request.class_index, request.threads
         ):
@@ -156,18 +160,18 @@
         limited = request.class_index in gateway.admission.concurrency_limits
         return Capacity.CLASS_FULL if limited else Capacity.FULL
 
-    def _reject_waiting(self, request: int, reason: QueueRejection) -> None:
-        """Reject a request that the scheduler has taken out already."""
-        if (live := self._waiting.pop(request, None)) is not None:
+    def _reject_waiting(self, request_id: int, reason: QueueRejection) -> None:
+        """Reject a request that the scheduler has already removed."""
+        if (live := self._waiting.pop(request_id, None)) is not None:
             self._withdraw_demand(live)
             self._reject(live, reason, self.scheduler.wait_for_capacity().likely_ms)
 
     def _reject(self, live: LiveRequest, reason: QueueRejection, wait_ms: float) -> None:
-        """Answer at once, with the time after which there is capacity: nothing of it ever ran."""
+        """Reject a request, of which nothing has run, with the time after which capacity is expected."""
         settings = self.coordinator.settings
         retry_after_ms = self._retry_after.next_ms(
             self._now(),
-            max(SHORTEST_RETRY_AFTER_MS, wait_ms),
+            max(MIN_RETRY_AFTER_MS, wait_ms),
             self.scheduler.releases_per_ms,
             settings.max_retry_after_ms,
         )
@@ -176,17 +180,17 @@
         )
 
     def _withdraw_demand(self, live: LiveRequest) -> None:
-        """Take a request that will not run off what this coordinator asks of the fleet's budgets."""
+        """Subtract a request that will not run from this coordinator's demand on the fleet's budgets."""
         if self.local_limits is not None:
             query = live.query
             threads = self.coordinator.settings.classes[query.class_index].threads
             self.local_limits.request_abandoned(query.tenant_index, query.class_index, threads)
 
-    def _resize(self) -> None:
-        """Follow the capacity of the engines that take new work."""
+    def _resize_quotas(self) -> None:
+        """Set the scheduler's capacity from the cores of the engines that accept new work."""
         coordinator = self.coordinator
         cores = sum(engine.cores for engine in coordinator.gateway.selector.eligible(0))
-        threads = max(1.0, cores * self.threads_a_core / coordinator.settings.instances)
+        threads = max(1.0, cores * self.threads_per_core / coordinator.settings.instances)
         if threads != self.scheduler.quotas.capacity:
             self.scheduler.quotas.resize(threads)
 
@@ -197,7 +201,7 @@
 
     def _check(self) -> None:
         self._check_scheduled = False
-        self._resize()
+        self._resize_quotas()
         self.release()
         self._preemption.check(self._waiting.values())
         self._schedule_check()
--- a/fordstair/core/arrival_pacer.py
+++ b/fordstair/core/arrival_pacer.py
@@ -1,7 +1,8 @@
-"""Spreads the arrivals of requests over turns of the event loop.
+"""Spreads the processing of newly arrived requests over several turns of the event loop.
 
-What has come while the program was paused or busy is read in one turn. Handed on in that turn as well, all of
-it would count as in flight before any of it can end, and keep the tasks waiting whose attempts are under way.
+Requests that arrived while the program was paused or busy are all read in one turn. If all were also
+processed in that turn, they would count as in flight before any of them could end, and would delay the tasks
+of attempts that are already in flight.
 """
 
 from __future__ import annotations
@@ -10,63 +11,64 @@
 
 import trio
 
-ARRIVALS_PER_TURN = 2  # one from clients that were here before, and one from new ones, where both wait
+ARRIVALS_PER_TURN = 2  # one from a known client and one from a new client if both are waiting
 
 
 class ArrivalPacer:
-    """Lets ARRIVALS_PER_TURN requests pass in one turn of the event loop; the others wait in their order.
+    """Admits ARRIVALS_PER_TURN requests in each turn of the event loop; the others wait in order of arrival.
 
-    The first requests of new clients wait in a line of their own: in a flood of them the others go on.
+    A client is new until its first request. New clients have a queue of their own, so that a burst of them
+    does not hold back the requests of known clients.
     """
 
     def __init__(self) -> None:
-        self._passed = 0  # in this turn
-        self._known: deque[trio.Event] = deque()  # of clients that have had a request before
-        self._new: deque[trio.Event] = deque()
-        self._wakeup = trio.Event()  # set once something has passed in this turn
+        self._admitted_this_turn = 0
+        self._known_clients: deque[trio.Event] = deque()
+        self._new_clients: deque[trio.Event] = deque()
+        self._turn_used = trio.Event()  # set once a request has been admitted in this turn
 
     async def run(self) -> None:
-        """Begin a new turn after each one in which something has passed, until cancelled."""
+        """Begin a new turn after each one in which a request was admitted, until cancelled."""
         while True:
-            await self._wakeup.wait()  # for the next turn, also where it is set
-            self._wakeup = trio.Event()
-            self._passed = 0
-            self._release(self._known, ARRIVALS_PER_TURN - 1)
-            self._release(self._new, ARRIVALS_PER_TURN - self._passed)
-            self._release(self._known, ARRIVALS_PER_TURN - self._passed)
-
-    def pass_now(self, *, new_client: bool) -> bool:
-        """Let a request pass if none of its line waits and the turn has room; return whether it may."""
-        if self._line(new_client) or self._passed >= ARRIVALS_PER_TURN:
+            await self._turn_used.wait()  # yields even if already set, so the next turn begins
+            self._turn_used = trio.Event()
+            self._admitted_this_turn = 0
+            self._admit(self._known_clients, ARRIVALS_PER_TURN - 1)
+            self._admit(self._new_clients, ARRIVALS_PER_TURN - self._admitted_this_turn)
+            self._admit(self._known_clients, ARRIVALS_PER_TURN - self._admitted_this_turn)
+
+    def admit_nowait(self, *, new_client: bool) -> bool:
+        """Admit a request if its queue is empty and this turn has room; return whether it was admitted."""
+        if self._queue(new_client) or self._admitted_this_turn >= ARRIVALS_PER_TURN:
             return False
-        self._note_passed()
+        self._count_admission()
         return True
 
     async def wait(self, *, new_client: bool) -> None:
-        """Wait behind the others of its line until one more request may pass."""
-        line = self._line(new_client)
-        may_pass = trio.Event()
-        line.append(may_pass)
+        """Wait in the queue until the request is admitted; if cancelled, leave the queue."""
+        queue = self._queue(new_client)
+        admitted = trio.Event()
+        queue.append(admitted)
         try:
-            await may_pass.wait()
+            await admitted.wait()
         except trio.Cancelled:
-            if not may_pass.is_set():
-                line.remove(may_pass)
+            if not admitted.is_set():
+                queue.remove(admitted)
             raise
 
-    def release_all(self) -> None:
-        """Let all pass that wait now."""
-        self._release(self._known, len(self._known))
-        self._release(self._new, len(self._new))
+    def admit_all(self) -> None:
+        """Admit all requests that are waiting now."""
+        self._admit(self._known_clients, len(self._known_clients))
+        self._admit(self._new_clients, len(self._new_clients))
 
-    def _line(self, new_client: bool) -> deque[trio.Event]:
-        return self._new if new_client else self._known
+    def _queue(self, new_client: bool) -> deque[trio.Event]:
+        return self._new_clients if new_client else self._known_clients
 
-    def _release(self, line: deque[trio.Event], count: int) -> None:
-        for _ in range(min(count, len(line))):
-            line.popleft().set()
-            self._note_passed()
+    def _admit(self, queue: deque[trio.Event], count: int) -> None:
+        for _ in range(min(count, len(queue))):
+            queue.popleft().set()
+            self._count_admission()
 
-    def _note_passed(self) -> None:
-        self._passed += 1
-        self._wakeup.set()
+    def _count_admission(self) -> None:
+        self._admitted_this_turn += 1
+        self._turn_used.set()
--- a/fordstair/core/attempt_executor.py
+++ b/fordstair/core/attempt_executor.py
@@ -1,4 +1,4 @@
-"""One attempt, from the guard before its first byte to the outcome that the decision module is told."""
+"""Execution of one attempt, from the send guard's check to the AttemptEnded event."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 log = EventLog(__name__)
 
-LARGEST_RESULT_BYTES = 1024 * 1024
+MAX_RESULT_BYTES = 1024 * 1024
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,12 +36,12 @@
 
     @property
     def engine_id(self) -> str:
-        """The engine's id, also after its process has been retired."""
+        """The engine's id, also if the engine is no longer listed."""
         return self.send.engine
 
 
 class AttemptExecutor:
-    """Carries attempts out, one at a time for each request."""
+    """Executes attempts, one at a time for each request."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         self._dispatch = dispatch
 
     async def execute(self, live: LiveRequest, send: SendAttempt) -> AttemptEnded:
-        """Carry one attempt out; return its end, of which the decision module must hear whatever it was."""
+        """Execute one attempt and return its AttemptEnded, which must be dispatched however it ended."""
         number = live.attempt_count
         live.attempt_count += 1
         live.engine = send.engine
@@ -74,8 +74,8 @@
         engine = self._engines.get(send.engine)
         denial = Denial.ENGINE_CLOSED if engine is None else self._denial(live, engine, send)
         if engine is None or denial is not None:
-            # Its client left, or the engine went, before the attempt's turn came: nothing is sent, but the
-            # decision module counts it as in flight until it is notified of an end.
+            # The client disconnected or the engine became unavailable before the attempt could begin. Nothing
+            # is sent, but the decision module counts the attempt as in flight until it gets an AttemptEnded.
             self._record_denial(live, send, denial or Denial.ENGINE_CLOSED)
             return AttemptEnded(
                 live.id, number, send.engine, Status.NOT_STARTED, 0.0, request_over=live.finished
@@ -86,14 +86,14 @@
         live = attempt.live
         self._record_sent(attempt)
         sent_ms = self._deadlines.clock()
-        until_ms = self._until_ms(attempt, sent_ms)
-        call = live.call = self._prepare(attempt, until_ms - sent_ms)
+        timeout_at_ms = self._timeout_at_ms(attempt, sent_ms)
+        call = live.call = self._create_call(attempt, timeout_at_ms - sent_ms)
         outcome = AttemptOutcome()
-        with self._deadlines.limit(until_ms) as live.attempt_scope:
-            await self._follow(attempt, call, outcome)
-        if live.attempt_scope.cancelled_caught and self._deadlines.clock() >= until_ms:
+        with self._deadlines.limit(timeout_at_ms) as live.attempt_scope:
+            await self._poll_to_end(attempt, call, outcome)
+        if live.attempt_scope.cancelled_caught and self._deadlines.clock() >= timeout_at_ms:
             outcome.status = Status.TIMEOUT
-        if outcome.status is not Status.OK:  # what may still run must be given up before the next attempt
+        if outcome.status is not Status.OK:  # what may still run must be abandoned before the next attempt
             outcome.may_still_run = not await call.abandon()
         live.send_guard.end(outcome.status, may_still_run=outcome.may_still_run)
         live.attempt_scope = None
@@ -114,15 +114,15 @@
             may_connect_late=outcome.may_connect_late,
         )
 
-    def _until_ms(self, attempt: Attempt, sent_ms: float) -> float:
-        """Return when an attempt is given up: at the request's deadline, or at its own limit before that."""
+    def _timeout_at_ms(self, attempt: Attempt, sent_ms: float) -> float:
+        """Return when the attempt times out: at the request's deadline, or at its own limit if earlier."""
         if attempt.send.limit_ms > 0.0:
             return min(attempt.live.deadline_ms, sent_ms + attempt.send.limit_ms)
         return attempt.live.deadline_ms
 
-    def _prepare(self, attempt: Attempt, timeout_ms: float) -> Call:
-        # The transport asks the guard right before bytes go out: an engine may have begun to drain while a
-        # connection came up, and the request may have been given up meanwhile.
+    def _create_call(self, attempt: Attempt, timeout_ms: float) -> Call:
+        # The transport calls _may_send right before the first byte: while it was connecting, the engine may
+        # have begun to drain, or the request may have been abandoned.
         live = attempt.live
         return self._transports[attempt.engine.protocol].call(
             AttemptRequest(
@@ -131,7 +131,7 @@
         )
 
     async def _may_send(self, attempt: Attempt) -> bool:
-        """Whether bytes may go out now; nothing runs between the check and them."""
+        """Return whether the request may be sent now; no other task runs between the check and the send."""
         live = attempt.live
         await live.reply.drain_input()
         if (denial := self._denial(live, attempt.engine, attempt.send)) is not None:
@@ -143,7 +143,7 @@
         return True
 
     def _denial(self, live: LiveRequest, engine: Engine, send: SendAttempt) -> Denial | None:
-        """Return why an attempt must not begin now; None where it may."""
+        """Return why an attempt must not begin now; None if it may."""
         if live.finished:
             return Denial.REQUEST_FINISHED
         if not engine.ready or not self._engines.is_current(engine):
@@ -151,8 +151,8 @@
         now = self._deadlines.clock()
         return Denial.WINDOW_OVER if now > send.begin_by else live.send_guard.denial(now)
 
-    async def _follow(self, attempt: Attempt, call: Call, outcome: AttemptOutcome) -> None:
-        """Poll an attempt until it has ended, and record how in ``outcome``."""
+    async def _poll_to_end(self, attempt: Attempt, call: Call, outcome: AttemptOutcome) -> None:
+        """Poll an attempt until it has ended, and record in ``outcome`` how it ended."""
         watch = self._extensions.zone_watch
         try:
             progress = await call.start()
@@ -168,8 +168,9 @@
             outcome.pages = [progress.rows]
             while (rows := await call.next_page()) is not None:
                 outcome.pages.append(rows)
-                _check_size(outcome.pages)
-            outcome.status = Status.OK  # only now: a page that is lost is an error that may have run
+                _check_result_size(outcome.pages)
+            # Set only after the last page: losing a page is an error of an attempt that may have run.
+            outcome.status = Status.OK
         except AttemptFailedError as failure:
             outcome.status = failure.status
             outcome.load_report = failure.load_report
@@ -179,11 +180,11 @@
                 watch.connect_failed(attempt.engine_id)
 
     def _record_denial(self, live: LiveRequest, send: SendAttempt, denial: Denial) -> None:
-        """Count an attempt that was not begun; ordering one that no rule allows is a fault."""
+        """Count an attempt that was denied; fail the request if the denial shows an invariant violation."""
         self._counters.add(f"denied.{denial.name.lower()}")
         if (rule := denial.violates) is None:
             return
-        self._invariants.violated(
+        self._invariants.record_violation(
             rule, txn=live.query.transaction_id, engine=send.engine, attempt=live.attempt_count - 1
         )
         self._requests.fail(live, denial.value)
@@ -219,7 +220,7 @@
 
 
 def _log_fields(attempt: Attempt) -> dict[str, str | int]:
-    """Return the fields by which a log tells attempts apart."""
+    """Return the log fields that identify an attempt."""
     query = attempt.live.query
     return {
         "txn": query.transaction_id,
@@ -229,7 +230,7 @@
     }
 
 
-def _check_size(pages: list[bytes]) -> None:
-    """Raise AttemptFailedError for a result that is too large, so that none fills the memory."""
-    if sum(map(len, pages)) > LARGEST_RESULT_BYTES:
-        raise AttemptFailedError(Status.ERROR, "the result is too large")
+def _check_result_size(pages: list[bytes]) -> None:
+    """Raise AttemptFailedError if a result exceeds MAX_RESULT_BYTES, which bounds the memory it takes."""
+    if sum(map(len, pages)) > MAX_RESULT_BYTES:
+        raise AttemptFailedError(Status.ERROR, f"the result exceeds the limit of {MAX_RESULT_BYTES} bytes")
--- a/fordstair/core/coordinator.py
+++ b/fordstair/core/coordinator.py
@@ -1,7 +1,7 @@
-"""The life of a request between the decision module, a front and an engine transport.
+"""Processing of requests between the fronts, the decision module and the engine transports.
 
-Two invariants hold whatever happens: a request gets exactly one final answer (``request_table``), and a load
-never runs twice (``send_guard``, which every attempt passes right before its first byte).
+Two invariants always hold: a request gets exactly one final answer (``request_table``), and a load never runs
+twice (``send_guard``, which checks every attempt right before its first byte is sent).
 """
 
 from __future__ import annotations
@@ -44,11 +44,17 @@
 
 
 def _ignore_change() -> None:
-    """Nobody follows the changes."""
+    """Do nothing; the default of ``Coordinator.on_change``."""
 
 
 class Coordinator:
-    """Feeds the decision module with events and has its actions carried out."""
+    """Feeds events to the decision module and dispatches its actions.
+
+    Attributes:
+        withdrawing: True once ``withdraw_all`` has been called; requests that still arrive get a final answer
+            from the decision module, and no attempt is sent for them.
+        on_change: called after each event.
+    """
 
     def __init__(
         self,
@@ -70,10 +76,10 @@
         self.registry = EngineRegistry(transports)
         self.priorities = QueryPriorities(counters, self._start_task)
         self.draining = False
-        self.withdrawn = False  # what still comes is answered, and nothing of it sent on
-        self.on_change: Callable[[], None] = _ignore_change  # called after each event
+        self.withdrawing = False
+        self.on_change: Callable[[], None] = _ignore_change
         self._actions = ActionDispatcher(self.requests, self.priorities, deadlines, self.dispatch)
-        self._executor = AttemptExecutor(
+        self._attempt_executor = AttemptExecutor(
             settings,
             transports,
             deadlines,
@@ -84,12 +90,12 @@
             self.extensions,
             self.dispatch,
         )
-        self._pacer = ArrivalPacer()
+        self._arrival_pacer = ArrivalPacer()
         self._nursery: trio.Nursery | None = None
 
     @property
     def live(self) -> dict[int, LiveRequest]:
-        """The requests in progress, by number."""
+        """The requests in progress, by id."""
         return self.requests.live
 
     @property
@@ -99,34 +105,34 @@
 
     @property
     def open_count(self) -> int:
-        """How many requests still wait for their answer."""
+        """The number of requests that still wait for their answer."""
         return sum(1 for _ in self.requests.unanswered())
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Run the nursery of all requests' tasks, until cancelled."""
+        """Run the nursery of the tasks of all requests until cancelled."""
         async with trio.open_nursery() as self._nursery:
-            self._nursery.start_soon(self._pacer.run)
+            self._nursery.start_soon(self._arrival_pacer.run)
             task_status.started()
             await trio.sleep_forever()
 
     def tenant_index(self, team: str) -> int | None:
-        """Return a team's number; None for one that is not known. Without teams, all requests are of one."""
+        """Return a team's index, None if it is unknown; 0 for every name if no teams are configured."""
         return self.tenants.get(team) if self.tenants else 0
 
     def is_in_progress(self, transaction_id: str) -> bool:
-        """Whether a request under this id is being worked on."""
+        """Return whether a request with this transaction id is in progress."""
         return self.requests.is_in_progress(transaction_id)
 
     def submit(self, query: Query, reply: Reply) -> LiveRequest:
-        """Take a request in; its reply gets exactly one final answer, unless the client leaves."""
+        """Accept a request; its reply gets exactly one final answer, unless the client disconnects."""
         assert self._nursery is not None, "the coordinator is not running"
         spec = self.settings.classes[query.class_index]
         live = self.requests.add(query, reply, spec, self.deadlines.clock())
-        self._nursery.start_soon(self._run_guarded, live)
+        self._nursery.start_soon(self._run_request, live)
         return live
 
     def client_disconnected(self, live: LiveRequest) -> None:
-        """The client has stopped waiting: no answer is sent any more."""
+        """Abandon a request whose client has stopped waiting; no answer is sent."""
         if live.finished:
             return
         self.counters.add("client.disconnected")
@@ -137,23 +143,23 @@
             self.dispatch(ClientDisconnected(live.id))
 
     def withdraw_all(self) -> None:
-        """The program ends: the decision module answers every request that is still open, or comes yet."""
-        self.withdrawn = True
-        self._pacer.release_all()
+        """Have all open requests, and those that still arrive, answered now, because the program ends."""
+        self.withdrawing = True
+        self._arrival_pacer.admit_all()
         queue = self.extensions.admission_queue
         for live in list(self.requests.unanswered()):
             if queue is None or not queue.withdraw(live):
                 self.dispatch(RequestWithdrawn(live.id))
 
     def dispatch(self, event: Event) -> None:
-        """Hand the decision module an event and carry out the actions that it answers, in order."""
+        """Pass an event to the decision module and carry out the resulting actions in order."""
         now_ms = self.deadlines.clock()
         for action in self.gateway.handle(now_ms, event):
-            self._actions.carry_out(action, now_ms)
+            self._actions.dispatch(action, now_ms)
         self.on_change()
 
     def arrival_event(self, live: LiveRequest) -> RequestArrived:
-        """Return a request as the decision module is told of it now, with the time that it has left."""
+        """Return the decision module's event for a request, with the time now left to its deadline."""
         query = live.query
         return RequestArrived(
             live.id,
@@ -166,39 +172,42 @@
         )
 
     def update_engines(self, kind: ListUpdateKind, engines: Iterable[Engine]) -> None:
-        """Apply an update of the engine list, and pass it to the decision module."""
+        """Apply an update of the engine list and pass it to the decision module."""
         updated = self.registry.update(kind, engines)
         if (watch := self.extensions.zone_watch) is not None:
             watch.engines_updated()
         self.counters.add("engine_list.updates")
-        self.dispatch(EngineListChanged(kind, tuple(engine.notified_entry for engine in updated)))
+        self.dispatch(EngineListChanged(kind, tuple(engine.effective_entry for engine in updated)))
 
     def engine_unreachable(self, address: str, after_ms: float) -> None:
-        """A connection to an address has not come up for long: the process there next may be a new one.
+        """Report that a connection to an address has not been established for ``after_ms``.
 
-        Reported as a failed health check, though none was made: the decision module counts it as silence, and
-        the engine as started anew.
+        The next process at that address may be a new one. The event is a failed health check, although no
+        check was made: the decision module counts it as silence and treats the engine as restarted.
         """
-        for name in self.registry.at_address(address):
-            self.dispatch(HealthCheckEnded(name, Status.CONNECT_FAILED, after_ms))
+        for engine_id in self.registry.ids_at_address(address):
+            self.dispatch(HealthCheckEnded(engine_id, Status.CONNECT_FAILED, after_ms))
+
+    def set_cordoned(self, engine_id: str, cordoned: bool) -> None:
+        """Stop or resume sending new attempts to an engine.
 
-    def set_cordoned(self, name: str, cordoned: bool) -> None:
-        """Send an engine nothing new, or again; what runs there goes on, and its reports are heeded."""
-        if (engine := self.registry.set_cordoned(name, cordoned)) is not None:
-            self.dispatch(EngineListChanged(ListUpdateKind.DELTA, (engine.notified_entry,)))
+        Running attempts continue, and the engine's load reports still count.
+        """
+        if (engine := self.registry.set_cordoned(engine_id, cordoned)) is not None:
+            self.dispatch(EngineListChanged(ListUpdateKind.DELTA, (engine.effective_entry,)))
 
     def set_concurrency_limit(self, class_index: int, threads: int | None) -> None:
-        """Bound the threads that a class may have in flight; None lifts the bound."""
+        """Limit the threads that a class may have in flight; None removes the limit."""
         self.dispatch(ConcurrencyLimitSet(class_index, threads))
 
-    async def _run_guarded(self, live: LiveRequest) -> None:
-        """Keep a fault in one request from taking down the others: it becomes a failed answer."""
+    async def _run_request(self, live: LiveRequest) -> None:
+        """Process a request; answer it as failed on an unexpected exception, which must not affect others."""
         try:
-            await self._run(live)
+            await self._process(live)
         except Exception:
             log.exception("request.internal_error", txn=live.query.transaction_id, engine=live.engine)
             self.requests.fail(live, "internal error")
-            self._write_off(live)
+            self._clear_in_flight(live)
         finally:
             if not (live.finished or trio.current_effective_deadline() == -math.inf):
                 self.requests.fail_unanswered(live)
@@ -208,26 +217,26 @@
             if (queue := self.extensions.admission_queue) is not None:
                 queue.request_finished(live)
 
-    async def _run(self, live: LiveRequest) -> None:
-        """One request from its arrival to its single final answer."""
+    async def _process(self, live: LiveRequest) -> None:
+        """Process a request from its arrival to its final answer."""
         new_client = live.query.from_new_client
-        if not (live.finished or self.withdrawn or self._pacer.pass_now(new_client=new_client)):
-            with self.deadlines.limit(live.deadline_ms):  # past it, it is answered at once
-                await self._pacer.wait(new_client=new_client)
-        if live.finished:  # withdrawn before its turn came: the decision module must not plan for it
+        if not (live.finished or self.withdrawing or self._arrival_pacer.admit_nowait(new_client=new_client)):
+            with self.deadlines.limit(live.deadline_ms):  # after the deadline it is answered without waiting
+                await self._arrival_pacer.wait(new_client=new_client)
+        if live.finished:  # it ended while waiting: the decision module must not plan attempts for it
             return
         queue = self.extensions.admission_queue
-        if queue is None or self.withdrawn:
+        if queue is None or self.withdrawing:
             self.dispatch(self.arrival_event(live))
         else:
             await queue.wait(live)
-        if self.withdrawn:
+        if self.withdrawing:
             self.dispatch(RequestWithdrawn(live.id))
         while (send := await live.next_send()) is not None:
-            self.dispatch(await self._executor.execute(live, send))
+            self.dispatch(await self._attempt_executor.execute(live, send))
 
-    def _write_off(self, live: LiveRequest) -> None:
-        """Tell the decision module that nothing is in flight; else it would count the threads for good."""
+    def _clear_in_flight(self, live: LiveRequest) -> None:
+        """Tell the decision module that the request has ended, or it would count its threads forever."""
         number = live.attempt_count - 1
         try:
             self.dispatch(ClientDisconnected(live.id))
--- a/fordstair/core/extensions.py
+++ b/fordstair/core/extensions.py
@@ -1,4 +1,4 @@
-"""What an operator's file may put beside a coordinator; without it there is none."""
+"""Optional parts of a coordinator, which an operator's file may enable; all are off without the file."""
 
 from __future__ import annotations
 
@@ -9,46 +9,46 @@
 
 
 class RequestQueue(Protocol):
-    """Where requests wait before the decision module is told of them."""
+    """A queue in which requests wait before they are handed to the decision module."""
 
     async def wait(self, live: LiveRequest) -> None:
-        """Wait until the decision module has been told of the request, or it is finished."""
+        """Wait until the request has been handed to the decision module, or is finished."""
 
     def remove(self, live: LiveRequest) -> bool:
-        """Take a request out; return whether it waited here."""
+        """Remove a request; return whether it was waiting here."""
 
     def withdraw(self, live: LiveRequest) -> bool:
-        """The program ends: reject the request if it waits here; return whether it did."""
+        """Reject the request if it waits here, because the program ends; return whether it did."""
 
     def request_finished(self, live: LiveRequest) -> None:
-        """A request's task has ended: settle what it used."""
+        """Settle the usage of a request whose task has ended."""
 
     def expected_wait(self, team: int) -> tuple[int, float]:
-        """Return how many requests of a team wait, and how long in ms a new one would."""
+        """Return how many requests of a team wait, and the expected wait in ms of a new one."""
 
 
 class AttemptWatch(Protocol):
-    """Watches all attempts together for what none of them shows alone."""
+    """Observes the attempts of all requests, to detect faults that no single attempt shows."""
 
     def engines_updated(self) -> None:
-        """The engine list has changed."""
+        """Handle a change of the engine list."""
 
-    def attempt_sent(self, request: int) -> None:
-        """An attempt goes out."""
+    def attempt_sent(self, request_id: int) -> None:
+        """Handle the start of a request's attempt."""
 
-    def engine_responded(self, request: int, engine: str) -> None:
-        """An engine has answered something about an attempt, whatever it was."""
+    def engine_responded(self, request_id: int, engine_id: str) -> None:
+        """Handle any response of an engine about an attempt."""
 
-    def connect_failed(self, engine: str) -> None:
-        """A connect to an engine never came up."""
+    def connect_failed(self, engine_id: str) -> None:
+        """Handle an attempt that failed because nothing at the engine's address answered."""
 
-    def attempt_ended(self, request: int) -> None:
-        """A request's attempt is over."""
+    def attempt_ended(self, request_id: int) -> None:
+        """Handle the end of a request's attempt."""
 
 
 @dataclass(slots=True)
 class Extensions:
-    """The optional parts of one coordinator; None for a part that is off."""
+    """The optional parts of one coordinator; None for a part that is disabled."""
 
     admission_queue: RequestQueue | None = None
     zone_watch: AttemptWatch | None = None
--- a/fordstair/core/live_request.py
+++ b/fordstair/core/live_request.py
@@ -1,4 +1,4 @@
-"""One request while it is worked on, and how an attempt of it ended."""
+"""The state of one request in progress, and the outcome of one of its attempts."""
 
 from __future__ import annotations
 
@@ -14,24 +14,39 @@
 
 @dataclass(slots=True, eq=False)
 class LiveRequest:
-    """A request that is being worked on; times are milliseconds of the monotonic clock."""
+    """A request in progress; times are milliseconds of the monotonic clock.
+
+    Attributes:
+        deadline_ms: latest time for an answer to reach the client before it stops waiting.
+        priority: its own priority, 0 to 3.
+        deprioritized: whether it runs at the lowest priority, because its team exceeds its quota while others
+            wait.
+        attempt_count: the number of attempts so far.
+        used_thread_ms: thread-milliseconds used at engines so far.
+        engine: id of the engine of the latest attempt.
+        finished: whether its final answer has been given, or its client has disconnected.
+        pending_send: an attempt that the decision module has requested and that has not begun.
+        wakeup: set when a send is pending or the request is finished.
+        call: the call of the attempt in flight.
+        attempt_scope: the cancel scope of the attempt in flight.
+    """
 
     id: int
     query: Query
     reply: Reply
     received_ms: float
-    deadline_ms: float  # when its client stops waiting
+    deadline_ms: float
     send_guard: SendGuard
-    priority: int = 1  # 0 to 3
-    deprioritized: bool = False  # runs beyond its team's quota while others wait
+    priority: int = 1
+    deprioritized: bool = False
     attempt_count: int = 0
-    used_thread_ms: float = 0.0  # thread-milliseconds at engines so far
-    engine: str = ""  # of the latest attempt
-    finished: bool = False  # its final answer is given, or nobody waits for one
-    pending_send: SendAttempt | None = None  # ordered by the decision module, and not begun yet
-    wakeup: trio.Event = field(default_factory=trio.Event)  # a send is pending, or the request is finished
+    used_thread_ms: float = 0.0
+    engine: str = ""
+    finished: bool = False
+    pending_send: SendAttempt | None = None
+    wakeup: trio.Event = field(default_factory=trio.Event)
     call: Call | None = None
-    attempt_scope: trio.CancelScope | None = None  # of the attempt in flight
+    attempt_scope: trio.CancelScope | None = None
 
     async def next_send(self) -> SendAttempt | None:
         """Wait for the decision module's next send; return None once the request is finished."""
@@ -43,7 +58,7 @@
         return send
 
     def abandon(self) -> None:
-        """Finish without an answer, and give up the attempt in flight."""
+        """Finish without an answer, and cancel the attempt in flight."""
         self.finished = True
         self.wakeup.set()
         if self.attempt_scope is not None:
@@ -52,11 +67,17 @@
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    """How an attempt ended, recorded while it is polled."""
+    """The outcome of an attempt, recorded while it is polled.
+
+    Attributes:
+        may_still_run: whether the attempt may still be running at the engine, or may still begin there.
+        may_connect_late: whether its connection may still be established.
+        reason: why it failed, for the log.
+    """
 
     status: Status = Status.CANCELLED
     pages: list[bytes] = field(default_factory=list)
     load_report: tuple[float, ...] = ()
-    may_still_run: bool = False  # it may begin or run yet
-    may_connect_late: bool = False  # its connection may come up yet
-    reason: str = ""  # of a failure, for the log
+    may_still_run: bool = False
+    may_connect_late: bool = False
+    reason: str = ""
--- a/fordstair/core/ports.py
+++ b/fordstair/core/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces of the core: the fronts before it and the engine transports behind it."""
+"""The interfaces between the core, the fronts that accept requests, and the engine transports."""
 
 from __future__ import annotations
 
@@ -13,66 +13,85 @@
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """One request of a client, in the form of no wire."""
+    """One request of a client, independent of the front's protocol.
+
+    Attributes:
+        class_name: name of the request class.
+        timeout_ms: how long the client waits, counted from its send.
+        table_group: number of the group of tables that the statement uses; 0 for none.
+        cost_ms: estimated thread-milliseconds; 0 for no estimate.
+        memory_mb: estimated memory; 0 for no estimate.
+        read_delay_ms: the part of ``timeout_ms`` that had passed when the request was read.
+        idempotency_key: key of a request in a class with keys; the same in each of the client's retries.
+        ordering_key: key that the client chose; requests with the same key keep their order.
+        from_new_client: whether this is the first request on its connection.
+    """
 
     transaction_id: str
-    class_name: str  # the class, by name
+    class_name: str
     class_index: int
     tenant_index: int
-    timeout_ms: float  # how long the client waits, from its send
+    timeout_ms: float
     statement: bytes
-    table_group: float = 0.0  # 0: none
-    cost_ms: float = 0.0  # estimated thread-milliseconds; 0: no estimate
-    memory_mb: float = 0.0  # estimated; 0: no estimate
-    read_delay_ms: float = 0.0  # part of the timeout that passed before the request was read here
-    idempotency_key: str = ""  # of a class with keys; the same in each retry of the client
-    ordering_key: str = ""  # as the client names it: requests with the same one keep their order
-    from_new_client: bool = False  # the first one on its connection
+    table_group: float = 0.0
+    cost_ms: float = 0.0
+    memory_mb: float = 0.0
+    read_delay_ms: float = 0.0
+    idempotency_key: str = ""
+    ordering_key: str = ""
+    from_new_client: bool = False
 
 
 @dataclass(slots=True)
 class Engine:
-    """One engine as discovery last listed it."""
+    """One engine as discovery last listed it.
+
+    Attributes:
+        address: its address, ``host:port``.
+        started_at: when its process started, according to discovery; None if that is long past.
+        cordoned: whether an operator has cordoned it.
+        zone_ejected: whether its zone is ejected as unreachable.
+    """
 
     entry: EngineEntry
-    address: str  # host:port
+    address: str
     protocol: str = "rest"
-    started_at: UnixMs | None = None  # start of its process, by discovery; None: long past
-    cordoned: bool = False  # by an operator
-    zone_ejected: bool = False  # its zone is out of reach
+    started_at: UnixMs | None = None
+    cordoned: bool = False
+    zone_ejected: bool = False
 
     @property
     def ready(self) -> bool:
-        """Whether new work may go there."""
+        """Whether new attempts may be sent to it."""
         return self.entry.state is EngineState.READY and not (self.cordoned or self.zone_ejected)
 
     @property
-    def notified_entry(self) -> EngineEntry:
-        """The entry as the decision module gets it: an engine that takes nothing new counts as draining."""
+    def effective_entry(self) -> EngineEntry:
+        """Its entry for the decision module, where a cordoned or zone-ejected engine counts as draining."""
         if self.ready or self.entry.state is not EngineState.READY:
             return self.entry
         return replace(self.entry, state=EngineState.DRAINING)
 
 
 class Reply(Protocol):
-    """The way back to a client: takes the one final answer of its request, at once, and raises nothing."""
+    """Sends the one final answer of a request to its client; the answer methods neither block nor raise."""
 
     async def drain_input(self) -> None:
-        """Wait until what the client has sent by now is read: it may cancel the request."""
+        """Wait until what the client has sent by now has been read, because that may cancel the request."""
 
     def served(self, pages: Sequence[bytes]) -> None:
-        """Answer with all rows, in order, as text with tabs and line feeds."""
+        """Answer with the result: pages of rows in order, as text with tabs and line feeds."""
 
     def rejected(self, retry_after_ms: float) -> None:
-        """Answer that a retry is harmless, best after that long; 0: no advice."""
+        """Answer that a retry is safe, preferably after ``retry_after_ms``; 0 gives no advice."""
 
     def failed(self, reason: str) -> None:
-        """Answer that it failed; nothing is promised about the effect."""
+        """Answer that the request failed, without a promise whether it has had an effect."""
 
 
 @dataclass(slots=True, frozen=True)
 class QueryProgress:
-    """An engine's answer on a query: still running, perhaps with a note, or its first page."""
+    """An engine's response about a query: that it still runs, perhaps with a note, or its first page."""
 
     running: bool
     rows: bytes = b""
@@ -81,13 +100,13 @@
 
 
 class AttemptFailedError(Exception):
-    """An attempt has ended without its result; the status says what that proves.
+    """An attempt ended without a result; the status says whether it may have run.
 
     Attributes:
         status: how it ended.
-        load_report: the engine's load report, empty where its answer had none.
+        load_report: the engine's load report; empty if its response had none.
         reachable: whether anything at the engine's address has answered at all.
-        may_connect_late: whether its connection may come up yet.
+        may_connect_late: whether its connection may still be established.
     """
 
     def __init__(
@@ -107,48 +126,53 @@
 
 
 class Call(Protocol):
-    """One attempt at one engine, in the transport's own protocol."""
+    """One attempt at one engine, in the protocol of its transport."""
 
     async def start(self) -> QueryProgress:
-        """Send the query; raise AttemptFailedError when it ends badly."""
+        """Send the query; raise AttemptFailedError if the attempt fails."""
 
     async def poll(self) -> QueryProgress:
-        """Ask for its state; to be called again and again without a long gap. Errors as in ``start``."""
+        """Ask for the query's state; to be called repeatedly without long gaps. Raises as ``start`` does."""
 
     async def next_page(self) -> bytes | None:
-        """Fetch the next page of the result; None when there are no more. Errors as in ``start``."""
+        """Fetch the next page of the result; None after the last one. Raises as ``start`` does."""
 
     async def abandon(self) -> bool:
-        """Give the query up at the engine, if it may have got there; never takes long.
+        """Cancel the query at the engine if it may have arrived there; takes a bounded time.
 
-        Return False where it may begin yet, or still run: it was sent completely, but nothing shows that the
-        engine has read it, or has cancelled it.
+        Return False if the query may still begin or run: it was sent completely, and nothing shows that the
+        engine has read it or has cancelled it.
         """
 
     async def set_priority(self, priority: int) -> None:
-        """Set a new priority, 0 to 3, of running work."""
+        """Change the priority of the running query, 0 to 3."""
 
 
-async def _always() -> bool:
+async def _always_allowed() -> bool:
     return True
 
 
 @dataclass(slots=True)
 class AttemptRequest:
-    """What a transport needs for one attempt; it may take ``timeout_ms`` in all."""
+    """What a transport needs for one attempt.
+
+    Attributes:
+        timeout_ms: the time that the whole attempt may take.
+        may_send: awaited right before the first byte is sent; if it returns False, nothing must be sent.
+    """
 
     query: Query
     engine: Engine
     priority: int
     timeout_ms: float
-    may_send: Callable[[], Awaitable[bool]] = _always  # called right before bytes go out
+    may_send: Callable[[], Awaitable[bool]] = _always_allowed
 
 
 class Transport(Protocol):
-    """Carries attempts to engines."""
+    """Sends attempts to engines in one protocol."""
 
     def call(self, attempt_request: AttemptRequest) -> Call:
-        """Prepare one attempt; nothing is sent yet."""
+        """Create the call for one attempt; nothing is sent yet."""
 
-    def forget(self, engine: Engine) -> None:
-        """Close the connections to an engine that has gone or started anew."""
+    def close_connections(self, engine: Engine) -> None:
+        """Close the connections to an engine that has gone or restarted."""
--- a/fordstair/core/query_priorities.py
+++ b/fordstair/core/query_priorities.py
@@ -1,4 +1,4 @@
-"""The priority of running queries: set by the decision module, lowered while they exceed a quota."""
+"""The priorities of running queries: set by the decision module, lowered while a team exceeds its quota."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 
 class QueryPriorities:
-    """Passes priorities on to the engines where queries run."""
+    """Sends changed priorities to the engines at which queries run."""
 
     def __init__(self, counters: Counters, start_task: Callable[..., None]) -> None:
         self._counters = counters
         self._start_task = start_task
 
     def set_priority(self, live: LiveRequest, priority: int) -> None:
-        """Give a request its priority, 0 to 3; one that is lowered just now gets it later."""
+        """Set a request's own priority, 0 to 3; a deprioritized query gets it once it is restored."""
         if live.priority == priority:
             return
         live.priority = priority
         if not live.deprioritized:
-            self._pass_on(live, priority)
+            self._start_update(live, priority)
 
     def set_deprioritized(self, live: LiveRequest, deprioritized: bool) -> None:
-        """Lower what runs, or give it its own priority again; it is never stopped."""
+        """Lower a running query to the lowest priority, or restore its own; the query is never stopped."""
         live.deprioritized = deprioritized
-        self._pass_on(live, LOWEST_PRIORITY if deprioritized else live.priority)
+        self._start_update(live, LOWEST_PRIORITY if deprioritized else live.priority)
         self._counters.add("priority.lowered" if deprioritized else "priority.raised")
 
-    def _pass_on(self, live: LiveRequest, priority: int) -> None:
+    def _start_update(self, live: LiveRequest, priority: int) -> None:
         if live.call is not None:
             self._start_task(_send_priority, live.call, priority)
 
@@ -43,5 +43,5 @@
 async def _send_priority(call: Call, priority: int) -> None:
     try:
         await call.set_priority(priority)
-    except Exception:  # a fault in this must not take down the requests
+    except Exception:  # a failed update must not cancel the tasks of requests
         log.exception("priority.update_failed")
--- a/fordstair/core/request_table.py
+++ b/fordstair/core/request_table.py
@@ -1,4 +1,4 @@
-"""The requests in progress, and the one final answer that each of them gets."""
+"""The requests in progress, and the one final answer to each of them."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 log = EventLog(__name__)
 
-# A client's timeout runs from its send, before the request was read here, and the answer has a way to go
-# as well: what both take, with a busy turn of this program, comes off the timeout.
-TRANSIT_MS = 15.0
+# A client's timeout runs from its send, so the transit of the request and of the answer, and a busy turn of
+# this program's event loop, are subtracted from it.
+TRANSIT_ALLOWANCE_MS = 15.0
 
 
 class Answer(Enum):
-    """The kinds of a final answer; the value is part of a counter's name."""
+    """The kinds of final answers; the value is part of a counter's name."""
 
     SERVED = "served"
     REJECTED = "rejected"
@@ -31,7 +31,7 @@
 
 
 class RequestTable:
-    """All requests that are worked on. Every final answer is given here, and a second one never."""
+    """All requests in progress. Final answers are sent only from here, at most one for each request."""
 
     def __init__(self, counters: Counters, invariants: Invariants) -> None:
         self.live: dict[int, LiveRequest] = {}
@@ -42,9 +42,9 @@
         self._last_id = 0
 
     def add(self, query: Query, reply: Reply, spec: RequestClass, now_ms: float) -> LiveRequest:
-        """Take a request of a class in; its deadline is what the client's timeout leaves."""
+        """Add a request; its deadline is what remains of the client's timeout after transit."""
         self._last_id += 1
-        left_ms = max(0.0, query.timeout_ms - TRANSIT_MS - query.read_delay_ms)
+        left_ms = max(0.0, query.timeout_ms - TRANSIT_ALLOWANCE_MS - query.read_delay_ms)
         live = LiveRequest(
             self._last_id,
             query,
@@ -66,28 +66,28 @@
         return live
 
     def remove(self, live: LiveRequest) -> None:
-        """Drop a request whose task has ended."""
+        """Remove a request whose task has ended."""
         self.live.pop(live.id, None)
         self._transaction_ids.discard(live.query.transaction_id.lower())
 
-    def get(self, request: int) -> LiveRequest | None:
-        """Return a request by its number; None where its task has ended."""
-        return self.live.get(request)
+    def get(self, request_id: int) -> LiveRequest | None:
+        """Return a request by its id, or None if its task has ended."""
+        return self.live.get(request_id)
 
     def is_in_progress(self, transaction_id: str) -> bool:
-        """Whether a request under this id is being worked on."""
+        """Return whether a request with this transaction id is in progress."""
         return transaction_id.lower() in self._transaction_ids
 
     def unanswered(self) -> Iterator[LiveRequest]:
-        """Yield the requests that still wait for their answer, the oldest first."""
+        """Yield the requests that still wait for their answer, oldest first."""
         return (live for live in self.live.values() if not live.finished)
 
     def serve(self, live: LiveRequest, pages: Sequence[bytes]) -> None:
-        """Give the result as the final answer."""
+        """Answer a request with its result."""
         self._answer(live, Answer.SERVED, partial(live.reply.served, pages))
 
     def reject(self, live: LiveRequest, retry_after_ms: float, reason: str) -> None:
-        """Give the final answer that a retry is harmless, and count why."""
+        """Answer that a retry is safe, and count the reason."""
         self.rejections[live.query.class_name, reason] += not live.finished
         log.debug(
             "request.rejected",
@@ -99,13 +99,16 @@
         self._answer(live, Answer.REJECTED, partial(live.reply.rejected, retry_after_ms))
 
     def fail(self, live: LiveRequest, reason: str) -> None:
-        """Give the final answer that promises nothing about the effect."""
+        """Answer that the request failed, without a promise whether it has had an effect."""
         self._answer(live, Answer.FAILED, partial(live.reply.failed, reason))
 
     def fail_unanswered(self, live: LiveRequest) -> None:
-        """Answer a request whose task ended without an answer: a violation, unless the program stops."""
-        self._invariants.violated(
-            Invariant.EVERY_ANSWER, txn=live.query.transaction_id, attempts=live.attempt_count
+        """Record a violation for a request whose task ended without an answer, and answer it as failed.
+
+        A task that is cancelled because the program stops is no violation; the caller must exclude it.
+        """
+        self._invariants.record_violation(
+            Invariant.EVERY_REQUEST_ANSWERED, txn=live.query.transaction_id, attempts=live.attempt_count
         )
         self.fail(live, "internal error")
 
--- a/fordstair/core/send_guard.py
+++ b/fordstair/core/send_guard.py
@@ -1,7 +1,8 @@
-"""The one guard that every attempt passes right before its first byte: by state, not by time.
+"""The check that every attempt must pass right before its first byte is sent.
 
-It keeps a load from running twice: an attempt may begin only where nothing of the request can run or begin
-elsewhere, and where what may have run already is harmless to repeat.
+It keeps a load from running twice: an attempt may begin only if no earlier attempt of the request can still
+run or begin, and if whatever may have run is safe to repeat. Whether an earlier attempt can still run is
+decided by recorded state, not by elapsed time.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Denial(Enum):
-    """Why no byte of an attempt may go out now."""
+    """Why an attempt must not begin now; the value may be sent to the client."""
 
     REQUEST_FINISHED = "the request is over"
     ENGINE_CLOSED = "the engine takes nothing new"
@@ -26,11 +27,11 @@
 
     @property
     def violates(self) -> Invariant | None:
-        """The rule that whoever ordered such an attempt would have broken; None where events just crossed."""
-        return _VIOLATED.get(self)
+        """The invariant that the attempt would have violated; None if the denial is due to a normal race."""
+        return _VIOLATED_INVARIANTS.get(self)
 
 
-_VIOLATED = {
+_VIOLATED_INVARIANTS = {
     Denial.MAY_HAVE_RUN: Invariant.NO_UNSAFE_RETRY,
     Denial.ANOTHER_IN_FLIGHT: Invariant.ONE_ATTEMPT_IN_FLIGHT,
 }
@@ -38,39 +39,47 @@
 
 @dataclass(slots=True)
 class SendGuard:
-    """What may have run of one request, as its attempts were seen to begin and end.
+    """Tracks whether any attempt of one request may have run, or may still run.
 
-    It is kept apart from the decision module, which decides on retries: both must allow one.
+    The guard is independent of the decision module, which decides on retries; both must allow a retry.
+
+    Attributes:
+        deduplication_window_ms: how long engines discard duplicates of a request with an idempotency key.
+        in_flight: whether bytes of an attempt have been sent and its end is not known.
+        may_have_run: whether an ended attempt may have run.
+        may_still_begin: whether an abandoned attempt may still begin or run, since nothing shows that its
+            engine has cancelled it.
+        first_sent_ms: time of the first send, by the monotonic clock.
     """
 
     idempotency: Idempotency
-    window_ms: float  # in which engines discard the duplicates of a request with a key
-    in_flight: bool = False  # bytes of an attempt have been sent, and its end is not known
+    deduplication_window_ms: float
+    in_flight: bool = False
     may_have_run: bool = False
-    may_begin_yet: bool = False  # an attempt was given up, and nothing shows that its engine knows
-    first_sent_ms: float = math.inf  # of the monotonic clock
+    may_still_begin: bool = False
+    first_sent_ms: float = math.inf
 
     def denial(self, now_ms: float) -> Denial | None:
-        """Return why an attempt must not begin; None where it may."""
-        if self.in_flight or self.may_begin_yet:
+        """Return why an attempt must not begin now; None if it may."""
+        if self.in_flight or self.may_still_begin:
             return Denial.ANOTHER_IN_FLIGHT
         if not self.may_have_run or self.idempotency is Idempotency.IDEMPOTENT:
             return None
         if self.idempotency is Idempotency.NON_IDEMPOTENT:
             return Denial.MAY_HAVE_RUN
-        return Denial.WINDOW_OVER if now_ms > self.first_sent_ms + self.window_ms else None
+        return Denial.WINDOW_OVER if now_ms > self.first_sent_ms + self.deduplication_window_ms else None
 
     def begin(self, now_ms: float) -> None:
-        """Note that the first byte of an attempt goes out now."""
+        """Record that the first byte of an attempt is being sent now."""
         self.in_flight = True
         self.first_sent_ms = min(self.first_sent_ms, now_ms)
 
     def end(self, status: Status, *, may_still_run: bool) -> None:
-        """Note how an attempt ended; one that never began leaves all as it was."""
+        """Record how an attempt ended; an attempt that never began changes nothing."""
         if not self.in_flight:
             return
         self.in_flight = False
         if status.proves_not_run:
             return
         self.may_have_run = True
-        self.may_begin_yet = self.may_begin_yet or may_still_run
+        self.may_still_begin = self.may_still_begin or may_still_run
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -145,7 +145,7 @@
         engine = self.site.engines.get(attempt_request.engine.entry.engine)
         return ModelledCall(engine, attempt_request, self.settings, self.work_ms, self.random)
 
-    def forget(self, engine: Engine) -> None:
+    def close_connections(self, engine: Engine) -> None:
         """Do nothing: a modelled transport keeps no connections."""
 
     async def run(self) -> None:
--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -123,7 +123,7 @@
     def finish(self, number: int, response: bytes) -> None:
         """Queue the one final response of a request that is open here."""
         if self.open_requests.pop(number, None) is None:
-            self.coordinator.invariants.violated(Invariant.ONE_ANSWER, number=number)
+            self.coordinator.invariants.record_violation(Invariant.ONE_ANSWER, number=number)
         else:
             self._respond(response)
 
@@ -140,7 +140,9 @@
         await linger(self.stream, self.deadlines)
 
     def _report_open_requests(self) -> None:
-        self.coordinator.invariants.violated(Invariant.NO_OPEN_CLOSED, open=len(self.open_requests))
+        self.coordinator.invariants.record_violation(
+            Invariant.NO_CLOSE_WHILE_OPEN, open=len(self.open_requests)
+        )
 
     def _respond(self, response: bytes) -> None:
         self.last_activity_ms = self.deadlines.clock()
--- a/fordstair/net/engines/call.py
+++ b/fordstair/net/engines/call.py
@@ -47,7 +47,7 @@
         self.deadlines = deadlines
         self.load_report_fields = load_report_fields
 
-    def forget(self, engine: Engine) -> None:
+    def close_connections(self, engine: Engine) -> None:
         """Close idle connections to an engine."""
         self.pool.evict(engine.address)
 
--- a/fordstair/program/engine_list_intake.py
+++ b/fordstair/program/engine_list_intake.py
@@ -33,14 +33,14 @@
     def from_configuration(self, events: Sequence[EngineListEvent]) -> None:
         """Apply what the configuration knows at the start: a list, and what has changed in it since."""
         listed = [engine for event in events for engine in event.engines]
-        self._start_times.note_listed(_known_starts(listed))
+        self._start_times.record_listed(_known_starts(listed))
         for event in events:
             self.apply(event.kind, event.engines)
 
     def apply(self, kind: ListUpdateKind, engines: list[Engine], *, announced: bool = False) -> None:
         """Apply an update; ``announced`` says that its changes have just happened."""
         if not announced:
-            self._start_times.note_listed(_known_starts(engines))
+            self._start_times.record_listed(_known_starts(engines))
         for engine in engines:
             self._complete(engine, announced=announced)
         self._coordinator.update_engines(kind, engines)
@@ -53,7 +53,7 @@
 
     def _complete(self, engine: Engine, *, announced: bool) -> None:
         name = engine.entry.engine
-        started_ms = self._start_times.moment(name, engine.started_at, announced=announced)
+        started_ms = self._start_times.monotonic_start(name, engine.started_at, announced=announced)
         engine.entry = replace(engine.entry, started_ms=started_ms)
         if engine.entry.state is EngineState.GONE:
             self._start_times.forget(name)
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -34,7 +34,7 @@
     def call(self, attempt_request: AttemptRequest) -> Call:
         raise AssertionError
 
-    def forget(self, engine: Engine) -> None:
+    def close_connections(self, engine: Engine) -> None:
         pass
 
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -179,7 +179,7 @@
     assert engine_state(engine, 0.1, 1.0, 0.1, 9e3) == "failing"
     engine.cordoned = True
     assert engine_state(engine, 0.1, 0.5, 1.5, 0.0) == "aside"
-    assert engine.notified_entry.state.name == "DRAINING"
+    assert engine.effective_entry.state.name == "DRAINING"
 
 
 def test_a_class_can_be_limited_in_the_module_and_an_unsafe_one_is_refused_before_it_ran() -> None:
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -183,13 +183,14 @@
 def test_a_start_is_dated_once_and_a_start_of_zero_is_long_past() -> None:
     clocks = Clocks()
     starts = StartTimes(clocks.monotonic)
-    before = starts.moment("a", UnixMs(1.7e12 - 3_000.0), announced=False)
+    before = starts.monotonic_start("a", UnixMs(1.7e12 - 3_000.0), announced=False)
     clocks.pass_time(2_000.0)
-    starts.moment("b", UnixMs(1.7e12 + 2_000.0), announced=True)  # it tells that the first one is older
-    assert starts.moment("a", UnixMs(1.7e12 - 3_000.0), announced=False) == before == 1_000_000.0
+    # The lower bound from this engine shows that the first one is older than estimated.
+    starts.monotonic_start("b", UnixMs(1.7e12 + 2_000.0), announced=True)
+    assert starts.monotonic_start("a", UnixMs(1.7e12 - 3_000.0), announced=False) == before == 1_000_000.0
     starts.forget("a")
-    assert starts.moment("a", UnixMs(1.7e12 - 3_000.0), announced=False) == 997_000.0
-    assert starts.moment("c", None, announced=True) == 0.0
+    assert starts.monotonic_start("a", UnixMs(1.7e12 - 3_000.0), announced=False) == 997_000.0
+    assert starts.monotonic_start("c", None, announced=True) == 0.0
 
 
 @pytest.mark.parametrize("seen_before", [False, True])
@@ -199,9 +200,9 @@
     clocks = Clocks()
     starts = StartTimes(clocks.monotonic)
     if seen_before:  # news that came at once
-        starts.moment("prompt", UnixMs(clocks.wall_ms), announced=True)
+        starts.monotonic_start("prompt", UnixMs(clocks.wall_ms), announced=True)
         clocks.pass_time(90_000.0)
-    moment = starts.moment("late", UnixMs(clocks.wall_ms - age_ms), announced=True)
+    moment = starts.monotonic_start("late", UnixMs(clocks.wall_ms - age_ms), announced=True)
     assert clocks.monotonic_ms - moment == (age_ms if seen_before else 0.0)
 
 
@@ -209,9 +210,9 @@
 def test_a_step_of_discoverys_clock_makes_no_announced_engine_look_an_hour_old(step_ms: float) -> None:
     clocks = Clocks()
     starts = StartTimes(clocks.monotonic)
-    starts.moment("a", UnixMs(clocks.wall_ms), announced=True)
+    starts.monotonic_start("a", UnixMs(clocks.wall_ms), announced=True)
     clocks.pass_time(1_000.0, step_ms)
-    age_ms = clocks.monotonic_ms - starts.moment("b", UnixMs(clocks.wall_ms), announced=True)
+    age_ms = clocks.monotonic_ms - starts.monotonic_start("b", UnixMs(clocks.wall_ms), announced=True)
     assert age_ms == (5_000.0 if step_ms == -5_000.0 else 0.0)  # a short step cannot be told from late news
 
 
@@ -221,9 +222,9 @@
     starts = StartTimes(clocks.monotonic)
     ages_ms = {"oldest": 600_000.0, "older": 12_000.0, "youngest": 2_000.0}
     listed = {name: UnixMs(clocks.wall_ms - age_ms) for name, age_ms in ages_ms.items()}
-    starts.note_listed(listed.values())
+    starts.record_listed(listed.values())
     for name, started in listed.items():
-        estimated_age_ms = clocks.monotonic_ms - starts.moment(name, started, announced=False)
+        estimated_age_ms = clocks.monotonic_ms - starts.monotonic_start(name, started, announced=False)
         assert ages_ms[name] - ages_ms["youngest"] <= estimated_age_ms <= ages_ms[name]
 
 
@@ -271,7 +272,7 @@
     idempotency: Idempotency, status: Status
 ) -> None:
     for later_ms in (-HOUR_MS, 0.0, 4_999.0, HOUR_MS):
-        guard = SendGuard(idempotency, window_ms=5_000.0)
+        guard = SendGuard(idempotency, deduplication_window_ms=5_000.0)
         attempt(guard, status, at_ms=0.0)
         expected = None
         if not status.proves_not_run and idempotency is Idempotency.NON_IDEMPOTENT:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -127,7 +127,7 @@
     def call(self, attempt_request: AttemptRequest) -> Call:
         raise AssertionError("nothing is sent here")
 
-    def forget(self, engine: Engine) -> None:
+    def close_connections(self, engine: Engine) -> None:
         pass
 
 
