--- a/fordstair/core/arrival_pacer.py
+++ b/fordstair/core/arrival_pacer.py
@@ -17,8 +17,8 @@
 class ArrivalPacer:
     """Admits ARRIVALS_PER_TURN requests in each turn of the event loop; the others wait in order of arrival.
 
-    A client is new until its first request. New clients have a queue of their own, so that a burst of them
-    does not hold back the requests of known clients.
+    A client is new for the first request on its connection. New clients have a queue of their own, so that a
+    burst of them does not hold back the requests of known clients.
     """
 
     def __init__(self) -> None:
