--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -16,7 +16,7 @@
 from fordstair.net.clients.response_writer import ResponseWriter
 from fordstair.net.clients.rpc_query import InvalidRequestError, read_query
 from fordstair.net.clients.rpc_reply import RpcReply
-from fordstair.runtime.deadlines import Ticket
+from fordstair.runtime.deadlines import DeadlineHandle
 from fordstair.runtime.event_log import EventLog
 
 log = EventLog(__name__)
@@ -60,7 +60,7 @@
         self._waits_for_bytes: trio.CancelScope | None = None
         self._timed_out = False
         self._write_stalled = False
-        self._message_timeout: Ticket | None = None
+        self._message_timeout: DeadlineHandle | None = None
         self._scope = trio.CancelScope()
 
     @property
@@ -123,7 +123,7 @@
     def finish(self, number: int, response: bytes) -> None:
         """Queue the one final response of a request that is open here."""
         if self.open_requests.pop(number, None) is None:
-            self.coordinator.invariants.violated(Invariant.ONE_ANSWER, number=number)
+            self.coordinator.invariants.record_violation(Invariant.ONE_ANSWER, number=number)
         else:
             self._respond(response)
 
@@ -140,7 +140,9 @@
         await linger(self.stream, self.deadlines)
 
     def _report_open_requests(self) -> None:
-        self.coordinator.invariants.violated(Invariant.NO_OPEN_CLOSED, open=len(self.open_requests))
+        self.coordinator.invariants.record_violation(
+            Invariant.NO_CLOSE_WHILE_OPEN, open=len(self.open_requests)
+        )
 
     def _respond(self, response: bytes) -> None:
         self.last_activity_ms = self.deadlines.clock()
