--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -26,7 +26,7 @@
 from fordstair.lab.played_request import PlayedRequest
 from fordstair.lab.replay import priority_weight
 from fordstair.lab.virtual import DAY_START_MS, World
-from fordstair.scheduling.scheduler import OLDEST_FIRST_EVERY, ArrivingRequest, Capacity, Scheduler
+from fordstair.scheduling.scheduler import RELEASES_PER_OLDEST_FIRST, ArrivingRequest, Capacity, Scheduler
 
 SHARES = (0.73, 0.16, 0.11)
 CORES, ENGINES, WINDOW_S = 8.0, 4, 10
@@ -153,7 +153,8 @@
             if (item := scheduler.release(float(turn), lambda _: Capacity.AVAILABLE)) is not None:
                 most = max(
                     most,
-                    (scheduler.release_count - came[item.id]) / (OLDEST_FIRST_EVERY * (older[item.id] + 1)),
+                    (scheduler.release_count - came[item.id])
+                    / (RELEASES_PER_OLDEST_FIRST * (older[item.id] + 1)),
                 )
                 scheduler.finish(item.id, float(turn), item.cost)
     return most
--- a/fordstair/budgets/audit_file.py
+++ b/fordstair/budgets/audit_file.py
@@ -1,4 +1,4 @@
-"""The audit: a line of JSON for each allotment in force, from which a trial proves that limits were kept."""
+"""Audit file: one JSON line per lease in force, from which a trial verifies that the limits were kept."""
 
 from __future__ import annotations
 
@@ -16,10 +16,13 @@
 
 
 class AuditFile:
-    """An open audit file; it ends quietly at MAX_AUDIT_BYTES, and with a log line where a write fails."""
+    """An open audit file.
+
+    Writing stops silently beyond MAX_AUDIT_BYTES, and with a log line when a write fails.
+    """
 
     def __init__(self, path: Path, member: MemberId) -> None:
-        """Open the file for appending; raise OSError where it cannot be had."""
+        """Open the file for appending; raise OSError if it cannot be opened."""
         self._member = member
         self._file: TextIO | None = path.open("a", encoding="utf-8")
 
@@ -29,7 +32,7 @@
             self._file.close()
 
     def write(self, from_ms: float, until_ms: float, leased: tuple[int, ...]) -> None:
-        """Write a line for units leased in a span of the audit's clock (ms)."""
+        """Write a line for units leased during a time span of the audit clock (ms)."""
         if self._file is None or self._file.tell() > MAX_AUDIT_BYTES:
             return
         line = {
@@ -41,7 +44,7 @@
         }
         try:
             self._file.write(ujson.dumps(line) + "\n")
-            self._file.flush()  # a kill must not lose it
+            self._file.flush()  # the line must survive a kill of the process
         except OSError as error:
             log.error("budgets.audit_failed", error=error)  # noqa: TRY400  # an operator needs no traceback
             self._file = None
--- a/fordstair/budgets/demand.py
+++ b/fordstair/budgets/demand.py
@@ -1,4 +1,4 @@
-"""What one member uses and could use of the fleet's limits."""
+"""One member's present and possible use of the fleet's limits."""
 
 from __future__ import annotations
 
@@ -6,13 +6,19 @@
 from dataclasses import dataclass
 from typing import TypeAlias
 
-Amounts: TypeAlias = tuple[int, ...]  # units, by limit
+Amounts: TypeAlias = tuple[int, ...]  # units of each limit, in the plan's order
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Units by limit, floors included."""
+    """Units of each limit, floors included.
 
-    wanted: Sequence[int]  # could be used
-    needed: Sequence[int]  # in use and waited for
+    Attributes:
+        wanted: Units that could be used.
+        needed: Units in use and waited for.
+        in_use: Units in use.
+    """
+
+    wanted: Sequence[int]
+    needed: Sequence[int]
     in_use: Sequence[int]
--- a/fordstair/budgets/lease_holder.py
+++ b/fordstair/budgets/lease_holder.py
@@ -1,4 +1,4 @@
-"""What one member may use now: its floors, and its leases for as long as they surely hold; pure."""
+"""What one member may use now: its floors, and its leases while they are certain to hold; pure."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Allotment:
-    """What is leased to a member beyond its floors, in a span (ms) of the member's own clock."""
+    """Units leased to a member beyond its floors, for a time span (ms) of the member's own clock."""
 
     from_ms: float
     until_ms: float
@@ -20,49 +20,60 @@
 
 
 class LeaseHolder:
-    """The leases of one process. A lease counts from when its request was sent, never from the answer.
-
-    Invariant, never more than the limit: the leader counts the same lease from when the request reached it,
-    with a margin for drift, so it has expired here before the leader grants its units again.
+    """The leases of one process. A lease counts from the sending of its request, not from the answer.
+
+    Invariant, never more than the limit: the leader counts the same lease from the arrival of the request,
+    with a margin for clock drift, so it expires here before the leader grants its units again.
+
+    Attributes:
+        wanted: Units that could be used, beyond the floors.
+        needed: Units in use and waited for, beyond the floors.
+        in_use: Units in use, beyond the floors.
+        requested_ms: When the last request was sent.
+        until_ms: When the leases expire.
+        leased: Units granted last; empty if nothing is leased.
     """
 
     def __init__(self, plan: BudgetPlan, member: MemberId) -> None:
         self.floors = plan.floors_of(member.name)
-        self.wanted = plan.nothing  # this and the next two are beyond the floors
-        self.needed = plan.nothing
-        self.in_use = plan.nothing
-        self.requested_ms = 0.0  # when the last request was sent
+        self.wanted = plan.zero_units
+        self.needed = plan.zero_units
+        self.in_use = plan.zero_units
+        self.requested_ms = 0.0
         self.until_ms = 0.0
-        self.leased: Amounts = ()  # as last granted; empty: nothing
+        self.leased: Amounts = ()
         self._plan = plan
         self._member = member
-        self._sequence = 0  # of the last request
-        self._applied = 0  # the request whose answer is in force
+        self._sequence = 0
+        self._applied = 0  # sequence number of the request whose answer is in force; 0 if none is
 
     @property
     def sequence(self) -> int:
-        """The last request's sequence number."""
+        """The sequence number of the last request."""
         return self._sequence
 
     @property
-    def requirements(self) -> Amounts:
-        """What is wanted and needed beyond the floors, one after the other."""
+    def wanted_and_needed(self) -> Amounts:
+        """The units wanted and then the units needed, beyond the floors."""
         return self.wanted + self.needed
 
     def allotment(self, now_ms: float) -> Amounts:
-        """Return what may be used now; to be asked for each use, since a pause may have come before it."""
+        """Return the units that may be used now.
+
+        Callers ask before each use, since the process may have been paused since the last call.
+        """
         if now_ms >= self.until_ms or not self.leased:
             return self.floors
         return tuple(floor + leased for floor, leased in zip(self.floors, self.leased, strict=True))
 
     def set_demand(self, demand: Demand) -> None:
-        """Note the present demand."""
+        """Set the present demand."""
         self.wanted = self._beyond_floors(demand.wanted)
         self.needed = self._beyond_floors(demand.needed)
         self.in_use = self._beyond_floors(demand.in_use)
 
     def request(self, now_ms: float, *, leaving: bool = False) -> LeaseRequest:
-        """Return the next request; the answer to an earlier one is not taken any more."""
+        """Return the next request; answers to earlier requests are ignored from now on."""
         if leaving or now_ms >= self.until_ms:
             self.leased = ()
             self._applied = 0
@@ -82,7 +93,7 @@
         )
 
     def apply_grant(self, now_ms: float, sequence: int, units: Sequence[int]) -> Allotment | None:
-        """Take the answer to the last request; None for any other, or one that has expired on its way."""
+        """Apply the answer to the last request; return None for any other, or if it expired in transit."""
         until_ms = self.requested_ms + self._plan.lease_ms
         is_answer = sequence == self._sequence and sequence != self._applied
         if not is_answer or now_ms >= until_ms or len(units) != len(self._plan.limits):
--- a/fordstair/budgets/member.py
+++ b/fordstair/budgets/member.py
@@ -1,8 +1,9 @@
-"""One member's part in the fleet's budgets, as a state machine without clock or socket.
+"""One member of the fleet's budgets, as a state machine without clock or socket.
 
-The driver hands in what happens with its time, in milliseconds of a clock that never goes back and goes on
-while the process is stopped, and sends what ``outgoing`` returns. Nothing here relies on membership: two
-sides of a partition may hold each other for dead, and no allotment may grow for that.
+The driver passes each event with its time, in milliseconds of a clock that never goes back and continues
+while the process is stopped, and sends the datagrams that ``outgoing`` returns. Nothing here relies on the
+membership protocol: the two sides of a partition may consider each other dead, and no allotment may grow
+because of that.
 """
 
 from __future__ import annotations
@@ -33,7 +34,11 @@
 
 
 class BudgetMember:
-    """A lease holder; a voter also votes, and may lead and grant leases."""
+    """A lease holder; a member that is a voter also votes, and may lead and grant leases.
+
+    Attributes:
+        voter: This member's voter once started; None if the member is no voter.
+    """
 
     def __init__(
         self,
@@ -46,7 +51,7 @@
         self.plan = plan
         self.id = MemberId(name, incarnation)
         self.has_left = False
-        self.voter: Voter | None = None  # once started, where this member is one
+        self.voter: Voter | None = None
         self._outbox = Outbox(name, voter_addresses)
         self._context = MemberContext(plan, self.id, self._outbox, Random(seed))
         self.election = LeaderElection(self._context)
@@ -59,37 +64,37 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """What was counted: requests, grants, elections and the rest."""
+        """Counters of requests, grants, elections and other events."""
         return self._context.counts
 
     @property
     def known_leader(self) -> str:
-        """Who was last heard to lead; empty: unknown."""
+        """The name of the last known leader; empty if unknown."""
         return self._context.known_leader
 
     @property
     def next_due(self) -> float | None:
-        """When ``tick`` is wanted next (ms); None before the start and after a leave."""
+        """The time of the next due ``tick`` (ms); None before the start and after a leave."""
         due_ms = min(self.lease_client.next_due_ms, self.election.next_due_ms)
         return None if self.has_left or math.isinf(due_ms) else due_ms
 
     def allotment(self, now_ms: float) -> Amounts:
-        """Return what this member may use at this moment, limit by limit."""
+        """Return the units of each limit that this member may use now."""
         return self.lease_client.holder.allotment(now_ms)
 
     def leads(self, now_ms: float) -> bool:
-        """Whether this member surely leads now."""
+        """Return True if this member is certain to lead now."""
         return self.election.leads(now_ms)
 
     def start(self, now_ms: float) -> None:
-        """Begin; a voter votes for nobody until an earlier process's promises have expired."""
+        """Start; a voter votes for no candidate until the promises of an earlier process have expired."""
         if self.name in self.plan.voters:
             self.voter = Voter(self.plan, now_ms)
             self.election.start(self.voter)
         self.lease_client.start(now_ms)
 
     def leave(self, now_ms: float) -> None:
-        """Give all leases and promises back; nothing is requested, used or promised afterwards."""
+        """Return all leases and promises; this member requests, uses and promises nothing afterwards."""
         if not self.has_left:
             self.lease_client.send_request(now_ms, leaving=True)
             self._handle_looped_back(now_ms)
@@ -97,11 +102,11 @@
             self.has_left = True
 
     def observe_demand(self, now_ms: float) -> None:
-        """Look whether demand has grown much since it was reported; then request leases early."""
+        """Schedule an early lease request if demand has grown much since the last report."""
         self.lease_client.observe_demand(now_ms)
 
     def receive(self, now_ms: float, datagram: bytes, source: str) -> None:
-        """Take a datagram in from an address; a malformed one, or of another plan, is counted and dropped."""
+        """Handle a datagram from an address; count and drop one that is malformed or of another plan."""
         try:
             message = decode(datagram)
         except MalformedMessageError:
@@ -115,23 +120,23 @@
             self._handle_looped_back(now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Do what is due."""
+        """Run the due actions of the election and the lease client."""
         if not self.has_left:
             self.election.tick(now_ms)
             self.lease_client.tick(now_ms)
             self._handle_looped_back(now_ms)
 
     def outgoing(self) -> list[tuple[str, bytes]]:
-        """Take out the datagrams to send, each with its address."""
+        """Remove and return the datagrams to send, each with its address."""
         return self._outbox.take()
 
     def _handle_looped_back(self, now_ms: float) -> None:
-        """Take in what this member has sent to itself."""
+        """Handle the messages that this member has sent to itself."""
         while (message := self._outbox.take_looped_back()) is not None:
             self._dispatch(now_ms, message, "")
 
     def _dispatch(self, now_ms: float, message: Message, source: str) -> None:
-        """Take a message in; ``source`` is an address, or empty for this member itself."""
+        """Handle a message; ``source`` is the sender's address, or empty for this member itself."""
         match message:
             case VoteRequest():
                 if self.voter is not None and message.sender in self.plan.voters:
@@ -150,7 +155,7 @@
                 self.lease_client.receive_redirect(now_ms, message)
 
     def _answer_lease_request(self, now_ms: float, request: LeaseRequest, source: str) -> None:
-        """Grant leases where this member leads; redirect to the leader where it does not."""
+        """Grant leases if this member leads; otherwise redirect to the leader."""
         header = self._context.header(request.sequence)
         candidacy = self.election.candidacy
         grants = self.election.grants
@@ -162,6 +167,6 @@
             self._outbox.reply(request.sender, source, LeaseGrant(*header, candidacy.term, units))
 
     def _promised_leader(self, now_ms: float) -> str | None:
-        """Return the other member that has this voter's promise."""
+        """Return the name of the other member that has this voter's promise, or None."""
         promise = self.voter.promise(now_ms) if self.voter is not None else None
         return promise.leader.name if promise is not None and promise.leader.name != self.name else None
--- a/fordstair/budgets/messages.py
+++ b/fordstair/budgets/messages.py
@@ -1,7 +1,7 @@
-"""The budgets' messages: MessagePack arrays over UDP, every field checked; pure.
+"""Messages of the budgets protocol: MessagePack arrays over UDP, with every field validated; pure.
 
-Every datagram carries the digest of the sender's plan, so that a member with another plan is refused. Amounts
-are in the units of the plan's limits, in their order.
+Every datagram carries the digest of the sender's plan, so that messages of a member with another plan are
+dropped. Amounts are in the units of the plan's limits, in their order.
 """
 
 from __future__ import annotations
@@ -18,68 +18,89 @@
 
 Unit: TypeAlias = Annotated[int, Meta(ge=0, le=MAX_UNITS)]
 Units: TypeAlias = Annotated[tuple[Unit, ...], Meta(max_length=MAX_LIMITS)]
-ElectionTerm: TypeAlias = Incarnation  # a number that grows with each candidacy
+ElectionTerm: TypeAlias = Incarnation  # increases with each candidacy
 
 
 class MemberId(NamedTuple):
-    """One process of a member: a restart is another one."""
+    """One process of a member; a restart has a new incarnation."""
 
     name: str
     incarnation: int
 
 
 class _Message(WireMessage, frozen=True):
+    """Fields common to all messages.
+
+    Attributes:
+        incarnation: Incarnation of the sender.
+        sequence: Sequence number of the request; an answer repeats its request's number.
+    """
+
     plan_digest: Annotated[int, Meta(ge=0, lt=2**48)]
     sender: MemberName
-    incarnation: Incarnation  # of the sender
-    sequence: SequenceNumber  # of the request; its answer has the same
+    incarnation: Incarnation
+    sequence: SequenceNumber
 
     @property
     def sender_id(self) -> MemberId:
-        """Which process sent it."""
+        """The process that sent the message."""
         return MemberId(self.sender, self.incarnation)
 
 
 class VoteRequest(_Message, frozen=True, tag=1):
-    """Asks for a promise to follow nobody else for a while."""
+    """Requests a promise to follow no other leader for ``promise_ms`` of the plan."""
 
     term: ElectionTerm
 
 
 class VoteReply(_Message, frozen=True, tag=2):
-    """Answers a VoteRequest."""
+    """Answers a VoteRequest.
+
+    Attributes:
+        term: The request's term if promised, else the greatest term that the voter has promised.
+        leader: The member that has the voter's promise.
+    """
 
     promised: bool
-    term: ElectionTerm  # the request's own where promised, else the greatest that the voter has heard of
-    leader: MemberName | None  # who has the voter's promise
+    term: ElectionTerm
+    leader: MemberName | None
 
 
 class VoteWithdrawal(_Message, frozen=True, tag=3):
-    """Gives a promise back: the candidacy has failed, or the leader steps down."""
+    """Releases a promise: the candidacy has failed, or the leader steps down."""
 
     term: ElectionTerm
 
 
 class LeaseRequest(_Message, frozen=True, tag=4):
-    """Asks the leader for leases; the sender takes no answer to an earlier request from now on."""
+    """Requests leases from the leader; the sender accepts no answer to an earlier request from now on.
+
+    Attributes:
+        applied: Sequence number of the request whose answer is in force; 0 if none is.
+        leased: Units granted by that answer; empty if nothing is leased.
+        in_use: Units in use beyond the floors; may exceed ``leased`` after the lease has shrunk.
+        needed: Units in use and waited for, beyond the floors.
+        wanted: Units that could be used, beyond the floors.
+        leaving: True if the sender returns all leases.
+    """
 
-    applied: SequenceNumber  # the request whose answer is in force; 0: none
-    leased: Units  # what that answer granted; empty: nothing
-    in_use: Units  # beyond the floor; may be more than is leased since the lease has shrunk
-    needed: Units  # in use and waited for, beyond the floor
-    wanted: Units  # could be used, beyond the floor
-    leaving: bool  # the sender gives everything back
+    applied: SequenceNumber
+    leased: Units
+    in_use: Units
+    needed: Units
+    wanted: Units
+    leaving: bool
 
 
 class LeaseGrant(_Message, frozen=True, tag=5):
-    """The leader's answer: units for the plan's ``lease_ms``, counted from the sending of the request."""
+    """Grants units for the ``lease_ms`` of the plan, counted from the sending of the request."""
 
     term: ElectionTerm
     units: Units
 
 
 class LeaderRedirect(_Message, frozen=True, tag=6):
-    """The reader of a LeaseRequest does not lead; ``leader`` does, as far as it knows."""
+    """Answers a LeaseRequest to a member that does not lead; names the leader if that member knows it."""
 
     leader: MemberName | None
 
--- a/fordstair/budgets/plan.py
+++ b/fordstair/budgets/plan.py
@@ -1,6 +1,6 @@
-"""The fleet's limits, and how they are divided between floors and leases; pure.
+"""The fleet's limits, and their division between floors and leases; pure.
 
-Amounts are whole units: threads at engines, or thousandths of a request a second. Times are in milliseconds.
+Amounts are whole units: threads at engines, or thousandths of a request per second. Times are in ms.
 """
 
 from __future__ import annotations
@@ -12,72 +12,84 @@
 from typing import Literal
 
 UNITS_PER_REQUEST_PER_S = 1_000
-MAX_LIMITS = 32  # of one plan
-REQUESTS_PER_LEASE = 5.0  # in a lease's time: four may be lost before the lease is
+MAX_LIMITS = 32
+REQUESTS_PER_LEASE = 5.0  # requests during ``lease_ms``: four in a row may be lost before the lease is
 
 
 @dataclass(frozen=True, slots=True)
 class FleetLimit:
-    """One quota that all coordinators together must keep."""
+    """One limit that all coordinators together must keep.
+
+    Attributes:
+        team: Team that is limited; empty if the limit is for all teams together.
+        class_name: Request class that is limited; empty if the limit is for all classes together.
+        quantum: Threads of the largest request; with a smaller allotment some requests never start.
+        min_useful: Threads of the smallest request; with a smaller allotment no request starts.
+    """
 
     kind: Literal["threads", "rate"]
     units: int
-    team: str = ""  # empty: all teams together
-    class_name: str = ""  # empty: all classes together
-    quantum: int = 1  # threads of the largest request: a smaller allotment lets some requests never start
-    min_useful: int = 1  # threads of the smallest request: a smaller allotment lets no request start
+    team: str = ""
+    class_name: str = ""
+    quantum: int = 1
+    min_useful: int = 1
 
     @property
     def name(self) -> str:
-        """Its name in logs and on the console."""
+        """The name of the limit in logs and on the console."""
         return f"{self.kind}:{self.team or '*'}:{self.class_name or '*'}"
 
     @property
     def units_per_amount(self) -> int:
-        """Units of one thread or of one request a second."""
+        """The units of one thread or of one request per second."""
         return 1 if self.kind == "threads" else UNITS_PER_REQUEST_PER_S
 
 
-@dataclass(frozen=True)  # without slots: derived values are cached, since each datagram needs them
+@dataclass(frozen=True)  # no slots: cached_property keeps derived values, which every datagram needs
 class BudgetPlan:
-    """All limits, the voters, and the bounds on time; every member must have the same plan.
+    """All limits, the voters and the timing bounds; every member must have the same plan.
 
-    A voter may lead, votes for a leader, and has a floor: an allotment that it may use without any lease.
+    A voter votes for a leader, may lead, and has floors: units that it may use without any lease.
     Invariant, never more than the limit: the floors of all voters, running or not, and the leases of all
     members together stay within each limit.
+
+    Attributes:
+        max_clock_drift: Largest relative deviation of a clock's rate, either way.
+        floor_share: Fraction of an even share of a limit that is a voter's floor.
+        fleet_size: Members among which a share is even; the number of voters is used if it is greater.
     """
 
     cluster: str
     limits: tuple[FleetLimit, ...]
     voters: tuple[str, ...]
     lease_ms: float = 5_000.0
-    max_clock_drift: float = 0.01  # how far a clock's rate may be from the right one, either way
-    floor_share: float = 0.2  # of an even share of a limit
-    fleet_size: int = 0  # members among whom a share is even; at least the voters
+    max_clock_drift: float = 0.01
+    floor_share: float = 0.2
+    fleet_size: int = 0
 
     @property
     def drift_margin(self) -> float:
-        """How much longer than a lease its grantor waits: clocks at opposite ends of the bound on drift."""
+        """The factor by which a grantor outwaits a lease, since two clocks may drift in opposite ways."""
         return (1.0 + self.max_clock_drift) / (1.0 - self.max_clock_drift)
 
     @property
     def safe_expiry_ms(self) -> float:
-        """After so long by any member's clock, a lease granted before has expired by every clock."""
+        """The time by any member's clock after which a lease granted before has expired by every clock."""
         return self.lease_ms * self.drift_margin
 
     @property
     def request_interval_ms(self) -> float:
-        """How often a lease is renewed, and so in what time an allotment moves to where it is wanted."""
+        """The interval of lease renewals, and so the time in which an allotment moves to another member."""
         return self.lease_ms / REQUESTS_PER_LEASE
 
     @property
     def leadership_ms(self) -> float:
-        """How long a leader counts on a promise, by its clock: so short that leases outlast a change."""
+        """How long a leader relies on a promise, by its clock; short, so that leases outlast an election."""
         return self.lease_ms / 3.0
 
     @property
     def promise_ms(self) -> float:
-        """How long a voter keeps a promise, by its clock: longer than its leader counts on it."""
+        """How long a voter keeps a promise, by its clock; longer than its leader relies on it."""
         return self.leadership_ms * self.drift_margin
 
     @cached_property
@@ -91,24 +103,24 @@
 
     @cached_property
     def lendable(self) -> tuple[int, ...]:
-        """The units of each limit that leases may hand out: what the floors leave."""
+        """The units of each limit that may be leased: those that the floors leave."""
         return tuple(
             limit.units - floor * len(self.voters)
             for limit, floor in zip(self.limits, self.floors, strict=True)
         )
 
     @property
-    def nothing(self) -> tuple[int, ...]:
-        """No unit of any limit."""
+    def zero_units(self) -> tuple[int, ...]:
+        """Zero units of each limit."""
         return (0,) * len(self.limits)
 
     def floors_of(self, member: str) -> tuple[int, ...]:
-        """A member's floors in units; 0 for one that is no voter."""
-        return self.floors if member in self.voters else self.nothing
+        """Return a member's floors in units; they are 0 for a member that is no voter."""
+        return self.floors if member in self.voters else self.zero_units
 
     @cached_property
     def digest(self) -> int:
-        """48 bits that differ between two plans; members with another plan are neither granted nor heard."""
+        """48 bits that differ between two plans; messages of members with another plan are dropped."""
         limits = ", ".join(_digest_text(limit) for limit in self.limits)
         if len(self.limits) == 1:
             limits += ","
@@ -124,7 +136,7 @@
 
 
 def _digest_text(limit: FleetLimit) -> str:
-    """Return the text that the digest reads; it goes on the wire, so no name in the code may change it."""
+    """Return a limit's text for the digest that peers compare; renames in the code must not change it."""
     return (
         f"Whole(kind={limit.kind!r}, units={limit.units!r}, team={limit.team!r}, klass={limit.class_name!r}, "
         f"quantum={limit.quantum!r}, least={limit.min_useful!r})"
@@ -133,10 +145,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetBudgetsConfig:
-    """One member's part in a plan."""
+    """Configuration of one member.
+
+    Attributes:
+        voter_addresses: Address (``host:port``) of each voter, by name.
+        audit_path: Path of the audit file; empty for none.
+    """
 
     plan: BudgetPlan
     member: str
     listen: tuple[str, int]
-    voter_addresses: Mapping[str, str]  # host:port by name
-    audit_path: str = ""  # a file that gets a line for each allotment; empty: none
+    voter_addresses: Mapping[str, str]
+    audit_path: str = ""
--- a/fordstair/budgets/transport.py
+++ b/fordstair/budgets/transport.py
@@ -1,4 +1,4 @@
-"""One member on a UDP socket: the state machine driven by trio, its log lines, counters and audit."""
+"""Runs one member's state machine on a UDP socket with trio, and writes its log lines and audit file."""
 
 from __future__ import annotations
 
@@ -21,56 +21,69 @@
 
 log = EventLog(__name__)
 
-DEMAND_INTERVAL_MS = 50.0  # between two looks at demand
+DEMAND_INTERVAL_MS = 50.0  # longest interval between two readings of the demand
 
 
 def lease_clock_ms() -> float:
-    """Return the time of the leases' clock: it never goes back, and goes on while the machine sleeps."""
+    """Return the time of the leases' clock, which never goes back and continues while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1e3
 
 
 def audit_clock_ms(lease_ms: float) -> float:
-    """Return the audit's time for one of the leases' clock: the same, but in trials of clocks that drift."""
+    """Convert a time of the leases' clock to the audit clock; the two differ only in tests of clock drift."""
     return lease_ms
 
 
 class AllotmentRow(NamedTuple):
-    """One member's allotment of one limit, in threads or requests a second."""
+    """One member's allotment of one limit, in threads or requests per second.
+
+    Attributes:
+        allotment: Allotment in force, floor included.
+        in_use: Amount in use; known for this member only, 0 for the others.
+        leased_until_ms: Unix time of the lease's expiry; 0 if nothing is leased.
+        leader: The leader known to this member; empty if unknown.
+        is_own: True if the row is about this member.
+        leads: True if the row is about this member and it is certain to lead now.
+    """
 
     member: str
     limit_name: str
     limit: float
-    allotment: float  # in force, floor included
+    allotment: float
     floor: float
-    in_use: float  # of this member alone
+    in_use: float
     wanted: float
-    leased_until_ms: float  # Unix time; 0: nothing is leased
+    leased_until_ms: float
     leader: str
     is_own: bool
-    leads: bool  # of this member: it surely grants now
+    leads: bool
 
 
 class _MemberAmounts(NamedTuple):
-    """One member's amounts in units, by limit."""
+    """One member's amounts in units, by limit; ``leased_until_ms`` is by the leases' clock."""
 
     member: str
     allotment: Amounts
     floors: Amounts
     in_use: Amounts
     wanted: Amounts
-    leased_until_ms: float  # by the leases' clock
+    leased_until_ms: float
 
 
 class FleetBudgets:
-    """This coordinator's part in the fleet's budgets."""
+    """This coordinator's member of the fleet's budgets.
+
+    Attributes:
+        on_allotment: Called when the units that may be used have changed.
+    """
 
     def __init__(self, config: FleetBudgetsConfig, seed: int) -> None:
         self.plan = config.plan
-        # Unix time as the incarnation: answers to an earlier process are not taken for this one's.
+        # With Unix time as the incarnation, answers to an earlier process are not mistaken for this one's.
         incarnation = int(unix_now().value)
         self.member = BudgetMember(config.plan, config.member, incarnation, config.voter_addresses, seed)
         self.member.lease_client.on_allotment = self._allotment_changed
-        self.on_allotment: Callable[[], None] = lambda: None  # called when what may be used has changed
+        self.on_allotment: Callable[[], None] = lambda: None
         self._config = config
         self._endpoint: UdpEndpoint | None = None
         self._audit: AuditFile | None = None
@@ -79,19 +92,23 @@
 
     @property
     def counts(self) -> Mapping[str, int]:
-        """What was counted: requests, grants, elections and the rest."""
+        """Counters of requests, grants, elections and other events."""
         return self.member.counts
 
     def set_demand_source(self, demand_source: Callable[[], Demand]) -> None:
-        """Set what is asked for this coordinator's demand, every DEMAND_INTERVAL_MS."""
+        """Set the source of this coordinator's demand, which is called at least every DEMAND_INTERVAL_MS."""
         self.member.lease_client.demand_source = demand_source
 
     def allotment(self, _: float | None = None) -> Amounts:
-        """Return what may be used now, whatever the caller's time: a pause lets no lease end late."""
+        """Return the units that may be used now.
+
+        The argument, the caller's time, is ignored: after a pause it may be outdated, and a lease would
+        expire late.
+        """
         return self.member.allotment(lease_clock_ms())
 
     def rows(self, unix_ms: float) -> Iterator[AllotmentRow]:
-        """Yield this member's allotments, and all others' where it leads; ``unix_ms`` is the time now."""
+        """Yield this member's allotments, and all others' if it leads; ``unix_ms`` is the Unix time now."""
         now_ms = lease_clock_ms()
         leads = self.member.leads(now_ms)
         own = self._own_amounts()
@@ -116,7 +133,10 @@
                 )
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Take part until cancelled; raise OSError where the address or the audit's file cannot be had."""
+        """Run the member until cancelled.
+
+        Raise OSError if the address cannot be bound or the audit file cannot be opened.
+        """
         async with open_udp_endpoint(self._config.listen, MAX_DATAGRAM_BYTES) as endpoint:
             self._endpoint = endpoint
             endpoint.counts = self.member.counts
@@ -143,25 +163,25 @@
                     self._audit.close()
 
     async def leave(self) -> None:
-        """Give this member's leases back."""
+        """Return this member's leases and promises; do nothing if it is not running or has left."""
         if self._endpoint is None or self.member.has_left:
             return
         try:
             self.member.leave(lease_clock_ms())
-        except Exception:  # a fault here may not keep the program from its end
+        except Exception:  # a fault here must not keep the program from stopping
             self._count_internal_error()
-        await self._carry_out(self._endpoint)
+        await self._send_outgoing(self._endpoint)
         now_ms = lease_clock_ms()
-        self._write_audit(Allotment(now_ms, now_ms, self.plan.nothing))
+        self._write_audit(Allotment(now_ms, now_ms, self.plan.zero_units))
 
     async def _receive(self, endpoint: UdpEndpoint) -> None:
         while True:
             datagram, source = await endpoint.receive()
             try:
                 self.member.receive(lease_clock_ms(), datagram, source)
-            except Exception:  # no peer's message may end this member
+            except Exception:  # a peer's message must not stop this member
                 self._count_internal_error()
-            await self._carry_out(endpoint)
+            await self._send_outgoing(endpoint)
 
     async def _tick(self, endpoint: UdpEndpoint) -> None:
         while True:
@@ -174,18 +194,18 @@
                 await self._wake.wait()
             now_ms = lease_clock_ms()
             self._observe_and_tick(now_ms)
-            await self._carry_out(endpoint)
-            self._note_expiry(now_ms)
+            await self._send_outgoing(endpoint)
+            self._report_expiry(now_ms)
 
     def _observe_and_tick(self, now_ms: float) -> None:
         for step in (self.member.observe_demand, self.member.tick):
             try:
                 step(now_ms)
-            except Exception:  # a fault in one step may not end the member
+            except Exception:  # a fault in one step must not stop this member
                 self._count_internal_error()
 
-    def _note_expiry(self, now_ms: float) -> None:
-        """Fall back to the floors where the leases have expired."""
+    def _report_expiry(self, now_ms: float) -> None:
+        """Log and report the fall back to the floors once the leases have expired."""
         if self._last_leased and now_ms >= self.member.lease_client.holder.until_ms:
             leader = self.member.known_leader or "unknown"
             log.warning("budgets.lease_expired", member=self.member.name, leader=leader)
@@ -196,7 +216,7 @@
         self.member.counts["internal_errors"] += 1
         log.exception("budgets.internal_error", member=self.member.name)
 
-    async def _carry_out(self, endpoint: UdpEndpoint) -> None:
+    async def _send_outgoing(self, endpoint: UdpEndpoint) -> None:
         await endpoint.send(self.member.outgoing())
         self._wake.set()
 
@@ -228,7 +248,7 @@
         )
 
     def _granted_amounts(self) -> Iterator[_MemberAmounts]:
-        """Yield what this member as the leader has granted to the others."""
+        """Yield the amounts that this member, as the leader, has granted to the others."""
         grants = self.member.election.grants
         if grants is None:
             return
@@ -240,7 +260,7 @@
                 member.name,
                 tuple(floor + granted for floor, granted in zip(floors, lessee.granted, strict=True)),
                 floors,
-                self.plan.nothing,
+                self.plan.zero_units,
                 lessee.wanted,
                 max((lease.until_ms for lease in lessee.leases), default=0.0),
             )
--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -160,7 +160,7 @@
         """Reject a request that the scheduler has taken out already."""
         if (live := self._waiting.pop(request, None)) is not None:
             self._withdraw_demand(live)
-            self._reject(live, reason, self.scheduler.wait_for_capacity().likely_ms)
+            self._reject(live, reason, self.scheduler.time_to_capacity().likely_ms)
 
     def _reject(self, live: LiveRequest, reason: QueueRejection, wait_ms: float) -> None:
         """Answer at once, with the time after which there is capacity: nothing of it ever ran."""
--- a/fordstair/lab/budget_fleet.py
+++ b/fordstair/lab/budget_fleet.py
@@ -92,8 +92,8 @@
         self.audit = Audit(plan)
         self.members: dict[str, DriftingMember] = {}
         self.wanted: Callable[[str], Amounts] = lambda name: tuple(limit.units for limit in plan.limits)
-        self.needed: Callable[[str], Amounts] = lambda name: plan.nothing
-        self.in_use: Callable[[str], Amounts] = lambda name: plan.nothing
+        self.needed: Callable[[str], Amounts] = lambda name: plan.zero_units
+        self.in_use: Callable[[str], Amounts] = lambda name: plan.zero_units
         self._skewed = skewed
         self._random = Random(seed)
         self._incarnation = 0
--- a/fordstair/scheduling/__init__.py
+++ b/fordstair/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Queues in front of the decision module: quotas by team, ageing, wait estimates. Pure: no I/O, no clock."""
+"""Queues in front of the decision module: team quotas, ageing, wait estimates. Pure: no I/O, no clock."""
--- a/fordstair/scheduling/fair_queues.py
+++ b/fordstair/scheduling/fair_queues.py
@@ -1,8 +1,8 @@
-"""Waiting requests by team and class, fair by start tags, with removal from the middle in O(log n).
+"""Start-time fair queues of waiting requests, by team and class; a request is removed anywhere in O(log n).
 
-Start-time fair queueing (Goyal, Vin, Cheng 1996) at two levels: between teams with their quotas as weights,
-and between the classes of a team with equal ones. A request's cost is its predicted thread-milliseconds.
-Within one team and class the order is that of arrival.
+Start-time fair queueing (Goyal, Vin, Cheng 1996) runs at two levels: between teams, weighted by their quotas,
+and between the classes of a team, with equal weights. A request's cost is its predicted thread-milliseconds.
+Requests of one team and class are served in order of arrival.
 """
 
 from __future__ import annotations
@@ -12,42 +12,56 @@
 
 from sortedcontainers import SortedDict
 
-MIN_WEIGHT = 1e-3  # of a team without a quota: it is served from what others leave
+# Weight of a team without a quota: it is served from the capacity that other teams leave.
+MIN_WEIGHT = 1e-3
 
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """One waiting request."""
+    """One waiting request.
+
+    Attributes:
+        cost: Predicted thread-milliseconds.
+        latest_start_ms: A start after this time is too late for an answer in time.
+        threads: Threads that the request occupies at an engine.
+        sequence: Position in the order of arrival over all queues; set by ``FairQueues.push``.
+    """
 
     id: int
     team: int
     class_index: int
-    cost: float  # predicted thread-milliseconds
+    cost: float
     arrived_ms: float
-    latest_start_ms: float  # started later, it cannot be answered in time
-    threads: int = 1  # that it takes at an engine
-    sequence: int = 0  # in the order of arrival, over all
+    latest_start_ms: float
+    threads: int = 1
+    sequence: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Flow:
-    """What shares one weight: a team, or a class of a team."""
+    """One flow of the fair queueing: a team, or a class of a team.
+
+    Attributes:
+        start_tag: Virtual time at which the flow's next request starts.
+        cost: Total cost of the requests waiting in the flow.
+        requests: Waiting requests by sequence number; empty for a team.
+        classes: Flows of a team's classes; empty for a class.
+        virtual_time: For a team, the start tag of the class served last.
+    """
 
     weight: float = 1.0
-    start_tag: float = 0.0  # virtual time at which its next request starts
-    cost: float = 0.0  # of all that waits in it
-    requests: SortedDict[int, QueuedRequest] = field(
-        default_factory=SortedDict
-    )  # by sequence; of classes only
-    classes: dict[int, Flow] = field(default_factory=dict)  # of teams only
-    virtual_time: float = 0.0  # of a team: the start tag of the class served last
+    start_tag: float = 0.0
+    cost: float = 0.0
+    requests: SortedDict[int, QueuedRequest] = field(default_factory=SortedDict)
+    classes: dict[int, Flow] = field(default_factory=dict)
+    virtual_time: float = 0.0
 
     def __len__(self) -> int:
         return len(self.requests) + sum(map(len, self.classes.values()))
 
 
 class FairQueues:
-    """All waiting requests."""
+    """All waiting requests, indexed by id, flow, arrival and latest start."""
 
     def __init__(self, weights: dict[int, float]) -> None:
         self.teams = {team: Flow(max(MIN_WEIGHT, weight)) for team, weight in weights.items()}
@@ -62,20 +76,21 @@
 
     @property
     def waiting_cost(self) -> float:
-        """The predicted thread-milliseconds of all that waits."""
+        """The predicted thread-milliseconds of all waiting requests."""
         return sum(flow.cost for flow in self.teams.values())
 
     def set_weights(self, weights: dict[int, float]) -> None:
-        """Apply new weights; what waits keeps its place."""
+        """Apply new weights; waiting requests stay queued, and flows keep their start tags."""
         for team, weight in weights.items():
             self.teams.setdefault(team, Flow()).weight = max(MIN_WEIGHT, weight)
 
     def push(self, request: QueuedRequest) -> None:
-        """Add a request behind those of its team and class."""
+        """Append a request to the queue of its team and class."""
         self._last_sequence += 1
         request.sequence = self._last_sequence
         team = self.teams[request.team]
-        if not len(team):  # what was idle starts now, and has saved nothing up
+        # An idle flow starts no earlier than the current virtual time: idleness earns no credit.
+        if not len(team):
             team.start_tag = max(team.start_tag, self.virtual_time)
         class_flow = team.classes.setdefault(request.class_index, Flow())
         if not class_flow.requests:
@@ -88,7 +103,7 @@
         self._by_latest_start[request.latest_start_ms, request.sequence] = request
 
     def pop(self, id: int) -> QueuedRequest | None:
-        """Take a request out, wherever it stands; return None where it does not wait."""
+        """Remove a request from any position and return it; return None if it is not waiting."""
         if (request := self._requests.pop(id, None)) is None:
             return None
         del self._by_arrival[request.sequence]
@@ -101,7 +116,7 @@
         return request
 
     def serve(self, request: QueuedRequest) -> None:
-        """Take a request out because its turn has come, and move its flows' tags on."""
+        """Remove a request whose turn has come, and advance the start tags of its flows."""
         self.pop(request.id)
         team = self.teams[request.team]
         class_flow = team.classes[request.class_index]
@@ -112,8 +127,8 @@
         team.virtual_time = start
         class_flow.start_tag = start + request.cost
 
-    def newest_of(self, teams: Iterable[int]) -> QueuedRequest | None:
-        """Return the request that came last, of the one of these teams that has most waiting."""
+    def newest_of_largest_backlog(self, teams: Iterable[int]) -> QueuedRequest | None:
+        """Return the newest request of that one of these teams whose waiting requests cost most."""
         waiting = [team for team in teams if len(self.teams[team])]
         if not waiting:
             return None
@@ -124,22 +139,22 @@
         )
 
     def oldest(self) -> QueuedRequest | None:
-        """Return the request that came first."""
+        """Return the request that arrived first, or None if none is waiting."""
         return self._by_arrival.peekitem(0)[1] if self._by_arrival else None
 
     def heads(self, team: int) -> list[QueuedRequest]:
-        """Return the first request of each class of a team that has any, by the classes' start tags."""
+        """Return the first request of each non-empty class of a team, ordered by the classes' start tags."""
         flows = [flow for flow in self.teams[team].classes.values() if flow.requests]
         flows.sort(key=lambda flow: (flow.start_tag, flow.requests.peekitem(0)[0]))
         return [flow.requests.peekitem(0)[1] for flow in flows]
 
     def waiting_teams(self) -> list[int]:
-        """Return the teams that have something waiting, by their start tags."""
+        """Return the teams with waiting requests, ordered by their start tags."""
         teams = [team for team, flow in self.teams.items() if flow.cost > 0.0 or len(flow)]
         return sorted(teams, key=lambda team: (self.teams[team].start_tag, team))
 
     def pop_overdue(self, now_ms: float) -> Iterator[QueuedRequest]:
-        """Take out and yield those that can no longer be answered in time."""
+        """Remove and yield the requests whose latest start has passed."""
         while self._by_latest_start and self._by_latest_start.peekitem(0)[0][0] <= now_ms:
             request = self._by_latest_start.peekitem(0)[1]
             self.pop(request.id)
--- a/fordstair/scheduling/preemption.py
+++ b/fordstair/scheduling/preemption.py
@@ -1,8 +1,8 @@
-"""Preemption by priority alone: what runs beyond a quota is lowered while others wait within theirs.
+"""Preemption by priority: lowers queries of teams over their quota while teams within theirs wait.
 
-Nothing is ever cancelled or started again here. A load may be slowed, unless somebody of another team waits
-for the group of tables that it holds: then slowing it would hold them back as well (priority inversion), so
-it keeps its priority, and gets it back at once where it was lowered before.
+This module never cancels or restarts a query. A load may be slowed, unless another team waits for the table
+group that it holds: slowing it would delay that team as well (priority inversion), so the load keeps its
+priority, or has it restored at once if it was lowered before.
 """
 
 from __future__ import annotations
@@ -11,26 +11,32 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MIN_PRIORITY_MS = 1_500.0  # a priority that was changed stays for so long, whatever happens
+# A changed priority stays for at least this long, except that a priority inversion is resolved at once.
+MIN_PRIORITY_HOLD_MS = 1_500.0
 MAX_CHANGES_PER_S = 8.0
-ENDS_SOON_MS = 400.0  # what is about to end is left alone
+MIN_REMAINING_MS = 400.0  # queries expected to end sooner are left unchanged
 MS_PER_S = 1e3
 
 
 @dataclass(frozen=True, slots=True)
 class RunningQuery:
-    """One attempt that runs."""
+    """One running attempt.
+
+    Attributes:
+        remaining_ms: Expected time until the attempt ends.
+        supports_priority: False if the engine's protocol has no message to change a priority.
+    """
 
     id: int
     team: int
     table_group: float
     is_load: bool
-    remaining_ms: float  # until it is expected to end
-    supports_priority: bool = True  # some protocols of engines have no message for it
+    remaining_ms: float
+    supports_priority: bool = True
 
 
 class PriorityChange(NamedTuple):
-    """A query whose priority is lowered, or else restored."""
+    """A change of one query's priority: lowered if ``lowered`` is True, restored otherwise."""
 
     id: int
     lowered: bool
@@ -38,13 +44,21 @@
 
 @dataclass(slots=True)
 class PriorityPreemption:
-    """Who is lowered, since when, and how many changes may still be made."""
-
-    lowered_ms: dict[int, float] = field(default_factory=dict)  # by id: since when
-    restored_ms: dict[int, float] = field(default_factory=dict)  # lately, by id
+    """Decides which running queries have their priority lowered or restored.
+
+    Attributes:
+        lowered_ms: When each query with a lowered priority was lowered, by id.
+        restored_ms: When each running query was last restored, by id.
+        tokens: Changes that may be made now; a token bucket filled at ``MAX_CHANGES_PER_S``.
+        decided_ms: When the token bucket was last filled.
+        unsupported_count: How often a query was not lowered because its engine does not support priorities.
+    """
+
+    lowered_ms: dict[int, float] = field(default_factory=dict)
+    restored_ms: dict[int, float] = field(default_factory=dict)
     tokens: float = MAX_CHANGES_PER_S
     decided_ms: float = 0.0
-    unsupported: int = 0  # that would have been lowered, and whose engine knows no priority
+    unsupported_count: int = 0
 
     def decide(
         self,
@@ -54,18 +68,18 @@
         waiting: Set[int],
         waiting_for_group: Mapping[float, Set[int]],
     ) -> list[PriorityChange]:
-        """Return the changes to make.
+        """Return the changes to make, and record them as made.
 
         Args:
-            now_ms: milliseconds of the caller's clock.
-            running: all attempts that run.
-            within_quota: teams within their quota.
-            waiting: teams that have something waiting.
-            waiting_for_group: the teams that wait for each group of tables.
+            now_ms: Current time of the caller's clock in milliseconds.
+            running: All running attempts.
+            within_quota: Teams within their quota.
+            waiting: Teams with waiting requests.
+            waiting_for_group: Teams waiting for each table group.
         """
         self._refill(now_ms)
         queries = {query.id: query for query in running}
-        self._forget_all_but(queries)
+        self._drop_ended(queries)
         entitled = waiting & within_quota
         changes: list[PriorityChange] = []
         for query in queries.values():
@@ -85,27 +99,27 @@
         self.tokens = min(MAX_CHANGES_PER_S, self.tokens + elapsed_ms * MAX_CHANGES_PER_S / MS_PER_S)
         self.decided_ms = now_ms
 
-    def _forget_all_but(self, queries: Mapping[int, RunningQuery]) -> None:
-        for table in (self.lowered_ms, self.restored_ms):
-            for id in [id for id in table if id not in queries]:
-                del table[id]
+    def _drop_ended(self, queries: Mapping[int, RunningQuery]) -> None:
+        for times_ms in (self.lowered_ms, self.restored_ms):
+            for id in [id for id in times_ms if id not in queries]:
+                del times_ms[id]
 
     def _may_lower(self, query: RunningQuery, now_ms: float) -> bool:
         if not query.supports_priority:
-            self.unsupported += 1
+            self.unsupported_count += 1
             return False
-        restored_ms = self.restored_ms.get(query.id, -MIN_PRIORITY_MS)
+        restored_ms = self.restored_ms.get(query.id, -MIN_PRIORITY_HOLD_MS)
         return (
-            query.remaining_ms > ENDS_SOON_MS
+            query.remaining_ms > MIN_REMAINING_MS
             and self.tokens >= 1.0
-            and now_ms - restored_ms >= MIN_PRIORITY_MS
+            and now_ms - restored_ms >= MIN_PRIORITY_HOLD_MS
         )
 
     def _may_restore(self, query: RunningQuery, now_ms: float, blocks_others: bool) -> bool:
         return blocks_others or (
-            now_ms - self.lowered_ms[query.id] >= MIN_PRIORITY_MS
+            now_ms - self.lowered_ms[query.id] >= MIN_PRIORITY_HOLD_MS
             and self.tokens >= 1.0
-            and query.remaining_ms > ENDS_SOON_MS
+            and query.remaining_ms > MIN_REMAINING_MS
         )
 
     def _lower(self, query: RunningQuery, now_ms: float) -> PriorityChange:
@@ -114,7 +128,8 @@
         return PriorityChange(query.id, lowered=True)
 
     def _restore(self, query: RunningQuery, now_ms: float, blocks_others: bool) -> PriorityChange:
-        self.tokens -= 0.0 if blocks_others else 1.0  # a priority inversion is never waited out
+        # Resolving a priority inversion never waits for a token and takes none.
+        self.tokens -= 0.0 if blocks_others else 1.0
         del self.lowered_ms[query.id]
         self.restored_ms[query.id] = now_ms
         return PriorityChange(query.id, lowered=False)
--- a/fordstair/scheduling/shedding.py
+++ b/fordstair/scheduling/shedding.py
@@ -1,8 +1,8 @@
-"""Load shedding while requests wait: the costly requests of a class first, and of teams beyond their quota.
+"""Load shedding while requests wait: costly requests of a class first, and teams over their quota earlier.
 
-The rule "under pressure the heavy queries of a class are rejected more than its light ones" is that of
-``decisions/admission.py`` on engines' pressure. A queue before it keeps that pressure off the engines, so
-here the same rule reads the queue: pressure is the forecast wait over the time that the request can spare.
+``decisions/admission.py`` applies the same rule to the engines' pressure: under pressure, heavy queries of a
+class are rejected more than its light ones. A queue in front of the engines keeps that pressure off them, so
+here the pressure is that of the queue: the forecast wait divided by the time that the request can spare.
 """
 
 from __future__ import annotations
@@ -10,44 +10,51 @@
 import math
 from dataclasses import dataclass, field
 
-MAX_COST_WITHOUT_PRESSURE = 3.0  # times the class's mean cost, that may wait
-MAX_COST_AT_FULL_PRESSURE = 0.25
-PRESSURE_STARTS = 0.1  # part of the time to spare that the wait takes
-PRESSURE_FULL = 0.9
-WITHIN_QUOTA_PRESSURE = 0.5  # factor on the pressure for teams within their quota
-MEAN_STEP = 0.02
+# Highest cost that may wait, as a multiple of the class's mean cost.
+MAX_COST_FACTOR_WITHOUT_PRESSURE = 3.0
+MAX_COST_FACTOR_AT_FULL_PRESSURE = 0.25
+# Ratios of the forecast wait to the time to spare at which the pressure leaves 0 and reaches 1.
+PRESSURE_START_RATIO = 0.1
+FULL_PRESSURE_RATIO = 0.9
+WITHIN_QUOTA_PRESSURE_FACTOR = 0.5
+MEAN_LEARNING_RATE = 0.02
 
 
 @dataclass(slots=True)
 class CostShedding:
-    """The classes' mean costs as they arrive, and the rule."""
+    """Sheds requests that are too costly for the present pressure.
 
-    mean_cost: dict[int, float] = field(default_factory=dict)  # thread-milliseconds, by class
+    Attributes:
+        mean_cost: Mean predicted thread-milliseconds of arriving requests, by class.
+    """
+
+    mean_cost: dict[int, float] = field(default_factory=dict)
 
     def record_arrival(self, class_index: int, cost: float) -> None:
-        """Take one arrival's predicted thread-milliseconds into its class's mean."""
+        """Update the mean cost of a class with one arrival's predicted thread-milliseconds."""
         mean = self.mean_cost.setdefault(class_index, cost)
-        self.mean_cost[class_index] = mean + (cost - mean) * MEAN_STEP
+        self.mean_cost[class_index] = mean + (cost - mean) * MEAN_LEARNING_RATE
 
     def should_shed(
         self, class_index: int, cost: float, wait_ms: float, spare_ms: float, within_quota: bool
     ) -> bool:
-        """Whether to reject a request now, for what it costs.
+        """Return True if a request is to be rejected because of its cost.
 
         Args:
-            class_index: its class.
-            cost: its predicted thread-milliseconds.
-            wait_ms: how long it would wait.
-            spare_ms: how long it could wait, and still be answered in time.
-            within_quota: whether its team is within its quota.
+            class_index: Class of the request.
+            cost: Predicted thread-milliseconds of the request.
+            wait_ms: Forecast wait.
+            spare_ms: Longest wait after which the request can still be answered in time.
+            within_quota: True if the request's team is within its quota.
         """
         if spare_ms <= 0.0 or not math.isfinite(wait_ms):
             return True
-        pressure = (wait_ms / spare_ms - PRESSURE_STARTS) / (PRESSURE_FULL - PRESSURE_STARTS)
-        pressure = min(1.0, max(0.0, pressure * (WITHIN_QUOTA_PRESSURE if within_quota else 1.0)))
+        pressure = (wait_ms / spare_ms - PRESSURE_START_RATIO) / (FULL_PRESSURE_RATIO - PRESSURE_START_RATIO)
+        pressure = min(1.0, max(0.0, pressure * (WITHIN_QUOTA_PRESSURE_FACTOR if within_quota else 1.0)))
         if not pressure:
             return False
         max_cost: float = (
-            MAX_COST_WITHOUT_PRESSURE * (MAX_COST_AT_FULL_PRESSURE / MAX_COST_WITHOUT_PRESSURE) ** pressure
+            MAX_COST_FACTOR_WITHOUT_PRESSURE
+            * (MAX_COST_FACTOR_AT_FULL_PRESSURE / MAX_COST_FACTOR_WITHOUT_PRESSURE) ** pressure
         )
         return cost > max_cost * self.mean_cost.get(class_index, cost)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -400,7 +400,7 @@
     assert cap.wait_ms(4, 0.0, 2_000.0, 9_000.0) == pytest.approx(2_000.0 / 8)
     assert caps.hold_ms(0) == INITIAL_HOLD_MS
     assert isinstance(meter, RateQuota)
-    assert meter.next_release_ms == 0.0
+    assert meter.release_delay_ms == 0.0
     caps.request_ended(now + 900.0, 1)
     caps.request_ended(now + 900.0, 1)
     assert caps.hold_ms(0) == pytest.approx(900.0)  # the first that ends tells more than a guess
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -29,13 +29,13 @@
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.scheduling.preemption import (
     MAX_CHANGES_PER_S,
-    MIN_PRIORITY_MS,
+    MIN_PRIORITY_HOLD_MS,
     PriorityPreemption,
     RunningQuery,
 )
 from fordstair.scheduling.quotas import Quotas
 from fordstair.scheduling.scheduler import (
-    OLDEST_FIRST_EVERY,
+    RELEASES_PER_OLDEST_FIRST,
     ArrivingRequest,
     Capacity,
     QueueRejection,
@@ -87,7 +87,9 @@
         elif what == "release":
             if (item := one.release(now, lambda _: Capacity.AVAILABLE)) is not None:
                 assert order[item.team, item.class_index][0] == item.id  # in the order of arrival
-                assert one.release_count - came[item.id] <= OLDEST_FIRST_EVERY * (len(older[item.id]) + 1)
+                assert one.release_count - came[item.id] <= RELEASES_PER_OLDEST_FIRST * (
+                    len(older[item.id]) + 1
+                )
                 assert one.threads_in_flight <= max(capacity, item.threads)
                 order[item.team, item.class_index].remove(item.id)
                 del waiting[item.id]
@@ -260,7 +262,7 @@
             assert not (lowered and is_load and id == 0)
             assert not lowered or (listed[id].team not in within and left > 400.0)
             earlier = [at for at, other, _ in changed if other == id]
-            assert not earlier or now - earlier[-1] >= MIN_PRIORITY_MS or (id == 0 and not lowered)
+            assert not earlier or now - earlier[-1] >= MIN_PRIORITY_HOLD_MS or (id == 0 and not lowered)
             changed.append((now, id, lowered))
     for at, _, _ in changed:
         assert sum(at <= other < at + 1_000.0 for other, id, _ in changed if id) <= 2 * MAX_CHANGES_PER_S
@@ -273,7 +275,7 @@
     assert one.decide(1e6 + 10.0, [run], {1}, {1}, {7.0: {1}}) == [(1, False)]  # priority inversion
     deaf = RunningQuery(2, 0, 8.0, False, 5_000.0, supports_priority=False)
     assert one.decide(1e6 + 20.0, [deaf], {1}, {1}, {}) == []
-    assert one.unsupported == 1
+    assert one.unsupported_count == 1
 
 
 def test_a_close_in_virtual_time_answers_each_once_and_runs_no_load_twice(tmp_path: Path) -> None:
