--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Queues in front of the module: properties over random traffic in virtual time, and the program itself."""
+"""Tests of the queues in front of the decision module: properties under random traffic, and the program."""
 
 from __future__ import annotations
 
@@ -44,10 +44,10 @@
 )
 from fordstair.scheduling.shedding import CostShedding
 from fordstair.scheduling.wait_estimation import ForecastCalibration, ReleaseRate, fluid_work
-from tests.scenes import play as played
+from tests.scenes import play as run_scene
 from tests.test_console import command
 
-many = settings(max_examples=120, derandomize=True, deadline=None)
+FIXED_EXAMPLES = settings(max_examples=120, derandomize=True, deadline=None)
 steps = st.lists(
     st.tuples(
         st.sampled_from(
@@ -62,156 +62,159 @@
 )
 
 
-@many
+@FIXED_EXAMPLES
 @given(steps, st.floats(2.0, 40.0))
-def test_whatever_comes_each_request_has_one_end_and_its_wait_is_bounded(
-    taken: list[tuple[str, int, int, float, float]], capacity: float
+def test_each_request_ends_once_and_its_wait_is_bounded(
+    steps_taken: list[tuple[str, int, int, float, float]], capacity: float
 ) -> None:
-    """Ends are counted once; order within team and class; no ghosts; the bound on releases; debt bounded."""
-    one, now, number = Scheduler(dict(enumerate(SHARES)), capacity), 1e6, 0
+    """Each request ends once and in order; no other is held; the bounds on releases and debt are kept."""
+    scheduler, now, last_id = Scheduler(dict(enumerate(SHARES)), capacity), 1e6, 0
     ends, waiting, running = Counter[int](), dict[int, ArrivingRequest](), list[int]()
-    older, came, order = dict[int, set[int]](), dict[int, int](), dict[tuple[int, int], list[int]]()
-    for what, team, class_index, size, ahead in taken:
-        now += ahead  # which may go back
-        if what == "arrive":
-            number += 1
+    older, releases_at, order = dict[int, set[int]](), dict[int, int](), dict[tuple[int, int], list[int]]()
+    for step, team, class_index, size, elapsed_ms in steps_taken:
+        now += elapsed_ms  # may be negative: the clock steps back
+        if step == "arrive":
+            last_id += 1
             request = ArrivingRequest(
-                number, team, class_index, 1 + class_index, size, now + 5.0 * size + 500.0
+                last_id, team, class_index, 1 + class_index, size, now + 5.0 * size + 500.0
             )
-            older[number], came[number] = set(waiting), one.release_count
-            if one.admit(request, now).rejection is not None:
-                ends[number] += 1
+            older[last_id], releases_at[last_id] = set(waiting), scheduler.release_count
+            if scheduler.admit(request, now).rejection is not None:
+                ends[last_id] += 1
             else:
-                waiting[number] = request
-                order.setdefault((team, class_index), []).append(number)
-        elif what == "release":
-            if (item := one.release(now, lambda _: Capacity.AVAILABLE)) is not None:
-                assert order[item.team, item.class_index][0] == item.id  # in the order of arrival
-                assert one.release_count - came[item.id] <= RELEASES_PER_OLDEST_FIRST * (
+                waiting[last_id] = request
+                order.setdefault((team, class_index), []).append(last_id)
+        elif step == "release":
+            if (item := scheduler.release(now, lambda _: Capacity.AVAILABLE)) is not None:
+                assert order[item.team, item.class_index][0] == item.id  # in order of arrival
+                assert scheduler.release_count - releases_at[item.id] <= RELEASES_PER_OLDEST_FIRST * (
                     len(older[item.id]) + 1
                 )
-                assert one.threads_in_flight <= max(capacity, item.threads)
+                assert scheduler.threads_in_flight <= max(capacity, item.threads)
                 order[item.team, item.class_index].remove(item.id)
                 del waiting[item.id]
                 running.append(item.id)
-            elif waiting:  # work is conserved: only room holds something back
-                assert one.threads_in_flight
-        elif what == "leave" and waiting:
-            gone = sorted(waiting)[int(size) % len(waiting)]
-            assert one.remove(gone)
-            assert not one.remove(gone)
-            order[waiting[gone].team, waiting[gone].class_index].remove(gone)
-            del waiting[gone]
-            ends[gone] += 1
-        elif what == "end" and running:
-            over = running.pop(0)
-            one.finish(over, now, size * 10.0)
-            one.finish(over, now, size * 10.0)  # told twice: charged once
-            ends[over] += 1
-        elif what == "late":
-            for item in one.pop_overdue(now):
+            elif waiting:  # work-conserving: only missing capacity delays a release
+                assert scheduler.threads_in_flight
+        elif step == "leave" and waiting:
+            left = sorted(waiting)[int(size) % len(waiting)]
+            assert scheduler.remove(left)
+            assert not scheduler.remove(left)
+            order[waiting[left].team, waiting[left].class_index].remove(left)
+            del waiting[left]
+            ends[left] += 1
+        elif step == "end" and running:
+            ended = running.pop(0)
+            scheduler.finish(ended, now, size * 10.0)
+            scheduler.finish(ended, now, size * 10.0)  # a second report of the end charges nothing
+            ends[ended] += 1
+        elif step == "late":
+            for item in scheduler.pop_overdue(now):
                 assert item.latest_start_ms <= now
                 order[item.team, item.class_index].remove(item.id)
                 del waiting[item.id]
                 ends[item.id] += 1
-        elif what == "budget":
-            one.set_quotas(
+        elif step == "budget":
+            scheduler.set_quotas(
                 {0: 0.0, 1: SHARES[1], 2: SHARES[2]} if class_index else dict(enumerate(SHARES)), now
             )
-        assert len(one.queues) == len(waiting)
-        assert set(one.released) == set(running)
-        for account in one.quotas.accounts.values():
-            assert account.balance >= -account.rate * one.quotas.debt_ms - 1e-6
-            assert account.balance <= max(0.0, account.rate * one.quotas.burst_ms) + 1e-6
+        assert len(scheduler.queues) == len(waiting)
+        assert set(scheduler.released) == set(running)
+        for account in scheduler.quotas.accounts.values():
+            assert account.balance >= -account.rate * scheduler.quotas.debt_ms - 1e-6
+            assert account.balance <= max(0.0, account.rate * scheduler.quotas.burst_ms) + 1e-6
         assert all(
             flow.cost == pytest.approx(sum(c.cost for c in flow.classes.values()), abs=1e-3)
-            for flow in one.queues.teams.values()
+            for flow in scheduler.queues.teams.values()
         )
     assert set(ends.values()) <= {1}
-    assert set(ends) | set(waiting) | set(running) == set(range(1, number + 1))
+    assert set(ends) | set(waiting) | set(running) == set(range(1, last_id + 1))
 
 
-def test_a_team_with_ten_thousand_waiting_does_not_hold_up_a_team_with_one() -> None:
-    one = Scheduler(dict(enumerate(SHARES)), 8.0, max_waiting=20_000)
+def test_a_backlog_of_ten_thousand_does_not_delay_another_team() -> None:
+    scheduler = Scheduler(dict(enumerate(SHARES)), 8.0, max_waiting=20_000)
     for number in range(10_000):
-        one.admit(ArrivingRequest(number, 0, 0, 1, 10.0, math.inf), 1.0)
-    one.admit(ArrivingRequest(99_999, 2, 0, 1, 10.0, math.inf), 1.0)
+        scheduler.admit(ArrivingRequest(number, 0, 0, 1, 10.0, math.inf), 1.0)
+    scheduler.admit(ArrivingRequest(99_999, 2, 0, 1, 10.0, math.inf), 1.0)
     for turn in range(8):
-        item = one.release(2.0 + turn, lambda _: Capacity.AVAILABLE)
+        item = scheduler.release(2.0 + turn, lambda _: Capacity.AVAILABLE)
         assert item is not None
-        one.finish(item.id, 3.0 + turn, 10.0)
+        scheduler.finish(item.id, 3.0 + turn, 10.0)
         if item.id == 99_999:
             return
-    raise AssertionError("it waited for more than eight releases")
-
-
-def test_what_was_underestimated_is_charged_afterwards_and_debt_is_bounded() -> None:
-    one = Scheduler({0: 0.5, 1: 0.5}, 4.0)
-    one.admit(ArrivingRequest(1, 0, 0, 4, 100.0, math.inf), 1.0)
-    assert one.release(1.0, lambda _: Capacity.AVAILABLE) is not None
-    before = one.quotas.accounts[0].balance
-    one.finish(1, 2.0, 1_000.0)  # ten times what was said
-    assert one.quotas.accounts[0].balance == pytest.approx(before - 900.0)
-    assert not one.quotas.is_within_quota(0)
-    assert one.quotas.is_within_quota(1)
-    for number in range(2, 6):  # in debt, and still served while nobody else waits: borrowed
-        one.admit(ArrivingRequest(number, 0, 0, 4, 5_000.0, math.inf), 2.0)
-        assert one.release(2.0, lambda _: Capacity.AVAILABLE) is not None
-        one.finish(number, 3.0, 5_000.0)
-    account = one.quotas.accounts[0]
-    assert account.balance == pytest.approx(-account.rate * one.quotas.debt_ms)
+    raise AssertionError("the request of team 2 waited for more than eight releases")
+
+
+def test_underestimated_cost_is_charged_at_the_end_and_debt_is_bounded() -> None:
+    scheduler = Scheduler({0: 0.5, 1: 0.5}, 4.0)
+    scheduler.admit(ArrivingRequest(1, 0, 0, 4, 100.0, math.inf), 1.0)
+    assert scheduler.release(1.0, lambda _: Capacity.AVAILABLE) is not None
+    before = scheduler.quotas.accounts[0].balance
+    scheduler.finish(1, 2.0, 1_000.0)  # ten times the predicted cost
+    assert scheduler.quotas.accounts[0].balance == pytest.approx(before - 900.0)
+    assert not scheduler.quotas.is_within_quota(0)
+    assert scheduler.quotas.is_within_quota(1)
+    for number in range(2, 6):  # a team in debt borrows while no other team waits
+        scheduler.admit(ArrivingRequest(number, 0, 0, 4, 5_000.0, math.inf), 2.0)
+        assert scheduler.release(2.0, lambda _: Capacity.AVAILABLE) is not None
+        scheduler.finish(number, 3.0, 5_000.0)
+    account = scheduler.quotas.accounts[0]
+    assert account.balance == pytest.approx(-account.rate * scheduler.quotas.debt_ms)
     assert account.forgiven_debt > 0.0
-    one.admit(ArrivingRequest(7, 0, 0, 1, 10.0, math.inf), 4.0)
-    one.admit(ArrivingRequest(8, 1, 0, 1, 10.0, math.inf), 4.0)
-    item = one.release(4.0, lambda _: Capacity.AVAILABLE)
+    scheduler.admit(ArrivingRequest(7, 0, 0, 1, 10.0, math.inf), 4.0)
+    scheduler.admit(ArrivingRequest(8, 1, 0, 1, 10.0, math.inf), 4.0)
+    item = scheduler.release(4.0, lambda _: Capacity.AVAILABLE)
     assert item is not None
     assert item.id == 8
 
 
-def test_a_class_without_room_lets_others_pass_and_a_full_module_lets_none() -> None:
-    one = Scheduler({0: 1.0}, 8.0)
-    one.admit(ArrivingRequest(1, 0, 0, 1, 10.0, math.inf), 1.0)
-    one.admit(ArrivingRequest(2, 0, 1, 1, 10.0, math.inf), 1.0)
-    assert one.release(1.0, lambda _: Capacity.FULL) is None
-    item = one.release(1.0, lambda item: Capacity.CLASS_FULL if item.class_index == 0 else Capacity.AVAILABLE)
+def test_a_full_class_lets_other_classes_pass_and_full_capacity_lets_none() -> None:
+    scheduler = Scheduler({0: 1.0}, 8.0)
+    scheduler.admit(ArrivingRequest(1, 0, 0, 1, 10.0, math.inf), 1.0)
+    scheduler.admit(ArrivingRequest(2, 0, 1, 1, 10.0, math.inf), 1.0)
+    assert scheduler.release(1.0, lambda _: Capacity.FULL) is None
+    item = scheduler.release(
+        1.0, lambda item: Capacity.CLASS_FULL if item.class_index == 0 else Capacity.AVAILABLE
+    )
     assert item is not None
     assert item.id == 2
 
 
-def test_thousands_that_can_no_longer_be_reached_are_given_back_at_once() -> None:
-    one = Scheduler({0: 1.0}, 8.0)
+def test_thousands_of_overdue_requests_are_removed_at_once() -> None:
+    scheduler = Scheduler({0: 1.0}, 8.0)
     for number in range(5_000):
-        one.admit(ArrivingRequest(number, 0, 0, 1, 0.1, 2_000.0), 1.0)
-    assert len(one.pop_overdue(1_999.0)) == 0
-    assert len(one.pop_overdue(2_000.0)) == 5_000
-    assert not len(one.queues)
-    assert one.admit(ArrivingRequest(9_999, 0, 0, 1, 10.0, 100.0), 200.0).rejection is QueueRejection.TOO_LATE
-
-
-def test_budgets_earn_no_more_than_their_burst_and_clock_steps_earn_nothing() -> None:
-    budgets = Quotas({0: 0.5, 1: 0.0}, 10.0, burst_ms=100.0)
-    budgets.earn(1e6)
-    assert budgets.accounts[0].balance == 500.0
-    assert not budgets.is_within_quota(1)
-    budgets.charge(0, 500.0)
-    budgets.earn(5e5)  # a step back
-    assert budgets.accounts[0].balance == 0.0
-    budgets.earn(5e5 + 10.0)
-    assert budgets.accounts[0].balance == pytest.approx(50.0)
-
-
-@many
+        scheduler.admit(ArrivingRequest(number, 0, 0, 1, 0.1, 2_000.0), 1.0)
+    assert len(scheduler.pop_overdue(1_999.0)) == 0
+    assert len(scheduler.pop_overdue(2_000.0)) == 5_000
+    assert not len(scheduler.queues)
+    assert (
+        scheduler.admit(ArrivingRequest(9_999, 0, 0, 1, 10.0, 100.0), 200.0).rejection
+        is QueueRejection.TOO_LATE
+    )
+
+
+def test_quotas_earn_at_most_their_burst_and_nothing_from_clock_steps() -> None:
+    quotas = Quotas({0: 0.5, 1: 0.0}, 10.0, burst_ms=100.0)
+    quotas.earn(1e6)
+    assert quotas.accounts[0].balance == 500.0
+    assert not quotas.is_within_quota(1)
+    quotas.charge(0, 500.0)
+    quotas.earn(5e5)  # the clock steps back
+    assert quotas.accounts[0].balance == 0.0
+    quotas.earn(5e5 + 10.0)
+    assert quotas.accounts[0].balance == pytest.approx(50.0)
+
+
+@FIXED_EXAMPLES
 @given(st.dictionaries(st.integers(0, 4), st.floats(0.0, 500.0), min_size=1), st.floats(0.0, 500.0))
-def test_the_fluid_forecast_lies_between_being_alone_and_being_last(
-    costs: dict[int, float], ahead: float
-) -> None:
+def test_fluid_work_is_between_serving_the_flow_alone_and_last(costs: dict[int, float], ahead: float) -> None:
     own = min(costs)
     ahead = min(ahead, costs[own])
     done = fluid_work(ahead, own, costs, {flow: 1.0 + flow for flow in costs})
     assert ahead - 1e-6 <= done <= ahead + sum(c for flow, c in costs.items() if flow != own) + 1e-6
 
 
-def test_a_shift_of_the_rate_is_noticed_and_noise_is_not() -> None:
+def test_a_rate_shift_is_detected_and_noise_is_not() -> None:
     rate, calibration = ReleaseRate(), ForecastCalibration()
     shifts = [rate.add(1e6 + turn * 60.0, 600.0 * (1.1 if turn % 2 else 0.9), True) for turn in range(200)]
     assert not any(shifts)
@@ -224,7 +227,7 @@
     assert calibration.correct(0, 100.0).likely_ms == pytest.approx(200.0, rel=0.1)
 
 
-def test_the_costly_go_first_and_teams_within_their_budget_last() -> None:
+def test_costly_requests_are_shed_first_and_teams_within_quota_last() -> None:
     shedding = CostShedding()
     for _ in range(50):
         shedding.record_arrival(0, 100.0)
@@ -248,19 +251,19 @@
 )
 
 
-@many
+@FIXED_EXAMPLES
 @given(runs)
-def test_preemption_is_bounded_holds_and_never_slows_a_load_that_others_wait_for(
+def test_preemption_is_rate_limited_and_never_slows_a_load_that_others_wait_for(
     turns: list[tuple[int, bool, float, float, set[int], set[int]]],
 ) -> None:
-    one, now, changed = PriorityPreemption(), 1e6, list[tuple[float, int, bool]]()
-    for team, is_load, left, ahead, within, waiting in turns:
-        now += ahead
-        listed = [RunningQuery(n, (team + n) % 3, float(n), is_load, left) for n in range(12)]
-        groups = {0.0: {0, 1, 2}}  # everybody waits for the group of the first
-        for id, lowered in one.decide(now, listed, within, waiting, groups):
+    preemption, now, changed = PriorityPreemption(), 1e6, list[tuple[float, int, bool]]()
+    for team, is_load, remaining_ms, elapsed_ms, within, waiting in turns:
+        now += elapsed_ms
+        queries = [RunningQuery(n, (team + n) % 3, float(n), is_load, remaining_ms) for n in range(12)]
+        groups = {0.0: {0, 1, 2}}  # all teams wait for the table group of query 0
+        for id, lowered in preemption.decide(now, queries, within, waiting, groups):
             assert not (lowered and is_load and id == 0)
-            assert not lowered or (listed[id].team not in within and left > 400.0)
+            assert not lowered or (queries[id].team not in within and remaining_ms > 400.0)
             earlier = [at for at, other, _ in changed if other == id]
             assert not earlier or now - earlier[-1] >= MIN_PRIORITY_HOLD_MS or (id == 0 and not lowered)
             changed.append((now, id, lowered))
@@ -268,17 +271,17 @@
         assert sum(at <= other < at + 1_000.0 for other, id, _ in changed if id) <= 2 * MAX_CHANGES_PER_S
 
 
-def test_an_engine_without_priorities_is_named_and_a_blocking_load_gets_its_priority_back_at_once() -> None:
-    one = PriorityPreemption()
-    run = RunningQuery(1, 0, 7.0, True, 5_000.0)
-    assert one.decide(1e6, [run], {1}, {1}, {}) == [(1, True)]
-    assert one.decide(1e6 + 10.0, [run], {1}, {1}, {7.0: {1}}) == [(1, False)]  # priority inversion
-    deaf = RunningQuery(2, 0, 8.0, False, 5_000.0, supports_priority=False)
-    assert one.decide(1e6 + 20.0, [deaf], {1}, {1}, {}) == []
-    assert one.unsupported_count == 1
+def test_unsupported_priorities_are_counted_and_a_blocking_load_is_restored_at_once() -> None:
+    preemption = PriorityPreemption()
+    load = RunningQuery(1, 0, 7.0, True, 5_000.0)
+    assert preemption.decide(1e6, [load], {1}, {1}, {}) == [(1, True)]
+    assert preemption.decide(1e6 + 10.0, [load], {1}, {1}, {7.0: {1}}) == [(1, False)]  # priority inversion
+    unsupported = RunningQuery(2, 0, 8.0, False, 5_000.0, supports_priority=False)
+    assert preemption.decide(1e6 + 20.0, [unsupported], {1}, {1}, {}) == []
+    assert preemption.unsupported_count == 1
 
 
-def test_a_close_in_virtual_time_answers_each_once_and_runs_no_load_twice(tmp_path: Path) -> None:
+def test_a_billing_close_in_virtual_time_answers_once_and_runs_no_load_twice(tmp_path: Path) -> None:
     arrivals = generate(Shape(seconds=12.0, rate_per_s=60.0), 4)
     assert arrivals == generate(Shape(seconds=12.0, rate_per_s=60.0), 4)
     path = tmp_path / "close.jsonl"
@@ -304,13 +307,13 @@
     )
 
 
-def test_with_budgets_the_program_answers_both_fronts_once_and_keeps_the_small_team(tmp_path: Path) -> None:
+def test_the_program_answers_once_and_serves_a_small_team_while_another_floods_it(tmp_path: Path) -> None:
     async def scene() -> None:
         engines = [StandIn("engine-0", Machine(4.0))]
-        async with appliance(tmp_path, engines, "[budgets]\n") as one:
+        async with appliance(tmp_path, engines, "[budgets]\n") as program:
             flood = Traffic(
                 "127.0.0.1",
-                one.ports["listens"],
+                program.ports["listens"],
                 [
                     Kind("lookup", "karri-energy", 90.0, 60.0, 4_000.0),
                     Kind("meter-load", "karri-energy", 6.0, 200.0, 4_000.0),
@@ -318,7 +321,10 @@
                 1,
             )
             small = Traffic(
-                "127.0.0.1", one.ports["listens"], [Kind("lookup", "pindan-retail", 6.0, 30.0, 4_000.0)], 2
+                "127.0.0.1",
+                program.ports["listens"],
+                [Kind("lookup", "pindan-retail", 6.0, 30.0, 4_000.0)],
+                2,
             )
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(flood.run, 5.0)
@@ -327,75 +333,75 @@
                 counts = tally.counts
                 assert counts["asked"] == counts["served"] + counts["refused"] + counts["failed"]
                 assert not counts["lost"] + counts["answered_twice"]
-            assert flood.tally.counts["refused"] > 20  # it asks for more than there is
+            assert flood.tally.counts["refused"] > 20  # its demand exceeds the capacity
             assert small.tally.counts["served"] >= 0.8 * small.tally.counts["asked"]
             assert not engines[0].counts["loads_run_twice"] + engines[0].counts["second_attempts"]
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_replay_plays_traffic_against_a_file_and_names_what_it_cannot_use(tmp_path: Path) -> None:
+def test_replay_plays_traffic_and_names_the_line_it_cannot_use(tmp_path: Path) -> None:
     async def scene() -> None:
-        close = str(tmp_path / "close.jsonl")
-        assert (await command("traffic", close, "--seconds", "4", "--rate", "60")).returncode == 0
-        done = await command("replay", close, "--against", "deploy/appliance.toml", "--json")
-        told = ujson.loads(done.stdout)
-        for how in ("without", "with"):
-            figures = told[f"{how} all"]
+        traffic_file = str(tmp_path / "close.jsonl")
+        assert (await command("traffic", traffic_file, "--seconds", "4", "--rate", "60")).returncode == 0
+        process = await command("replay", traffic_file, "--against", "deploy/appliance.toml", "--json")
+        result = ujson.loads(process.stdout)
+        for variant in ("without", "with"):
+            figures = result[f"{variant} all"]
             assert figures["asked"] == figures["served"] + figures["refused"] + figures["failed"] > 100
-        Path(close).write_text(
+        Path(traffic_file).write_text(
             ujson.dumps(
                 {"at_ms": 1, "team": "nobody", "lane": "lookup", "work_ms": 1, "told_ms": 1, "limit_ms": 9}
             )
             + "\n"
         )
-        done = await command("replay", close, "--against", "deploy/appliance.toml")
-        assert done.returncode == 2
-        assert b"line 1" in done.stderr
-        assert b"Traceback" not in done.stderr
+        process = await command("replay", traffic_file, "--against", "deploy/appliance.toml")
+        assert process.returncode == 2
+        assert b"line 1" in process.stderr
+        assert b"Traceback" not in process.stderr
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_what_waits_for_its_turn_when_the_program_ends_is_answered_and_breaks_nothing(tmp_path: Path) -> None:
+def test_queued_requests_are_answered_when_the_program_ends(tmp_path: Path) -> None:
     async def scene() -> None:
         engines = [StandIn("engine-0", Machine(2.0))]
-        async with appliance(tmp_path, engines, "[budgets]\nthreads_a_core = 1.0\n") as one:
+        async with appliance(tmp_path, engines, "[budgets]\nthreads_a_core = 1.0\n") as program:
             long = Kind("meter-load", "karri-energy", 0.0, 6_000.0, 20_000.0)
-            traffic = Traffic("127.0.0.1", one.ports["listens"], [long], 6)
+            traffic = Traffic("127.0.0.1", program.ports["listens"], [long], 6)
             async with trio.open_nursery() as nursery:
                 for _ in range(8):
                     await traffic.send(long, trio.current_time(), nursery)
                 await trio.sleep(0.3)
-                assert sum(engine.counts["POST"] for engine in engines) < 8  # the others wait
-                one.process.terminate()
+                assert sum(engine.counts["POST"] for engine in engines) < 8  # the others are queued
+                program.process.terminate()
                 with trio.fail_after(15.0):
-                    while one.process.returncode is None:
+                    while program.process.returncode is None:
                         await trio.sleep(0.02)
                 nursery.cancel_scope.cancel()
             counts = traffic.tally.counts
-            assert one.process.returncode == 0
-            assert "Traceback" not in one.process.log.read_text()
+            assert program.process.returncode == 0
+            assert "Traceback" not in program.process.log.read_text()
             assert counts["served"] + counts["refused"] + counts["failed"] == 8
             assert not counts["lost"]
 
-    played(scene)
+    run_scene(scene)
 
 
-def test_what_is_withdrawn_is_in_no_queue_when_the_next_release_comes() -> None:
-    """It stood there until its own task ran: a release by another request's end broke on it."""
-    one = Coordinator(told(), 7, {}, Deadlines(lambda: 1e6), Counters())
-    queue = AdmissionQueue(one, Scheduler(dict(enumerate(SHARES)), 8.0), 1.0)
+def test_a_withdrawn_request_leaves_the_queue_before_the_next_release() -> None:
+    """Regression test: a withdrawn request stayed queued until its task ran; a release before that failed."""
+    coordinator = Coordinator(told(), 7, {}, Deadlines(lambda: 1e6), Counters())
+    queue = AdmissionQueue(coordinator, Scheduler(dict(enumerate(SHARES)), 8.0), 1.0)
     replies = [PendingReply(), PendingReply()]
     for number, reply in enumerate(replies):
         query = Query(f"{number:016x}", "lookup", 0, 0, 6_000.0, b"", cost_ms=10.0)
-        live = one.live[number] = queue._waiting[number] = LiveRequest(
+        live = coordinator.live[number] = queue._waiting[number] = LiveRequest(
             number, query, reply, 1e6, 1e6 + 6_000.0, SendGuard(Idempotency.IDEMPOTENT, 0.0)
         )
         assert queue.scheduler.admit(ArrivingRequest(number, 0, 0, 1, 10.0, math.inf), 1e6).rejection is None
         assert live.pending_send is None
-    assert queue.withdraw(one.live[0])
-    assert not queue.withdraw(one.live[0])
+    assert queue.withdraw(coordinator.live[0])
+    assert not queue.withdraw(coordinator.live[0])
     queue.release()
     assert replies[0].retry_after_ms is not None
     assert replies[1].retry_after_ms is None
--- a/tests/wires/test_budgets.py
+++ b/tests/wires/test_budgets.py
@@ -1,4 +1,4 @@
-"""Datagrams on budgets: each read and written again, and all that a fleet says in virtual time."""
+"""Tests of the budgets protocol against recorded datagrams: round trips, and a fleet in virtual time."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 LIMITS = (FleetLimit("threads", 64, "karri", quantum=4, min_useful=4), FleetLimit("rate", 200_000))
 
 
-def messages() -> dict[str, str]:
-    """A fleet of five with losses, whose leader goes and whose members want more or less."""
+def fleet_messages() -> dict[str, str]:
+    """Return the messages of a lossy fleet of five with changing demand, whose leader is killed."""
     fleet = BudgetFleet(
         BudgetPlan("c", LIMITS, tuple(f"m{n}" for n in range(5)), lease_ms=1_000.0), 0, 11, loss=0.1
     )
-    said = Datagrams(fleet.network)
+    sent = Datagrams(fleet.network)
     for number in range(5):
         fleet.start(f"m{number}")
     fleet.wanted = lambda name: (8 * int(name[1:]), 10_000 * (5 - int(name[1:])))
@@ -29,13 +29,13 @@
     fleet.run(6_000.0)
     fleet.leave(sorted(fleet.members)[0])
     fleet.run(3_000.0)
-    return said.messages()
+    return sent.messages()
 
 
 @pytest.mark.parametrize(("name", "datagram"), datagrams("budgets").items())
-def test_a_message_is_read_and_written_again(name: str, datagram: bytes) -> None:
+def test_a_recorded_message_round_trips(name: str, datagram: bytes) -> None:
     assert encode(decode(datagram)) == datagram
 
 
-def test_a_fleet_says_the_recorded_bytes() -> None:
-    assert messages() == recorded("budgets")
+def test_a_fleet_sends_the_recorded_bytes() -> None:
+    assert fleet_messages() == recorded("budgets")
