--- a/fordstair/scheduling/fleet_quotas.py
+++ b/fordstair/scheduling/fleet_quotas.py
@@ -13,7 +13,7 @@
     Attributes:
         threads: Threads granted now; may be 0.
         in_flight: Threads in use.
-        mean_run_ms: Assumed remaining run time of the threads in flight; 0 if unknown.
+        mean_run_ms: Run time assumed for the threads in flight; 0 if unknown.
         by_team: True if only requests of one team compete for the quota.
         by_class: True if only requests of one class compete for the quota.
         transfer_ms: Time until a quota has moved to the coordinator that needs it.
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -1,4 +1,4 @@
-"""Budgets of the whole fleet among running programs: whatever breaks, shares stay within the whole."""
+"""Tests of the fleet's budgets among running programs: under faults, allotments stay within the limits."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 from fordstair.lab.budget_trial import THREADS, RunningFleet, running_fleet
 from fordstair.lab.relay import Faults
-from tests.scenes import play as bounded
+from tests.scenes import play as run_with_timeout
 
 
-def play(scene: Callable[[Path], Awaitable[None]]) -> None:
-    """Run a scene in a folder of its own."""
+def run_scene(scene: Callable[[Path], Awaitable[None]]) -> None:
+    """Run a scene in a new temporary folder, within a time limit."""
 
-    async def in_a_folder() -> None:
+    async def run_in_folder() -> None:
         with tempfile.TemporaryDirectory(prefix="bud") as folder:
             await scene(Path(folder))
 
-    bounded(in_a_folder, 100.0)
+    run_with_timeout(run_in_folder, 100.0)
 
 
-def within(fleet: RunningFleet, spans: int = 20) -> None:
-    """The audit finds no instant over the whole, over shares enough to be worth it."""
+def assert_within_limits(fleet: RunningFleet, spans: int = 20) -> None:
+    """Assert that the audit finds no time over a limit, and that it covers at least ``spans`` leases."""
     audit = fleet.audit()
     assert sum(map(len, audit.spans.values())) >= spans
     assert audit.violations() == 0
     assert max(audit.peaks()) <= 1.0
 
 
-def test_members_that_join_and_leave_each_second_hold_no_more_than_the_whole() -> None:
+def test_members_that_join_and_leave_every_second_stay_within_the_limits() -> None:
     async def scene(folder: Path) -> None:
         async with running_fleet(folder, count=6, voters=3, seed=1) as fleet:
             await fleet.until_all_leased(25.0)
@@ -47,78 +47,79 @@
                     await fleet.stop("m4")
                 await trio.sleep(1.0)
             await fleet.until_all_leased(25.0)
-            within(fleet)
+            assert_within_limits(fleet)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_share_of_who_is_stopped_past_its_lease_is_reused_and_not_used_by_both() -> None:
+def test_units_of_a_member_paused_beyond_its_lease_are_never_used_twice() -> None:
     async def scene(folder: Path) -> None:
         async with running_fleet(folder, seed=2) as fleet:
             await fleet.until_all_leased(25.0)
             leader = await fleet.leader()
-            halted = [leader, *[name for name in fleet.names if name != leader][:1]]
-            for name in halted:  # the leader among them
+            paused = [leader, *[name for name in fleet.names if name != leader][:1]]
+            for name in paused:
                 fleet.pause(name)
             await trio.sleep(3.0 * fleet.plan.lease_ms / 1e3)
-            others = [name for name in fleet.names if name not in halted]
-            with trio.fail_after(25.0):  # the three that are left have it all, but for the floors
+            others = [name for name in fleet.names if name not in paused]
+            with trio.fail_after(25.0):  # the other three get all units except two floors
                 while True:
-                    shares = await fleet.allotments()
-                    if sum(shares[name] for name in others) >= THREADS - 2 * fleet.plan.floors[0]:
+                    allotments = await fleet.allotments()
+                    if sum(allotments[name] for name in others) >= THREADS - 2 * fleet.plan.floors[0]:
                         break
                     await trio.sleep(0.1)
-            for name in halted:
+            for name in paused:
                 fleet.resume(name)
             await trio.sleep(1.0)
             await fleet.until_all_leased(25.0)
-            assert all(fleet.lines(name, "budgets.lease_expired") for name in halted)
-            within(fleet)
+            assert all(fleet.lines(name, "budgets.lease_expired") for name in paused)
+            assert_within_limits(fleet)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_two_sides_of_a_partition_share_one_whole() -> None:
+def test_two_sides_of_a_partition_together_stay_within_the_limits() -> None:
     async def scene(folder: Path) -> None:
         async with running_fleet(folder, seed=3) as fleet:
             await fleet.until_all_leased(25.0)
             leader = await fleet.leader()
-            small = {leader, next(name for name in fleet.names if name != leader)}
-            fleet.relay.part(small, set(fleet.names) - small)
+            minority = {leader, next(name for name in fleet.names if name != leader)}
+            fleet.relay.part(minority, set(fleet.names) - minority)
             await trio.sleep(4.0 * fleet.plan.lease_ms / 1e3)
-            shares = await fleet.allotments()
-            assert all(shares[name] == fleet.plan.floors[0] for name in small)
-            assert sum(shares[name] for name in shares if name not in small) > THREADS // 2
+            allotments = await fleet.allotments()
+            assert all(allotments[name] == fleet.plan.floors[0] for name in minority)
+            assert sum(allotments[name] for name in allotments if name not in minority) > THREADS // 2
             fleet.relay.heal()
             await trio.sleep(1.0)
             await fleet.until_all_leased(25.0)
-            within(fleet)
+            assert_within_limits(fleet)
 
-    play(scene)
+    run_scene(scene)
 
 
 @pytest.mark.parametrize(
     "faults",
     [Faults(drop=0.3, duplicate=0.2, reorder=0.2), Faults(delay_ms=50.0, jitter_ms=200.0, duplicate=0.2)],
 )
-def test_grants_that_are_lost_late_doubled_or_overtaken_add_nothing(faults: Faults) -> None:
+def test_lost_delayed_duplicated_or_reordered_grants_add_no_units(faults: Faults) -> None:
     async def scene(folder: Path) -> None:
         async with running_fleet(folder, seed=4) as fleet:
             await fleet.until_all_leased(25.0)
             fleet.relay.put("*", "*", faults)
             await trio.sleep(4.0)
             leader = await fleet.leader()
-            fleet.relay.put(leader, "m1" if leader != "m1" else "m2", Faults(cut=True))  # its grants are lost
+            # The leader's grants to one member are lost.
+            fleet.relay.put(leader, "m1" if leader != "m1" else "m2", Faults(cut=True))
             await trio.sleep(4.0)
             fleet.relay.heal()
             await trio.sleep(1.0)
             await fleet.until_all_leased(25.0)
-            within(fleet)
+            assert_within_limits(fleet)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_leader_that_is_killed_is_followed_by_one_that_grants_within_the_stated_time() -> None:
+def test_after_a_leader_is_killed_another_grants_within_the_documented_time() -> None:
     async def scene(folder: Path) -> None:
         async with running_fleet(folder, seed=5) as fleet:
             await fleet.until_all_leased(25.0)
@@ -127,14 +128,14 @@
                 leader = await fleet.leader()
                 fleet.kill(leader)
                 names.remove(leader)
-                # Promises run out, an election, then what the dead one granted; and some questions.
-                stated = (
+                # Expiry of the promises, an election, expiry of the old leader's leases, and a few requests.
+                takeover_s = (
                     plan.leadership_ms * plan.drift_margin
                     + plan.leadership_ms
                     + plan.safe_expiry_ms
                     + plan.lease_ms
                 ) / 1e3
-                with trio.fail_after(stated):
+                with trio.fail_after(takeover_s):
                     while await fleet.leader() == leader or sum(
                         (await fleet.allotments()).values()
                     ) < plan.lendable[0] + plan.floors[0] * len(names):
@@ -142,16 +143,16 @@
                 await fleet.start(leader)
                 names.append(leader)
                 await fleet.until_all_leased(25.0)
-            within(fleet)
+            assert_within_limits(fleet)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_the_console_shows_own_shares_and_all_where_they_are_granted() -> None:
+def test_the_console_shows_own_allotments_and_on_the_leader_all() -> None:
     async def scene(folder: Path) -> None:
         async with running_fleet(folder, count=3, voters=3, seed=8) as fleet:
             await fleet.until_all_leased(25.0)
-            with trio.fail_after(25.0):  # on a busy machine another one may have been elected meanwhile
+            with trio.fail_after(25.0):  # on a busy machine another leader may have been elected meanwhile
                 while True:
                     leader = await fleet.leader()
                     rows = [
@@ -171,19 +172,19 @@
             assert {row["member"] for row in own} == {other}
             assert len(own) == 2
             assert own[0]["own"]
-            run = subprocess.run(
+            process = subprocess.run(
                 [sys.executable, "-m", "fordstair.cli", "shares", "--socket", str(folder / f"{other}.sock")],
                 capture_output=True,
                 text=True,
                 check=True,
             )
-            assert f"{other} (here)" in run.stdout
-            assert "threads:karri-energy:*" in run.stdout
+            assert f"{other} (here)" in process.stdout
+            assert "threads:karri-energy:*" in process.stdout
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_clocks_at_their_bounds_add_nothing() -> None:
+def test_clocks_at_the_bound_on_drift_add_no_units() -> None:
     async def scene(folder: Path) -> None:
         async with running_fleet(folder, seed=6, max_clock_drift=0.1) as fleet:
             for name, rate in zip(fleet.names, (0.9, 1.1, 1.0, 0.9, 1.1), strict=True):
@@ -197,21 +198,21 @@
                 fleet.resume(leader)
                 await trio.sleep(1.0)
             await fleet.until_all_leased(25.0)
-            within(fleet)
+            assert_within_limits(fleet)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_what_a_team_holds_at_engines_stays_within_the_whole_and_follows_demand() -> None:
+def test_threads_of_a_team_at_engines_stay_within_the_limit_and_follow_demand() -> None:
     async def scene(folder: Path) -> None:
         async with running_fleet(folder, seed=7) as fleet:
             await fleet.until_all_leased(25.0)
-            # One member is asked for five times the others; together they are asked for more than there is.
+            # One member receives five times the traffic of each other one; together it exceeds the limit.
             rates = dict.fromkeys(fleet.names, 8.0) | {"m0": 40.0}
             tallies, held = await fleet.traffic(rates, 8.0, 1_600.0)
             assert max(held) <= THREADS
             busy = held[len(held) // 3 : len(held) * 2 // 3]
-            assert sum(busy) / len(busy) >= 0.6 * THREADS  # figures are the benchmark's
+            assert sum(busy) / len(busy) >= 0.6 * THREADS  # the benchmark measures it exactly
             for tally in tallies.values():
                 assert tally.counts["lost"] == tally.counts["answered_twice"] == 0
             assert all(tally.counts["served"] > 10 for tally in tallies.values())
@@ -219,16 +220,16 @@
             assert tallies["m0"].counts["served"] > max(
                 tally.counts["served"] for name, tally in tallies.items() if name != "m0"
             )
-            within(fleet)
+            assert_within_limits(fleet)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_quiet_member_s_lookups_go_at_once_while_another_asks_for_all_there_is() -> None:
+def test_lookups_of_a_quiet_member_are_not_delayed_by_a_saturated_one() -> None:
     async def scene(folder: Path) -> None:
         async with running_fleet(folder, count=4, voters=3, seed=9) as fleet:
             await fleet.until_all_leased(25.0)
-            # m3 is not listed and has no floor: what it has is lent, and m0 would take four times the whole.
+            # m3 is no voter: it has no floor, so its units are leased. m0 could use four times the limit.
             tallies, held = await fleet.traffic({"m0": 90.0}, 8.0, 1_600.0, lookups={"m3": 8.0})
             quiet = tallies["m3"]
             assert quiet.by_kind["lookup", "karri-energy", "served"] >= 0.9 * quiet.counts["asked"] >= 30
@@ -236,6 +237,6 @@
             assert quiet.counts["lost"] == 0
             assert max(held) <= THREADS
             assert tallies["m0"].counts["refused"] > 50
-            within(fleet)
+            assert_within_limits(fleet)
 
-    play(scene)
+    run_scene(scene)
