--- a/fordstair/core/admission_queue.py
+++ b/fordstair/core/admission_queue.py
@@ -164,7 +164,7 @@
         """Reject a request that the scheduler has already removed."""
         if (live := self._waiting.pop(request_id, None)) is not None:
             self._withdraw_demand(live)
-            self._reject(live, reason, self.scheduler.wait_for_capacity().likely_ms)
+            self._reject(live, reason, self.scheduler.time_to_capacity().likely_ms)
 
     def _reject(self, live: LiveRequest, reason: QueueRejection, wait_ms: float) -> None:
         """Reject a request, of which nothing has run, with the time after which capacity is expected."""
