--- a/fordstair/net/clients/client_limits.py
+++ b/fordstair/net/clients/client_limits.py
@@ -1,7 +1,7 @@
-"""Bounds on clients' connections, and the rules on which of them ends: idle, stalled or shed for another.
+"""Limits on client connections, and the rules for when a connection times out or is shed.
 
-Silent connections and endless messages would fill the capacity for clients, and answers that nobody reads the
-memory.
+Without them, silent connections and messages that never end would use up the capacity for clients, and
+responses that a client doesn't read would use up memory.
 """
 
 from __future__ import annotations
@@ -9,50 +9,70 @@
 from enum import IntEnum
 
 # The platform's front (MessagePack-RPC):
-RPC_MESSAGE_TIMEOUT_MS = 2_000.0  # for a first message, or for the rest of one that has begun
-RPC_MESSAGE_TIMEOUT_RETRY_MS = 250.0  # to the next check, where the connection may not be ended yet
-RPC_WRITE_TIMEOUT_MS = 5_000.0  # for an answer to leave
-RPC_MAX_OPEN_REQUESTS = 32  # of one connection
+# Limits the wait for the first message, and for the rest of a message that has begun.
+RPC_MESSAGE_TIMEOUT_MS = 2_000.0
+# The delay until the check is repeated for a connection that was not allowed to time out yet.
+RPC_MESSAGE_TIMEOUT_RETRY_MS = 250.0
+# Limits the sending of one batch of queued responses.
+RPC_WRITE_TIMEOUT_MS = 5_000.0
+# Limits the open requests of one connection.
+RPC_MAX_OPEN_REQUESTS = 32
 RPC_MAX_STATEMENT_BYTES = 256 * 1024
-RPC_MESSAGE_OVERHEAD_BYTES = 4_096  # what a message holds beside its statement
-RPC_MAX_UNSENT_BYTES = 256 * 1024  # above it a client is not read from, so that answers cannot pile up
-RPC_UNSENT_CHECK_MS = 10.0  # between two checks of that
-RPC_MESSAGES_PER_TURN = 32  # handled before other connections get their turn
-# A client that sends invalid messages again and again is read from more slowly; answers are not delayed.
-RPC_INVALID_MESSAGE_PAUSE_MS = 5.0  # for each one in a row
+# The room in a message for everything but its statement.
+RPC_MESSAGE_OVERHEAD_BYTES = 4_096
+# Above this backlog of unsent responses the connection is not read, so that responses cannot pile up.
+RPC_MAX_UNSENT_BYTES = 256 * 1024
+# The interval at which that backlog is checked again.
+RPC_UNSENT_CHECK_MS = 10.0
+# After this many messages in a row a connection lets other tasks run.
+RPC_MESSAGES_PER_TURN = 32
+# A connection that sends invalid messages is read more slowly; responses to it are not delayed.
+RPC_INVALID_MESSAGE_PAUSE_MS = 5.0  # multiplied by the number of consecutive invalid messages
 RPC_MAX_INVALID_MESSAGE_PAUSE_MS = 100.0
 
 # The OData front (HTTP/1.1):
-ODATA_REQUEST_TIMEOUT_MS = 5_000.0  # for a first request, or for the rest of one that has begun
-ODATA_IDLE_TIMEOUT_MS = 30_000.0  # between two requests
-ODATA_WRITE_TIMEOUT_MS = 10_000.0  # for an answer to leave
+# Limits the wait for the first request to begin, and for the rest of a request that has begun.
+ODATA_REQUEST_TIMEOUT_MS = 5_000.0
+# Limits the wait between two requests.
+ODATA_IDLE_TIMEOUT_MS = 30_000.0
+# Limits the sending of one response.
+ODATA_WRITE_TIMEOUT_MS = 10_000.0
 ODATA_MAX_BODY_BYTES = 256 * 1024
 
-# Shedding, where a new client finds no capacity:
-GREETING_MS = 300.0  # that a new connection has for its first message before it counts as silent
-SHED_ORDER_VALID_MS = 50.0  # a flood of connections must not cost a sort each
+# Shedding of idle connections when a new client finds no capacity:
+# A connection without a valid message counts as new for this long after its last activity, then as silent.
+NEW_CONNECTION_GRACE_MS = 300.0
+# The shed order is reused for this long: sorting anew for each connection of a flood would cost too much.
+SHED_ORDER_VALID_MS = 50.0
 
 
 class ShedRank(IntEnum):
-    """Which connections are shed first; within a rank, the longest inactive."""
+    """The order in which idle connections are shed: by rank, and the longest inactive first within a rank.
 
-    SILENT = 0  # has sent nothing that could be used
-    REQUESTED = 1  # has sent a request: clients that send one request and stay must not keep others out
-    NEW = 2  # has had no time to send one
+    Attributes:
+        SILENT: the connection has sent no valid message.
+        REQUESTED: it has sent a valid message. It is shed before a new connection, since clients that send
+            one request and stay connected must not keep others out.
+        NEW: it has not had time to send a message yet.
+    """
+
+    SILENT = 0
+    REQUESTED = 1
+    NEW = 2
 
 
 def shed_rank(*, has_requested: bool, last_activity_ms: float, now_ms: float) -> ShedRank:
-    """Return when an idle connection is shed."""
+    """Return the shed rank of an idle connection."""
     if has_requested:
         return ShedRank.REQUESTED
-    return ShedRank.NEW if last_activity_ms > now_ms - GREETING_MS else ShedRank.SILENT
+    return ShedRank.NEW if last_activity_ms > now_ms - NEW_CONNECTION_GRACE_MS else ShedRank.SILENT
 
 
-def message_timed_out(*, unread_bytes: bool, open_requests: int, writing: bool) -> bool:
-    """Whether a client is disconnected whose message is not complete after RPC_MESSAGE_TIMEOUT_MS.
+def message_timed_out(*, has_unread_input: bool, open_requests: int, still_sending: bool) -> bool:
+    """Return whether to disconnect a client whose message is incomplete after RPC_MESSAGE_TIMEOUT_MS.
 
-    Not while bytes have come unread, since then it is this program that is late; while requests are open,
-    whose answers are owed and which may be cancelled; or while a client that has sent a request goes on
-    writing the next.
+    The client stays connected in three cases: input is unread, so that the delay is this program's; requests
+    are open, since they are still to be answered and the client may cancel them; or a client that has sent a
+    valid request is still sending the next one.
     """
-    return not (unread_bytes or open_requests or writing)
+    return not (has_unread_input or open_requests or still_sending)
--- a/fordstair/net/clients/closing.py
+++ b/fordstair/net/clients/closing.py
@@ -1,4 +1,4 @@
-"""How connections of clients end, whichever front they came to."""
+"""Closes client connections without losing the last response; both fronts use it."""
 
 from __future__ import annotations
 
@@ -10,20 +10,21 @@
 from fordstair.runtime.deadlines import Deadlines
 
 READ_BYTES = 65_536
-LINGER_MS = 1_000.0  # for what still comes after the last answer
+# Limits the wait for the client to close its side after the last response.
+LINGER_MS = 1_000.0
 
 
 def half_close(stream: trio.abc.Stream) -> None:
-    """Half-close now, with nothing else run between the caller's last check and the shutdown."""
+    """Shut down the sending side, without a checkpoint between the caller's last check and the shutdown."""
     if isinstance(stream, trio.SocketStream):
-        with contextlib.suppress(OSError):  # its client was faster
+        with contextlib.suppress(OSError):  # the client may have closed or reset the connection already
             stream.socket.shutdown(socket.SHUT_WR)
 
 
 async def linger(stream: trio.abc.Stream, deadlines: Deadlines) -> None:
-    """Half-close, and read on for a while.
+    """Half-close, then read and discard input until the client closes its side, for at most LINGER_MS.
 
-    Closing with input unread would send a reset, which can destroy the answer that has just left.
+    Closing with unread input would send a reset, which can destroy the response that has just been sent.
     """
     if isinstance(stream, trio.abc.HalfCloseableStream):
         half_close(stream)
--- a/fordstair/net/clients/listener.py
+++ b/fordstair/net/clients/listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients; a call that fails for a moment neither ends the listener nor is made without a pause."""
+"""Accepts client connections; after a transient failure of accept it backs off and tries again."""
 
 from __future__ import annotations
 
@@ -17,24 +17,28 @@
 
 log = EventLog(__name__)
 
-OPEN_TIMEOUT_MS = 10_000.0  # for a listening socket to be had at the start
-MAX_ACCEPTS_PER_TURN = 512  # of the event loop
-SERVED_PER_TURN = 16  # clients that are begun to be served in a turn
+BIND_TIMEOUT_MS = 10_000.0
+# A turn is one pass of the event loop:
+MAX_ACCEPTS_PER_TURN = 512
+MAX_HANDLERS_STARTED_PER_TURN = 16
 
-# Serves one client; the second argument is how long at most, in ms, it was connected before.
-Serve = Callable[[trio.SocketStream, float], Awaitable[None]]
+# Serves one client; the second argument is an upper bound, in ms, on how long it had been connected by then.
+ClientHandler = Callable[[trio.SocketStream, float], Awaitable[None]]
 
 
 async def open_listeners(host: str, port: int, deadlines: Deadlines) -> list[trio.SocketListener]:
-    """Open the listening sockets of an address; raise OSError where that does not pass in a moment."""
-    until_ms = deadlines.clock() + OPEN_TIMEOUT_MS
+    """Open the listening sockets of an address, retrying transient errors; raise OSError for any other.
+
+    A transient error that lasts beyond BIND_TIMEOUT_MS is raised as well.
+    """
+    deadline_ms = deadlines.clock() + BIND_TIMEOUT_MS
     backoff = Backoff()
     while True:
         try:
             return await trio.open_tcp_listeners(port, host=host)
         except OSError as error:
             transient = error_scope(error, binding=True) is ErrorScope.TRANSIENT
-            if not transient or deadlines.clock() > until_ms:
+            if not transient or deadlines.clock() > deadline_ms:
                 raise
             log.warning("listen.failed", host=host, port=port, why=error)
             await deadlines.sleep(backoff.next_ms())
@@ -42,45 +46,58 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedClient:
-    """A client that is accepted, and not served yet."""
+    """A client that has been accepted and whose handler has not started yet.
+
+    Attributes:
+        stream: the client's connection.
+        connected_after_ms: a time on the monotonic clock before which it had not connected.
+    """
 
     stream: trio.SocketStream
-    connected_after_ms: float  # of the monotonic clock
+    connected_after_ms: float
 
-    def waited_ms(self, now_ms: float) -> float:
-        """Return how long at most it has been connected."""
+    def max_wait_ms(self, now_ms: float) -> float:
+        """Return an upper bound on how long the client has been connected."""
         return now_ms - self.connected_after_ms
 
 
 class ClientListener:
-    """One listening socket; each client is passed on with how long at most it waited for that.
+    """Accepts the clients of one listening socket, and starts a handler for each.
+
+    Each turn of the event loop accepts the whole backlog, as far as there is capacity, but starts only a few
+    handlers: starting many at once would delay the clients that are already being served.
 
-    All that wait are accepted in one turn of the event loop, as far as there is room, and a few are begun to
-    be served in each turn: many at once would keep those waiting that are served already.
+    Attributes:
+        open_connections: the connections that were accepted here and are not closed yet.
     """
 
     def __init__(
         self,
         sock: trio.socket.SocketType,
-        serve: Serve,
+        handler: ClientHandler,
         max_clients: Callable[[], int],
         poll_watch: PollWatch,
         deadlines: Deadlines,
         counters: Counters,
     ) -> None:
         self._sock = sock
-        self._serve = serve
+        self._handler = handler
         self._max_clients = max_clients
         self._poll_watch = poll_watch
         self._deadlines = deadlines
         self._counters = counters
-        self.open_connections = 0  # accepted here, and not closed yet
-        self._accepted: deque[AcceptedClient] = deque()  # the first is served first
-        self._failing = False  # the latest call to accept has failed
-        self._connected_after_ms = deadlines.clock()  # whoever waits has connected after that
+        self.open_connections = 0
+        self._accepted: deque[AcceptedClient] = deque()
+        self._last_accept_failed = False
+        # No client in the backlog had connected by then:
+        self._connected_after_ms = deadlines.clock()
 
     async def run(self, clients: trio.Nursery) -> None:
-        """Accept until cancelled, and close the socket; the clients' tasks outlive that."""
+        """Accept clients until cancelled, then close the socket.
+
+        The handlers run in the nursery ``clients`` and are not cancelled along with this call. Clients that
+        were accepted before the cancellation are served too. Raise OSError where accept fails for good.
+        """
         backoff = Backoff()
         with self._sock:
             try:
@@ -90,72 +107,75 @@
                     except OSError as error:
                         if error_scope(error) is ErrorScope.PROGRAM:
                             raise
-                        self._note_failure(error)
-                        self._start_serving(clients, len(self._accepted))
+                        self._record_accept_failure(error)
+                        self._start_handlers(clients, len(self._accepted))
                         await self._deadlines.sleep(backoff.next_ms())
                     else:
                         backoff = Backoff()
             finally:
-                self._start_serving(clients, len(self._accepted))
+                self._start_handlers(clients, len(self._accepted))
 
     async def _run_turn(self, clients: trio.Nursery) -> None:
-        """Accept who waits, and serve some of them; wait where nobody waits. Raise OSError."""
-        nobody_waits = self._accept_waiting()
-        self._start_serving(clients, min(SERVED_PER_TURN, len(self._accepted)))
-        if nobody_waits and not self._accepted:
+        """Accept the backlog and start some handlers; wait if nothing is left to do. Raise OSError."""
+        backlog_empty = self._accept_backlog()
+        self._start_handlers(clients, min(MAX_HANDLERS_STARTED_PER_TURN, len(self._accepted)))
+        if backlog_empty and not self._accepted:
             await self._wait_for_client()
         else:
             await trio.lowlevel.checkpoint()
 
-    def _accept_waiting(self) -> bool:
-        """Accept who waits, as many as there is room for; return whether nobody is left.
+    def _accept_backlog(self) -> bool:
+        """Accept the backlog as far as there is capacity; return whether it is empty now.
 
-        Where there is no room, one is accepted for which the front may shed another. Raise OSError where
-        accept fails.
+        Without capacity one client is accepted all the same, since the front may shed another for it. Raise
+        OSError if accept fails.
         """
-        room = self._max_clients() - self.open_connections
-        least = 0 if self._accepted else 1
-        for _ in range(min(MAX_ACCEPTS_PER_TURN, max(least, room))):
-            accepted = self._accept_now()
+        capacity = self._max_clients() - self.open_connections
+        min_accepts = 0 if self._accepted else 1
+        for _ in range(min(MAX_ACCEPTS_PER_TURN, max(min_accepts, capacity))):
+            accepted = self._try_accept()
             if accepted is None:
                 self._connected_after_ms = self._deadlines.clock()
                 return True
-            self._failing = False
+            self._last_accept_failed = False
             self.open_connections += 1
             self._accepted.append(AcceptedClient(trio.SocketStream(accepted), self._connected_after_ms))
         return False
 
-    def _accept_now(self) -> trio.socket.SocketType | None:
-        """Accept one client; return None where nobody waits. Raise OSError."""
-        shared = socket.socket(fileno=self._sock.fileno())  # trio's own accept ends the turn
+    def _try_accept(self) -> trio.socket.SocketType | None:
+        """Accept one client; return None if the backlog is empty. Raise OSError.
+
+        It calls the plain socket's accept, since trio's is a checkpoint and would end the turn.
+        """
+        plain_socket = socket.socket(fileno=self._sock.fileno())
         try:
-            shared.setblocking(False)
-            accepted, _ = shared.accept()
+            plain_socket.setblocking(False)
+            accepted, _ = plain_socket.accept()
         except BlockingIOError:
             return None
         finally:
-            shared.detach()
+            plain_socket.detach()
         return trio.socket.from_stdlib_socket(accepted)
 
     async def _wait_for_client(self) -> None:
-        """Wait until somebody has connected; a moment ago nobody had."""
+        """Wait until a client has connected; the backlog was empty when it was last checked."""
         await trio.lowlevel.wait_readable(self._sock)
         delay_ms = self._poll_watch.max_delay_ms(self._connected_after_ms)
         self._connected_after_ms = max(self._connected_after_ms, self._deadlines.clock() - delay_ms)
 
-    def _start_serving(self, clients: trio.Nursery, count: int) -> None:
+    def _start_handlers(self, clients: trio.Nursery, count: int) -> None:
         for _ in range(count):
             clients.start_soon(self._handle, self._accepted.popleft())
 
-    def _note_failure(self, error: OSError) -> None:
+    def _record_accept_failure(self, error: OSError) -> None:
         self._counters.add("accept.failures")
-        if not self._failing:
-            self._failing = True
+        if not self._last_accept_failed:
+            self._last_accept_failed = True
             log.warning("accept.failed", why=error)
 
     async def _handle(self, client: AcceptedClient) -> None:
         try:
-            await self._serve(client.stream, client.waited_ms(self._deadlines.clock()))
+            await self._handler(client.stream, client.max_wait_ms(self._deadlines.clock()))
         finally:
             self.open_connections -= 1
             await trio.aclose_forcefully(client.stream)
--- a/fordstair/net/clients/odata_connection.py
+++ b/fordstair/net/clients/odata_connection.py
@@ -103,7 +103,7 @@
 
     async def _answer(self, request: ODataRequest) -> None:
         """Answer one request, while watching for its client to leave."""
-        self._statements.begin_request(self._read_delay.read_ms - self._read_delay.last_ms)
+        self._statements.begin_request(self._read_delay.last_read_ms - self._read_delay.last_delay_ms)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_for_end)
             response = await self._router.respond(request)
--- a/fordstair/net/clients/read_delay.py
+++ b/fordstair/net/clients/read_delay.py
@@ -1,4 +1,4 @@
-"""How long at most a message had been here before it was read: that much of its time limit is over."""
+"""Bounds how long a message waited to be read; its time limit is shortened by that much."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.runtime.deadlines import Deadlines
 
-READ_BYTES = 65_536  # at most at a time
-_COUNT_BYTES = 4  # of the number that FIONREAD gives, see tty_ioctl(4)
-SHORT_GAP_MS = 20.0  # between two waits of a connection: what came in it is not late
+READ_BYTES = 65_536
+_FIONREAD_RESULT_BYTES = 4  # FIONREAD writes an int, see tty_ioctl(4)
+# Input from a gap of at most this length between two waits is treated as if it had arrived during the wait.
+SHORT_GAP_MS = 20.0
 
 
 async def wait_readable(stream: trio.SocketStream) -> None:
-    """Wait until bytes have come, or the end; raise trio.ClosedResourceError where it is closed here."""
+    """Wait until the stream has input or is at its end; raise trio.ClosedResourceError if closed locally."""
     if stream.socket.fileno() < 0:
         raise trio.ClosedResourceError
     await trio.lowlevel.wait_readable(stream.socket)
 
 
 def unread_bytes(stream: trio.abc.Stream) -> int:
-    """Return how many bytes have come on a connection and are not read; 0 where the system does not say."""
+    """Return how many bytes can be read from a stream now; 0 if the system does not tell."""
     if not isinstance(stream, trio.SocketStream) or stream.socket.fileno() < 0:
         return 0
-    count = bytearray(_COUNT_BYTES)
+    count = bytearray(_FIONREAD_RESULT_BYTES)
     try:
         fcntl.ioctl(stream.socket.fileno(), termios.FIONREAD, count)
     except OSError:
@@ -36,11 +37,15 @@
 
 
 class ReadDelay:
-    """Estimates the delay of what is read on one connection.
+    """Estimates an upper bound on the delay between the arrival of input on one connection and its read.
 
-    While the connection waits for bytes, the event loop's polls tell how old they may be. What comes between
-    two waits, while it is not read from, is as old as that gap; so is what came before it was accepted, which
-    is at most ``accept_delay_ms`` ago.
+    While the connection waits for input, the times of the event loop's polls bound the delay. Input that
+    arrives between two waits may be as old as that gap. Input that arrived before the connection was served
+    is at most ``accept_delay_ms`` older than this object.
+
+    Attributes:
+        last_delay_ms: the delay of the input that was read last.
+        last_read_ms: when it was read.
     """
 
     def __init__(
@@ -49,45 +54,48 @@
         self._stream = stream
         self._poll_watch = poll_watch
         self._deadlines = deadlines
-        self._drained_ms = deadlines.clock()  # when all that had come was read
-        self._unwatched_since_ms = self._drained_ms - accept_delay_ms
-        self._came_unwatched = False  # what is read next was here before the wait for it
-        self._unread_bytes = 0  # as the latest wait for bytes ended
-        self.last_ms = 0.0  # of what was read last
-        self.read_ms = self._drained_ms  # when that was read
+        self._last_drained_ms = deadlines.clock()
+        # Unread input arrived no earlier than this time:
+        self._unwatched_since_ms = self._last_drained_ms - accept_delay_ms
+        self._arrived_before_wait = False
+        self._unread_bytes_at_wait_end = 0
+        self.last_delay_ms = 0.0
+        self.last_read_ms = self._last_drained_ms
 
     def begin_wait(self) -> None:
-        """The connection is about to wait for bytes."""
+        """Record that the connection is about to wait for input."""
         gap_ms = self._deadlines.clock() - self._unwatched_since_ms
-        self._came_unwatched = gap_ms > SHORT_GAP_MS and self._stream.socket.is_readable()
+        self._arrived_before_wait = gap_ms > SHORT_GAP_MS and self._stream.socket.is_readable()
 
     def note_readable(self) -> None:
-        """The wait is over: bytes are read now, in this turn of the event loop."""
-        now_ms = self.read_ms = self._deadlines.clock()
-        self._unread_bytes = unread_bytes(self._stream)
-        if self._came_unwatched:
-            self.last_ms = now_ms - self._unwatched_since_ms
+        """Record that the wait is over; the caller reads in the same turn of the event loop."""
+        now_ms = self.last_read_ms = self._deadlines.clock()
+        self._unread_bytes_at_wait_end = unread_bytes(self._stream)
+        if self._arrived_before_wait:
+            self.last_delay_ms = now_ms - self._unwatched_since_ms
         else:
-            self.last_ms = self._poll_watch.max_delay_ms(self._drained_ms)
-        self._unwatched_since_ms = now_ms - self.last_ms  # the same holds for what is left behind
+            self.last_delay_ms = self._poll_watch.max_delay_ms(self._last_drained_ms)
+        # Input that the read leaves behind may have arrived as early as the input that it returns.
+        self._unwatched_since_ms = now_ms - self.last_delay_ms
 
     def note_read(self, size: int) -> bool:
-        """So many bytes were read; return whether that was all there was (a read may return less)."""
-        drained = size >= self._unread_bytes
+        """Record a read of ``size`` bytes; return whether it returned all the input of the wait's end."""
+        drained = size >= self._unread_bytes_at_wait_end
         if drained:
-            self.note_drained(self.read_ms)
+            self.note_drained(self.last_read_ms)
         return drained
 
     def note_drained(self, now_ms: float) -> None:
-        """All that had come has been read."""
-        self._drained_ms = now_ms
+        """Record that all input had been read at the given time."""
+        self._last_drained_ms = now_ms
         self._unwatched_since_ms = now_ms
 
 
 class TimedStream(trio.abc.HalfCloseableStream):
-    """A client's connection, of which each read notes its delay; also below TLS, with its handshake.
+    """A client's stream that records the read delay of each read; below TLS this includes the handshake.
 
-    ``read_delay`` is that of what was read last.
+    Attributes:
+        read_delay: the estimate for this stream, updated by each read.
     """
 
     def __init__(self, stream: trio.SocketStream, read_delay: ReadDelay) -> None:
@@ -95,26 +103,26 @@
         self._stream = stream
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Read what comes next; nothing at the end."""
-        most = max_bytes or READ_BYTES
+        """Wait for input and return it; return no bytes at the end of the stream."""
+        limit = max_bytes or READ_BYTES
         await trio.lowlevel.checkpoint_if_cancelled()
         self.read_delay.begin_wait()
         await wait_readable(self._stream)
         self.read_delay.note_readable()
-        data = bytes(await self._stream.receive_some(most))
+        data = bytes(await self._stream.receive_some(limit))
         self.read_delay.note_read(len(data))
         return data
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
-        """Send all of it."""
+        """Send all of the data."""
         await self._stream.send_all(data)
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Wait until there may be room to send."""
+        """Wait until sending might not block."""
         await self._stream.wait_send_all_might_not_block()
 
     async def send_eof(self) -> None:
-        """End this side."""
+        """Shut down the sending side."""
         await self._stream.send_eof()
 
     async def aclose(self) -> None:
--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -22,13 +22,21 @@
 log = EventLog(__name__)
 
 READ_BYTES = 65_536
-CATCH_UP_CHECK_MS = 1.0  # between two checks whether what a client has written is read
+# The interval at which drain_input checks whether the input has been read.
+DRAIN_CHECK_MS = 1.0
 
 
 class RpcConnection:
-    """One client's connection.
+    """One client's connection: reads its messages, submits its requests and sends its responses.
 
-    ``accept_delay_ms`` says how long at most the connection was there before it was accepted.
+    ``accept_delay_ms`` is an upper bound on how long it had been connected before this object was created.
+
+    Attributes:
+        open_requests: the requests that are neither answered nor abandoned, by request id.
+        closing: whether the connection is to end once all input is answered and every response is sent.
+        half_closed: whether the sending side is shut down; any further input is discarded.
+        has_requested: whether the client has sent a valid request or a health check.
+        last_activity_ms: the time of the latest valid request or response.
     """
 
     def __init__(
@@ -44,48 +52,56 @@
         self.deadlines = coordinator.deadlines
         self.max_statement_bytes = max_statement_bytes
         self.open_requests: dict[int, LiveRequest] = {}
-        self.closing = False  # it ends once all that has come is answered, and every response has left
-        self.half_closed = False  # this side is shut: what still comes is read and dropped
-        self.has_requested = False  # it has sent a message that could be used
-        self.last_activity_ms = self.deadlines.clock()  # of its last message or response
-        self._received_ms = self.last_activity_ms  # when bytes last came
-        self._message_began_ms = 0.0  # when the message that is half-sent began; 0: none is
-        self._invalid_in_a_row = 0  # messages that could not be used
-        self._last_number = -1  # the id that came last
+        self.closing = False
+        self.half_closed = False
+        self.has_requested = False
+        self.last_activity_ms = self.deadlines.clock()
+        self._last_read_ms = self.last_activity_ms
+        # When the incomplete message began; 0 if there is none.
+        self._message_began_ms = 0.0
+        self._consecutive_invalid = 0
+        self._last_request_id = -1
         self._writer = ResponseWriter(stream, self.deadlines, client_limits.RPC_WRITE_TIMEOUT_MS)
         self._read_delay = ReadDelay(stream, poll_watch or PollWatch(), self.deadlines, accept_delay_ms)
-        self._times_drained = 0  # how often all that had come was read and handled
-        self._drained = False  # the last read left nothing behind
-        self._handling = False  # something may have been read that is not handled
-        self._waits_for_bytes: trio.CancelScope | None = None
+        # How often all available input had been read and handled:
+        self._drain_count = 0
+        self._last_read_drained = False
+        # Whether input may have been read that is not handled yet:
+        self._handling = False
+        # Cancelling this scope ends the current wait for input; None while there is no wait.
+        self._wait_scope: trio.CancelScope | None = None
         self._timed_out = False
         self._write_stalled = False
         self._message_timeout: Ticket | None = None
         self._scope = trio.CancelScope()
 
     @property
-    def settled(self) -> bool:
-        """Whether no request is open, and every response has left."""
+    def quiescent(self) -> bool:
+        """Whether no request is open, and every response has been sent."""
         return not self.open_requests and self._writer.flushed
 
     @property
     def idle(self) -> bool:
-        """Whether it is settled, has read nothing that is not handled, and is not in a message.
+        """Whether the connection is quiescent, has handled all it has read, and is not inside a message.
 
-        A message without an end keeps no capacity for ever.
+        An incomplete message counts only for RPC_MESSAGE_TIMEOUT_MS, so that one that never ends cannot hold
+        capacity forever; before the first valid request it does not count at all.
         """
         earliest_ms = self.deadlines.clock() - client_limits.RPC_MESSAGE_TIMEOUT_MS
         in_message = self.has_requested and self._message_began_ms > earliest_ms
-        return self.settled and not (self._handling or in_message)
+        return self.quiescent and not (self._handling or in_message)
 
     @property
-    def unread_bytes(self) -> bool:
-        """Whether something has come that this program was too busy to read."""
+    def has_unread_input(self) -> bool:
+        """Whether the socket has input, or its end, that has not been read yet.
+
+        It is False for a closed socket: the front still lists a connection that has just been closed.
+        """
         sock = self.stream.socket
-        return sock.fileno() >= 0 and sock.is_readable()  # one that has just been closed is still listed
+        return sock.fileno() >= 0 and sock.is_readable()
 
     async def run(self) -> None:
-        """Serve the connection to its end; requests still open then have lost their client."""
+        """Serve the connection until it ends, then close it and abandon the requests that are still open."""
         self._start_message_timeout(client_limits.RPC_MESSAGE_TIMEOUT_MS)
         try:
             with self._scope:
@@ -99,31 +115,33 @@
                 await trio.aclose_forcefully(self.stream)
 
     def close(self) -> None:
-        """End the connection once it is settled, and nothing has come that is not read."""
+        """End the connection as soon as it is quiescent and has no unread input."""
         self.closing = True
         self._writer.wake()
 
     async def drain_input(self) -> None:
-        """Wait until all that has come by now is read: behind other messages may be a cancel, or the end.
+        """Wait until all input that has arrived by now is handled; a cancellation or its end may be in it.
 
-        A client that is not read from, since it does not read itself, has nothing begun for it either.
+        While the client does not read its responses, the connection is not read either: the wait goes on, and
+        so no attempt begins for that client.
         """
-        # What is being handled now may have been read before the rest came: a second time it is all there.
-        enough = self._times_drained + 2
-        while (self._handling or self.unread_bytes) and self._times_drained < enough:
-            await self.deadlines.sleep(CATCH_UP_CHECK_MS)
-
-    def shed(self) -> None:
-        """End the connection at once: what comes from now on must not be read and dropped."""
+        # The input that is being handled may have been read before the rest arrived; the second drain from
+        # now certainly includes all of it.
+        target_count = self._drain_count + 2
+        while (self._handling or self.has_unread_input) and self._drain_count < target_count:
+            await self.deadlines.sleep(DRAIN_CHECK_MS)
+
+    def abort(self) -> None:
+        """Close the connection at once, so that no further input is read and discarded."""
         if self.open_requests and not self._write_stalled:
             self._report_open_requests()
         self.stream.socket.close()
         self._scope.cancel()
 
-    def finish(self, number: int, response: bytes) -> None:
-        """Queue the one final response of a request that is open here."""
-        if self.open_requests.pop(number, None) is None:
-            self.coordinator.invariants.violated(Invariant.ONE_ANSWER, number=number)
+    def finish(self, request_id: int, response: bytes) -> None:
+        """Queue the final response of an open request; report a violation if the request is not open."""
+        if self.open_requests.pop(request_id, None) is None:
+            self.coordinator.invariants.violated(Invariant.ONE_ANSWER, number=request_id)
         else:
             self._respond(response)
 
@@ -131,11 +149,12 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._write)
             await self._read()
-            while not self.settled:
+            while not self.quiescent:
                 await self._writer.wait_for_flush()
             nursery.cancel_scope.cancel()
         self.half_closed = True
-        if self.open_requests:  # it was read to its end, and all that was open answered or abandoned
+        # The input has ended by now, and every open request should have been answered or abandoned.
+        if self.open_requests:
             self._report_open_requests()
         await linger(self.stream, self.deadlines)
 
@@ -147,33 +166,33 @@
         self._writer.queue(response)
 
     async def _write(self) -> None:
-        """Send responses; a client that does not read them is disconnected."""
+        """Send queued responses; disconnect a client that does not read them in time."""
         while True:
             stalled_bytes = await self._writer.flush()
             if stalled_bytes:
                 self.coordinator.counters.add("client.write_stalled")
                 log.info("client.write_stalled", open=len(self.open_requests), unsent_bytes=stalled_bytes)
                 self._write_stalled = True
-                self.shed()
+                self.abort()
                 return
-            if self.closing and self._waits_for_bytes is not None:
-                self._waits_for_bytes.cancel()
+            if self.closing and self._wait_scope is not None:
+                self._wait_scope.cancel()
             await self._writer.wait_for_change()
 
     async def _receive(self) -> bytes:
-        """Return what comes next; nothing once nothing more is to be read, or this side is shut.
+        """Wait for input and return it; return no bytes at its end or when the connection should end.
 
-        What has come before the shutdown is read, handled and answered: dropped, its client would wait in
-        vain. Between the check for it and the shutdown nothing else may run, and nothing read may be on its
-        way to being handled; so the task that reads does both. What comes later crosses the shutdown, and its
-        client sends it again.
+        All input that arrives before the half-close is read, handled and answered; its client would otherwise
+        wait in vain. So no other task may run between the check for unread input and the half-close, and no
+        input may have been read without being handled: the reading task does both. Input that arrives later
+        has crossed the half-close, and its client sends it again.
         """
-        self._times_drained += self._drained
-        self._drained = False
+        self._drain_count += self._last_read_drained
+        self._last_read_drained = False
         while not self._timed_out:
             while self._writer.unsent_bytes > client_limits.RPC_MAX_UNSENT_BYTES:
                 await self.deadlines.sleep(client_limits.RPC_UNSENT_CHECK_MS)
-            if self.closing and self.settled and not self.unread_bytes:
+            if self.closing and self.quiescent and not self.has_unread_input:
                 half_close(self.stream)
                 break
             with trio.CancelScope() as scope:
@@ -181,26 +200,26 @@
         return b""
 
     async def _receive_chunk(self, scope: trio.CancelScope) -> bytes:
-        """Wait for bytes and read them; the scope is cancelled where the wait should end without any."""
-        self._waits_for_bytes = scope
+        """Wait for input and read it; cancelling ``scope`` ends the wait without any."""
+        self._wait_scope = scope
         self._handling = False
         try:
             if isinstance(self.stream, trio.SocketStream):
-                await trio.lowlevel.checkpoint_if_cancelled()  # shed() has closed the socket
+                await trio.lowlevel.checkpoint_if_cancelled()  # abort() closes the socket
                 self._read_delay.begin_wait()
                 await trio.lowlevel.wait_readable(self.stream.socket)
             self._read_delay.note_readable()
-            self._handling = True  # from here to the next wait
+            self._handling = True
             chunk = bytes(await self.stream.receive_some(READ_BYTES))
         finally:
-            self._waits_for_bytes = None
+            self._wait_scope = None
             self._handling = True
-        self._received_ms = self._read_delay.read_ms
-        self._drained = self._read_delay.note_read(len(chunk))
+        self._last_read_ms = self._read_delay.last_read_ms
+        self._last_read_drained = self._read_delay.note_read(len(chunk))
         return chunk
 
     async def _read(self) -> None:
-        """Handle what comes, until the client has gone or can no longer be understood."""
+        """Handle messages until the end of input, a malformed message, a timeout or the half-close."""
         buffer = MessageBuffer(self.max_statement_bytes + client_limits.RPC_MESSAGE_OVERHEAD_BYTES)
         while chunk := await self._receive():
             if not buffer.append(chunk):
@@ -208,36 +227,36 @@
             try:
                 handled = await self._handle_messages(buffer)
             except MalformedMessageError as error:
-                self._reject_rest(buffer.unhandled, str(error))
+                self._reject_malformed(buffer.unhandled, str(error))
                 return
-            self._note_message_progress(handled=handled > 0, in_message=len(buffer.unhandled) > 0)
+            self._update_message_timeout(handled=handled > 0, in_message=len(buffer.unhandled) > 0)
             buffer.discard_handled()
-            if self._invalid_in_a_row:
-                await self._give_turn()
-        # Whoever has shut its side has gone: nothing is begun for it any more, and nothing gone on with.
+            if self._consecutive_invalid:
+                await self._yield_to_others()
+        # A client that has shut down its sending side counts as disconnected: its requests are not pursued.
         self._abandon_requests()
 
     async def _handle_messages(self, buffer: MessageBuffer) -> int:
-        """Handle the complete messages at hand; return how many there were. Raise MalformedMessageError."""
+        """Handle the complete messages in the buffer; return how many. Raise MalformedMessageError."""
         handled = 0
         for value in buffer.values():
             self._handle(rpc_wire.read_message(value))
             handled += 1
             if handled % client_limits.RPC_MESSAGES_PER_TURN == 0:
-                await self._give_turn()
+                await self._yield_to_others()
         return handled
 
-    async def _give_turn(self) -> None:
-        """Let other connections have their turn; after invalid messages wait longer for the next."""
-        pause_ms = client_limits.RPC_INVALID_MESSAGE_PAUSE_MS * self._invalid_in_a_row
+    async def _yield_to_others(self) -> None:
+        """Let other tasks run; pause for longer after consecutive invalid messages."""
+        pause_ms = client_limits.RPC_INVALID_MESSAGE_PAUSE_MS * self._consecutive_invalid
         await self.deadlines.sleep(min(client_limits.RPC_MAX_INVALID_MESSAGE_PAUSE_MS, pause_ms))
 
-    def _note_message_progress(self, *, handled: bool, in_message: bool) -> None:
-        """Time each message by itself."""
+    def _update_message_timeout(self, *, handled: bool, in_message: bool) -> None:
+        """Time each message separately: stop the timer for the handled ones, start one for a begun one."""
         if handled and self.has_requested:
             self._stop_message_timeout()
         if in_message and (handled or not self._message_began_ms):
-            self._message_began_ms = self._received_ms
+            self._message_began_ms = self._last_read_ms
             if self._message_timeout is None:
                 self._start_message_timeout(client_limits.RPC_MESSAGE_TIMEOUT_MS)
 
@@ -253,11 +272,11 @@
     def _check_message_timeout(self) -> None:
         self._message_timeout = None
         earliest_ms = self.deadlines.clock() - client_limits.RPC_MESSAGE_TIMEOUT_MS
-        wait_scope = self._waits_for_bytes
+        wait_scope = self._wait_scope
         if wait_scope is None or not client_limits.message_timed_out(
-            unread_bytes=self.unread_bytes,
+            has_unread_input=self.has_unread_input,
             open_requests=len(self.open_requests),
-            writing=self.has_requested and self._received_ms > earliest_ms,
+            still_sending=self.has_requested and self._last_read_ms > earliest_ms,
         ):
             self._start_message_timeout(client_limits.RPC_MESSAGE_TIMEOUT_RETRY_MS)
             return
@@ -267,53 +286,59 @@
         wait_scope.cancel()
 
     def _abandon_requests(self) -> None:
-        """Give up all that is open: its client has gone, or can no longer be understood."""
+        """Abandon all open requests: the client has disconnected, or the connection is ending."""
         for live in list(self.open_requests.values()):
             self.coordinator.client_disconnected(live)
         self.open_requests.clear()
 
-    def _reject_rest(self, view: memoryview, why: str) -> None:
-        """Answer a malformed message, if its id can be read; the bytes after it have lost their frame.
+    def _reject_malformed(self, view: memoryview, why: str) -> None:
+        """Answer a malformed message if its request id can be read and is new or still open.
 
-        What else is open is given up: the connection closes without waiting for it.
+        The start of the next message cannot be found any more, so the connection ends. It does not wait for
+        the open requests; they are abandoned.
         """
         self.coordinator.counters.add("client.malformed")
         log.info("client.malformed", why=why, open=len(self.open_requests))
-        number = rpc_wire.request_number(view)
-        unanswered = number is not None and (number > self._last_number or number in self.open_requests)
+        request_id = rpc_wire.read_request_id(view)
+        unanswered = request_id is not None and (
+            request_id > self._last_request_id or request_id in self.open_requests
+        )
         self._abandon_requests()
-        if number is not None and unanswered:
-            self._respond(rpc_wire.invalid_response(number, why))
+        if request_id is not None and unanswered:
+            self._respond(rpc_wire.invalid_response(request_id, why))
 
     def _handle(self, message: rpc_wire.Message) -> None:
         match message:
-            case rpc_wire.RequestMessage(number, method, params):
-                self._note_number(number)
-                self._handle_request(number, method, params)
-            case rpc_wire.InvalidMessage(number):
-                self._note_number(number)
-                self._reject(number, "not a request")
-            case rpc_wire.CancelMessage(number):
-                if (live := self.open_requests.pop(number, None)) is not None:
+            case rpc_wire.RequestMessage(request_id, method, params):
+                self._register_request_id(request_id)
+                self._handle_request(request_id, method, params)
+            case rpc_wire.InvalidMessage(request_id):
+                self._register_request_id(request_id)
+                self._reject(request_id, "not a request")
+            case rpc_wire.CancelMessage(request_id):
+                if (live := self.open_requests.pop(request_id, None)) is not None:
                     self.coordinator.client_disconnected(live)
             case rpc_wire.UnknownNotification():
                 pass
 
-    def _note_number(self, number: int) -> None:
-        """Take the id of a request; two responses under one id could not be told apart."""
-        if number <= self._last_number:
+    def _register_request_id(self, request_id: int) -> None:
+        """Record a request id; raise MalformedMessageError unless it is greater than the one before.
+
+        The client could not tell two responses under one id apart.
+        """
+        if request_id <= self._last_request_id:
             raise MalformedMessageError("an id that does not count up")
-        self._last_number = number
+        self._last_request_id = request_id
 
-    def _handle_request(self, number: int, method: str, params: object) -> None:
+    def _handle_request(self, request_id: int, method: str, params: object) -> None:
         if method == rpc_wire.HEALTH_CHECK_METHOD:
             self.has_requested = True
-            self._respond(rpc_wire.health_response(number, accepting=not self.coordinator.draining))
+            self._respond(rpc_wire.health_response(request_id, accepting=not self.coordinator.draining))
             return
         if len(self.open_requests) >= client_limits.RPC_MAX_OPEN_REQUESTS:
-            self._reject(number, f"over {client_limits.RPC_MAX_OPEN_REQUESTS} requests are open")
+            self._reject(request_id, f"over {client_limits.RPC_MAX_OPEN_REQUESTS} requests are open")
             return
-        read_delay_ms = self._read_delay.last_ms + self.deadlines.clock() - self._received_ms
+        read_delay_ms = self._read_delay.last_delay_ms + self.deadlines.clock() - self._last_read_ms
         try:
             query = read_query(
                 method,
@@ -324,14 +349,14 @@
                 from_new_client=not self.has_requested,
             )
         except InvalidRequestError as error:
-            self._reject(number, str(error))
+            self._reject(request_id, str(error))
             return
         self.has_requested = True
-        self._invalid_in_a_row = 0
+        self._consecutive_invalid = 0
         self.last_activity_ms = self.deadlines.clock()
-        self.open_requests[number] = self.coordinator.submit(query, RpcReply(self, number))
+        self.open_requests[request_id] = self.coordinator.submit(query, RpcReply(self, request_id))
 
-    def _reject(self, number: int, why: str) -> None:
+    def _reject(self, request_id: int, why: str) -> None:
         self.coordinator.counters.add("client.invalid")
-        self._invalid_in_a_row += 1
-        self._respond(rpc_wire.invalid_response(number, why))
+        self._consecutive_invalid += 1
+        self._respond(rpc_wire.invalid_response(request_id, why))
--- a/fordstair/net/clients/rpc_front.py
+++ b/fordstair/net/clients/rpc_front.py
@@ -1,4 +1,4 @@
-"""The platform's front: its clients' connections, and which of them is shed where there is no capacity."""
+"""The platform's front: admits client connections, and sheds idle ones to make room for new ones."""
 
 from __future__ import annotations
 
@@ -23,7 +23,13 @@
 
 @dataclass(slots=True)
 class ShedCandidate:
-    """A connection that was idle as the order of shedding was made."""
+    """A connection that was idle when the shed order was built.
+
+    Attributes:
+        connection: the connection.
+        rank: its rank at that time.
+        last_activity_ms: its last activity at that time; it may be shed only if there was none since.
+    """
 
     connection: RpcConnection
     rank: ShedRank
@@ -31,9 +37,16 @@
 
 
 class RpcFront:
-    """Accepts clients, at most as many as the limit on sockets leaves them."""
+    """Serves client connections, at most ``max_clients`` at a time.
+
+    Attributes:
+        max_clients: the sockets that the process's limit leaves for clients.
+        max_statement_bytes: the limit on the size of one statement.
+        clients: the connections that are being served.
+        closing: whether ``close`` has been called.
+    """
 
-    # Until the configuration has been applied:
+    # Defaults until the configuration has been applied:
     max_clients = 64
     max_statement_bytes = RPC_MAX_STATEMENT_BYTES
 
@@ -42,19 +55,20 @@
         self.poll_watch = poll_watch or PollWatch()
         self.clients: set[RpcConnection] = set()
         self.closing = False
-        self._shed_order: deque[ShedCandidate] = deque()  # the first to be shed first
-        self._shed_order_made_ms = 0.0
+        self._shed_order: deque[ShedCandidate] = deque()
+        self._shed_order_built_ms = 0.0
 
     def close(self) -> None:
-        """End every connection as ``RpcConnection.close`` says, also one accepted and not served yet."""
+        """Close every connection as ``RpcConnection.close`` does, including those that are served later."""
         self.closing = True
         for client in self.clients:
             client.close()
 
     async def serve(self, stream: trio.SocketStream, accept_delay_ms: float = 0.0) -> None:
-        """Serve one connection; a fault in it, or in shedding another for it, ends no other.
+        """Serve one connection until it ends; an exception is logged and does not affect other connections.
 
-        ``accept_delay_ms`` says how long at most it was there before it was accepted.
+        Without capacity, an idle connection is shed for it; if there is none, the new one is closed.
+        ``accept_delay_ms`` is an upper bound on how long it had been connected before this call.
         """
         try:
             if len(self.clients) >= self.max_clients and not self._shed_one():
@@ -78,28 +92,28 @@
             self.clients.discard(client)
 
     def _shed_one(self) -> bool:
-        """Shed one connection with nothing open on it, if there is one."""
+        """Shed one idle connection; return False if there is none."""
         now_ms = self.coordinator.deadlines.clock()
-        if not self._shed_order or now_ms > self._shed_order_made_ms + SHED_ORDER_VALID_MS:
-            self._make_shed_order(now_ms)
+        if not self._shed_order or now_ms > self._shed_order_built_ms + SHED_ORDER_VALID_MS:
+            self._build_shed_order(now_ms)
         while self._shed_order:
             candidate = self._shed_order.popleft()
             if self._may_shed(candidate):
                 self.coordinator.counters.add("client.shed")
                 self.clients.discard(candidate.connection)
-                candidate.connection.shed()
+                candidate.connection.abort()
                 return True
         return False
 
-    def _make_shed_order(self, now_ms: float) -> None:
+    def _build_shed_order(self, now_ms: float) -> None:
         candidates = [
             ShedCandidate(client, self._rank(client, now_ms), client.last_activity_ms)
             for client in self.clients
             if client.idle
         ]
-        candidates.sort(key=lambda each: (each.rank, each.last_activity_ms))
+        candidates.sort(key=lambda candidate: (candidate.rank, candidate.last_activity_ms))
         self._shed_order = deque(candidates)
-        self._shed_order_made_ms = now_ms
+        self._shed_order_built_ms = now_ms
 
     @staticmethod
     def _rank(client: RpcConnection, now_ms: float) -> ShedRank:
@@ -108,11 +122,11 @@
         )
 
     def _may_shed(self, candidate: ShedCandidate) -> bool:
-        """Whether it is still idle, and nothing has come on it that is not read."""
+        """Return whether the candidate is still open and idle, and has no unread input."""
         client = candidate.connection
         return (
             client in self.clients
             and client.idle
             and client.last_activity_ms == candidate.last_activity_ms
-            and (client.half_closed or not client.unread_bytes)
+            and (client.half_closed or not client.has_unread_input)
         )
--- a/fordstair/net/clients/rpc_reply.py
+++ b/fordstair/net/clients/rpc_reply.py
@@ -1,4 +1,4 @@
-"""The way back to a client of the platform's front."""
+"""Sends the final response of a request to a client of the platform's front."""
 
 from __future__ import annotations
 
@@ -9,34 +9,36 @@
 
 
 class ReplyingConnection(Protocol):
-    """The connection on which a request came."""
+    """The connection that a request arrived on."""
 
     async def drain_input(self) -> None:
-        """Wait until what the client has written by now is read."""
+        """Wait until all input that has arrived by now is handled."""
 
-    def finish(self, number: int, response: bytes) -> None:
-        """Queue the one final response of a request."""
+    def finish(self, request_id: int, response: bytes) -> None:
+        """Queue the final response of a request."""
 
 
 class RpcReply:
-    """Answers one request."""
+    """Answers one request; implements ``fordstair.core.ports.Reply``."""
 
-    def __init__(self, connection: ReplyingConnection, number: int) -> None:
+    def __init__(self, connection: ReplyingConnection, request_id: int) -> None:
         self._connection = connection
-        self._number = number
+        self._request_id = request_id
 
     async def drain_input(self) -> None:
-        """Wait until what the client has written by now is read."""
+        """Wait until all input that has arrived by now is handled."""
         await self._connection.drain_input()
 
     def served(self, pages: Sequence[bytes]) -> None:
         """Answer with all rows."""
-        self._connection.finish(self._number, rpc_wire.result_response(self._number, pages))
+        self._connection.finish(self._request_id, rpc_wire.result_response(self._request_id, pages))
 
     def rejected(self, retry_after_ms: float) -> None:
-        """Answer that a retry is harmless, and when to make it."""
-        self._connection.finish(self._number, rpc_wire.overloaded_response(self._number, retry_after_ms))
+        """Answer that a retry is harmless, and when to retry."""
+        self._connection.finish(
+            self._request_id, rpc_wire.overloaded_response(self._request_id, retry_after_ms)
+        )
 
     def failed(self, reason: str) -> None:
-        """Answer with an error that promises nothing."""
-        self._connection.finish(self._number, rpc_wire.internal_error_response(self._number, reason))
+        """Answer with an error that promises nothing about the request's effect."""
+        self._connection.finish(self._request_id, rpc_wire.internal_error_response(self._request_id, reason))
--- a/fordstair/net/clients/rpc_wire.py
+++ b/fordstair/net/clients/rpc_wire.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC as the platform's clients speak it: its names, mapped to the terms of the code."""
+"""The platform's MessagePack-RPC protocol: reads messages, encodes responses, and maps the wire's names."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 _REQUEST = 0
 _RESPONSE = 1
-_REQUEST_HEAD = 0x94  # an array of four: kind, id, method, parameters
-_ID_AT = 1  # where a message's items begin
+_REQUEST_FIRST_BYTE = 0x94  # an array of four: kind, id, method, parameters
+_KIND_OFFSET = 1
 _OVERLOADED = "Overloaded"
 _INTERNAL = "Internal"
 _INVALID = "Invalid"
@@ -31,91 +31,91 @@
 class RequestMessage:
     """A request."""
 
-    number: int
+    request_id: int
     method: str
     params: Any
 
 
 @dataclass(slots=True)
 class InvalidMessage:
-    """A request that can be answered, but not used."""
+    """A request that is invalid, but has an id under which it can be answered."""
 
-    number: int
+    request_id: int
 
 
 @dataclass(slots=True)
 class CancelMessage:
-    """The client no longer waits for a request's answer."""
+    """A notification that cancels a request: its client no longer waits for the response."""
 
-    number: int
+    request_id: int
 
 
 @dataclass(slots=True)
 class UnknownNotification:
-    """A notification that is not known here: it is ignored."""
+    """A notification with an unknown method; it is ignored."""
 
 
 Message: TypeAlias = RequestMessage | InvalidMessage | CancelMessage | UnknownNotification
 
 
 def read_message(value: Any) -> Message:
-    """Return the message in a MessagePack value; raise MalformedMessageError where it is none."""
-    number: int
+    """Return the message in a MessagePack value; raise MalformedMessageError if it is not a message."""
+    request_id: int
     method: memoryview
     match value:
-        case [0, int(number), memoryview() as method, params] if _is_id(number):
-            return RequestMessage(number, str(method, "utf-8", "replace"), params)
-        case [0, int(number), *_] if _is_id(number):
-            return InvalidMessage(number)
-        case [2, memoryview() as method, [int(number)]] if method == b"cancelRequest":
-            return CancelMessage(number)
+        case [0, int(request_id), memoryview() as method, params] if _is_id(request_id):
+            return RequestMessage(request_id, str(method, "utf-8", "replace"), params)
+        case [0, int(request_id), *_] if _is_id(request_id):
+            return InvalidMessage(request_id)
+        case [2, memoryview() as method, [int(request_id)]] if method == b"cancelRequest":
+            return CancelMessage(request_id)
         case [2, memoryview(), _]:
             return UnknownNotification()
     raise MalformedMessageError("neither a request nor a notification")
 
 
-def request_number(view: memoryview) -> int | None:
-    """Return the id of a request that is malformed further on; None where it cannot be read."""
-    if not view or view[0] != _REQUEST_HEAD:
+def read_request_id(view: memoryview) -> int | None:
+    """Return the id of a request that is malformed after its id; return None if the id cannot be read."""
+    if not view or view[0] != _REQUEST_FIRST_BYTE:
         return None
     try:
-        kind, at = read(view, _ID_AT)
-        number, _ = read(view, at)
+        kind, offset = read(view, _KIND_OFFSET)
+        request_id, _ = read(view, offset)
     except (IncompleteMessageError, MalformedMessageError):
         return None
-    return number if kind == _REQUEST and _is_id(number) else None
+    return request_id if kind == _REQUEST and _is_id(request_id) else None
 
 
-def result_response(number: int, pages: Sequence[bytes]) -> bytes:
+def result_response(request_id: int, pages: Sequence[bytes]) -> bytes:
     """Return the response with all rows."""
-    return _response(number, None, [b"".join(pages), {}])
+    return _response(request_id, None, [b"".join(pages), {}])
 
 
-def health_response(number: int, *, accepting: bool) -> bytes:
+def health_response(request_id: int, *, accepting: bool) -> bytes:
     """Return the response to a health check."""
-    return _response(number, None, [accepting, {}])
+    return _response(request_id, None, [accepting, {}])
 
 
-def overloaded_response(number: int, retry_after_ms: float) -> bytes:
-    """Return the response that says that a retry is harmless, and when to make it (0: at any time)."""
+def overloaded_response(request_id: int, retry_after_ms: float) -> bytes:
+    """Return the response that says that a retry is harmless, and when to retry (0: no advice)."""
     fields = {_RETRY_AFTER_MS: str(math.ceil(retry_after_ms))} if retry_after_ms > 0.0 else {}
-    return _response(number, (_OVERLOADED, fields), None)
+    return _response(request_id, (_OVERLOADED, fields), None)
 
 
-def internal_error_response(number: int, reason: str) -> bytes:
-    """Return the response that promises nothing about the effect."""
-    return _response(number, (_INTERNAL, {_REASON: reason}), None)
+def internal_error_response(request_id: int, reason: str) -> bytes:
+    """Return the response to a failed request; it promises nothing about the request's effect."""
+    return _response(request_id, (_INTERNAL, {_REASON: reason}), None)
 
 
-def invalid_response(number: int, reason: str) -> bytes:
-    """Return the response to a request that cannot be used."""
-    return _response(number, (_INVALID, {_REASON: reason}), None)
+def invalid_response(request_id: int, reason: str) -> bytes:
+    """Return the response to an invalid request."""
+    return _response(request_id, (_INVALID, {_REASON: reason}), None)
 
 
-def _response(number: int, error: Error | None, result: object) -> bytes:
-    encoded: bytes = msgpack.packb([_RESPONSE, number, error, result], use_bin_type=True)
+def _response(request_id: int, error: Error | None, result: object) -> bytes:
+    encoded: bytes = msgpack.packb([_RESPONSE, request_id, error, result], use_bin_type=True)
     return encoded
 
 
-def _is_id(number: object) -> bool:
-    return isinstance(number, int) and not isinstance(number, bool) and 0 <= number < _ID_LIMIT
+def _is_id(value: object) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < _ID_LIMIT
--- a/fordstair/program/coordinator_program.py
+++ b/fordstair/program/coordinator_program.py
@@ -15,7 +15,7 @@
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import Transport
 from fordstair.core.start_times import StartTimes
-from fordstair.net.clients.listener import Serve
+from fordstair.net.clients.listener import ClientHandler
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.net.clients.read_delay import ReadDelay, TimedStream
 from fordstair.net.clients.rpc_front import RpcFront
@@ -262,7 +262,7 @@
             )
         return scopes
 
-    def _serve_odata(self, odata: ODataFront) -> Serve:
+    def _serve_odata(self, odata: ODataFront) -> ClientHandler:
         """Return what serves an OData client, after its handshake where there are identities."""
 
         async def serve(stream: trio.SocketStream, accept_delay_ms: float) -> None:
--- a/fordstair/program/fronts.py
+++ b/fordstair/program/fronts.py
@@ -7,7 +7,7 @@
 import trio
 
 from fordstair.configuration.errors import ConfigError
-from fordstair.net.clients.listener import ClientListener, Serve, open_listeners
+from fordstair.net.clients.listener import ClientHandler, ClientListener, open_listeners
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
@@ -38,7 +38,7 @@
         self,
         front: str,
         address: tuple[str, int],
-        serve: Serve,
+        serve: ClientHandler,
         max_clients: Callable[[], int],
         scope: trio.CancelScope,
     ) -> None:
@@ -64,7 +64,7 @@
             raise ConfigError(f"{front}: {host}:{port}: {error}") from None
 
     def _client_listener(
-        self, opened: trio.SocketListener, serve: Serve, max_clients: Callable[[], int]
+        self, opened: trio.SocketListener, serve: ClientHandler, max_clients: Callable[[], int]
     ) -> ClientListener:
         listener = ClientListener(
             opened.socket, serve, max_clients, self._poll_watch, self._deadlines, self._counters
--- a/tests/test_connection_bursts.py
+++ b/tests/test_connection_bursts.py
@@ -12,7 +12,7 @@
 from trio.testing import wait_all_tasks_blocked
 
 from fordstair.lab.connection_burst import ODATA, RPC, play_burst
-from fordstair.net.clients.listener import SERVED_PER_TURN, ClientListener
+from fordstair.net.clients.listener import MAX_HANDLERS_STARTED_PER_TURN, ClientListener
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.net.clients.read_delay import ReadDelay, TimedStream
 from fordstair.runtime.clock import monotonic_now
@@ -110,15 +110,18 @@
 
 def test_all_who_wait_are_accepted_in_one_turn_and_served_a_few_in_each_in_their_order() -> None:
     # Guards against one accept in a turn, and against a flood that keeps the turn from who is served already.
-    clients = 3 * SERVED_PER_TURN
+    clients = 3 * MAX_HANDLERS_STARTED_PER_TURN
     burst = play_listener(clients, max_clients=100)
     assert burst.open[0] == clients
-    assert max(burst.turns.values()) == SERVED_PER_TURN
+    assert max(burst.turns.values()) == MAX_HANDLERS_STARTED_PER_TURN
     groups = [
-        {int(text) for text in burst.texts[at : at + SERVED_PER_TURN]}
-        for at in range(0, clients, SERVED_PER_TURN)
+        {int(text) for text in burst.texts[at : at + MAX_HANDLERS_STARTED_PER_TURN]}
+        for at in range(0, clients, MAX_HANDLERS_STARTED_PER_TURN)
+    ]
+    assert groups == [
+        set(range(at, at + MAX_HANDLERS_STARTED_PER_TURN))
+        for at in range(0, clients, MAX_HANDLERS_STARTED_PER_TURN)
     ]
-    assert groups == [set(range(at, at + SERVED_PER_TURN)) for at in range(0, clients, SERVED_PER_TURN)]
     assert set(burst.waits_ms) == {800.0}
 
 
@@ -174,8 +177,8 @@
             delay = ReadDelay(stream, PollWatch(), Deadlines(lambda: now_ms[0]), 100.0)
             peer.send(b"request")
             assert await TimedStream(stream, delay).receive_some() == b"request"
-            assert now_ms[0] - delay.read_ms == 700.0
-            assert delay.last_ms == 100.0
+            assert now_ms[0] - delay.last_read_ms == 700.0
+            assert delay.last_delay_ms == 100.0
             await stream.aclose()
 
     monkeypatch.setattr(trio.SocketStream, "receive_some", late)
--- a/tests/test_read_delay.py
+++ b/tests/test_read_delay.py
@@ -31,18 +31,18 @@
                 now[0] += 5_000.0  # it waits, and nothing comes
                 peer.send(b"first")
                 delay.note_readable()
-                assert delay.last_ms == 0.0
+                assert delay.last_delay_ms == 0.0
                 assert await stream.receive_some(100) == b"first"
                 delay.note_drained(now[0])
                 now[0] += gap_ms
             peer.send(b"second")
             delay.begin_wait()
             delay.note_readable()
-            assert delay.last_ms == (gap_ms if gap_ms > SHORT_GAP_MS else 0.0)
+            assert delay.last_delay_ms == (gap_ms if gap_ms > SHORT_GAP_MS else 0.0)
             now[0] += 30.0
             delay.begin_wait()  # the rest of what came is older still
             delay.note_readable()
-            assert delay.last_ms == (gap_ms + 30.0 if gap_ms > SHORT_GAP_MS else 30.0)
+            assert delay.last_delay_ms == (gap_ms + 30.0 if gap_ms > SHORT_GAP_MS else 30.0)
             await stream.aclose()
 
     trio.run(scene)
@@ -67,10 +67,10 @@
             peer.send(b"request")
             for number in range(7):
                 assert len(await timed.receive_some()) == 1
-                assert delay.last_ms == 30.0 * number
+                assert delay.last_delay_ms == 30.0 * number
             peer.send(b"n")
             await timed.receive_some()
-            assert delay.last_ms <= 30.0  # all had been read before
+            assert delay.last_delay_ms <= 30.0  # all had been read before
             await stream.aclose()
 
     monkeypatch.setattr(trio.SocketStream, "receive_some", one_byte)
--- a/tests/test_untrusted_input.py
+++ b/tests/test_untrusted_input.py
@@ -178,7 +178,7 @@
                 read_query(message.method, message.params, taken, 1_000)
         except (IncompleteMessageError, MalformedMessageError, InvalidRequestError):
             pass
-        rpc_wire.request_number(memoryview(encoded))
+        rpc_wire.read_request_id(memoryview(encoded))
 
 
 @many
