--- a/fordstair/net/clients/message_buffer.py
+++ b/fordstair/net/clients/message_buffer.py
@@ -1,4 +1,4 @@
-"""Cuts the bytes of a connection into MessagePack values."""
+"""Splits the input of a connection into MessagePack values."""
 
 from __future__ import annotations
 
@@ -9,47 +9,54 @@
 
 
 class MessageBuffer:
-    """What has come and is not handled yet; a value is at most ``max_message_bytes`` long."""
+    """Buffers the input that is not handled yet; a value is at most ``max_message_bytes`` long."""
 
     def __init__(self, max_message_bytes: int) -> None:
         self.max_message_bytes = max_message_bytes
         self._chunks: list[bytes] = []
         self._size = 0
-        self._needed_bytes = 1  # before a further value can be complete
+        # The buffer cannot hold a further complete value before it has reached this size:
+        self._needed_bytes = 1
         self._view = memoryview(b"")
-        self._at = 0
+        self._offset = 0
 
     def append(self, chunk: bytes) -> bool:
-        """Add what came; return whether it may complete a value: none is read again with every piece."""
+        """Add input; return whether a value may be complete now.
+
+        It saves the caller from parsing an incomplete value again with each chunk.
+        """
         self._chunks.append(chunk)
         self._size += len(chunk)
         return self._size >= self._needed_bytes
 
     def values(self) -> Iterator[Any]:
-        """Yield each complete value; raise MalformedMessageError, also for one that will be too large."""
+        """Yield each complete value; raise MalformedMessageError for a malformed or too large one.
+
+        An incomplete value is too large as soon as the part at hand shows that it will exceed the limit.
+        """
         self._view = memoryview(b"".join(self._chunks))
-        self._at = 0
+        self._offset = 0
         self._needed_bytes = 1
-        while self._at < len(self._view):
+        while self._offset < len(self._view):
             try:
-                value, end = read(self._view, self._at)
+                value, end = read(self._view, self._offset)
             except IncompleteMessageError as error:
-                self._needed_bytes = error.needed_bytes - self._at
-                if self._needed_bytes > self.max_message_bytes:  # rejected before it is buffered
+                self._needed_bytes = error.needed_bytes - self._offset
+                if self._needed_bytes > self.max_message_bytes:  # reject it before it is buffered
                     raise MalformedMessageError("the message is too large") from None
                 return
             yield value
-            self._at = end
+            self._offset = end
 
     @property
     def unhandled(self) -> memoryview:
-        """What follows the last value that was handled: one that is malformed, or incomplete."""
-        return self._view[self._at :]
+        """The input after the last handled value: an incomplete or malformed value, or nothing."""
+        return self._view[self._offset :]
 
     def discard_handled(self) -> None:
-        """Keep only what is not handled."""
+        """Drop the values that were handled."""
         rest = bytes(self.unhandled)
         self._chunks = [rest] if rest else []
         self._size = len(rest)
         self._view = memoryview(b"")
-        self._at = 0
+        self._offset = 0
--- a/fordstair/net/clients/messagepack.py
+++ b/fordstair/net/clients/messagepack.py
@@ -1,4 +1,4 @@
-"""A small MessagePack reader that yields slices of its input, bounded in size and depth."""
+"""A MessagePack reader that returns slices of its input, and limits the size and the depth of values."""
 
 from __future__ import annotations
 
@@ -7,137 +7,139 @@
 from typing import Any, TypeAlias
 
 MAX_DEPTH = 8
-MAX_ITEMS = 64  # of an array or a map
+# Limits the items of an array and the entries of a map.
+MAX_ITEMS = 64
 
-Value: TypeAlias = tuple[Any, int]  # a value, and where the next begins
+# A value, and the offset of the next one.
+Value: TypeAlias = tuple[Any, int]
 Reader: TypeAlias = Callable[[memoryview, int, int, int], Value]
 
 
 class MalformedMessageError(Exception):
-    """Bytes that are no MessagePack, or exceed a bound."""
+    """The bytes are not valid MessagePack, or exceed a limit."""
 
 
 class IncompleteMessageError(Exception):
-    """The value goes on past the bytes at hand; ``needed_bytes`` is the least total to try again with."""
+    """The value continues beyond the available bytes; another attempt needs at least ``needed_bytes``."""
 
     def __init__(self, needed_bytes: int) -> None:
         super().__init__(needed_bytes)
         self.needed_bytes = needed_bytes
 
 
-def read(view: memoryview, at: int = 0, depth: int = 0) -> Value:
-    """Read one value; return it and where the next begins.
+def read(view: memoryview, offset: int = 0, depth: int = 0) -> Value:
+    """Read one value; return it and the offset of the next one.
 
-    Strings and binaries are slices of the view, which live only as long as its buffer is wanted. Raise
-    MalformedMessageError or IncompleteMessageError.
+    Strings and binaries are slices of the view; a caller that needs them for longer than the view's buffer
+    must copy them. Raise MalformedMessageError or IncompleteMessageError.
     """
     if depth > MAX_DEPTH:
         raise MalformedMessageError("nested too deeply")
-    code = _take(view, at, 1)[0]
-    return _READERS[code](view, at + 1, code, depth)
+    first_byte = _take(view, offset, 1)[0]
+    return _READERS[first_byte](view, offset + 1, first_byte, depth)
 
 
-def _take(view: memoryview, at: int, size: int) -> memoryview:
-    if at + size > len(view):
-        raise IncompleteMessageError(at + size)
-    return view[at : at + size]
+def _take(view: memoryview, offset: int, size: int) -> memoryview:
+    if offset + size > len(view):
+        raise IncompleteMessageError(offset + size)
+    return view[offset : offset + size]
 
 
-def _length(view: memoryview, at: int, width: int) -> tuple[int, int]:
-    return int.from_bytes(_take(view, at, width), "big"), at + width
+def _length(view: memoryview, offset: int, width: int) -> tuple[int, int]:
+    return int.from_bytes(_take(view, offset, width), "big"), offset + width
 
 
-def _array(view: memoryview, at: int, count: int, depth: int) -> Value:
+def _array(view: memoryview, offset: int, count: int, depth: int) -> Value:
     if count > MAX_ITEMS:
         raise MalformedMessageError(f"an array of {count} items")
     items = []
     for _ in range(count):
-        item, at = read(view, at, depth + 1)
+        item, offset = read(view, offset, depth + 1)
         items.append(item)
-    return items, at
+    return items, offset
 
 
-def _map(view: memoryview, at: int, count: int, depth: int) -> Value:
+def _map(view: memoryview, offset: int, count: int, depth: int) -> Value:
     if count > MAX_ITEMS:
         raise MalformedMessageError(f"a map of {count} items")
     fields: dict[Any, Any] = {}
     for _ in range(count):
-        key, at = read(view, at, depth + 1)
-        value, at = read(view, at, depth + 1)
+        key, offset = read(view, offset, depth + 1)
+        value, offset = read(view, offset, depth + 1)
         try:
             fields[key] = value
         except (TypeError, ValueError) as error:
             raise MalformedMessageError(f"a map's key of type {type(key).__name__}") from error
-    return fields, at
+    return fields, offset
 
 
-def _positive_fixint(view: memoryview, at: int, code: int, depth: int) -> Value:
-    return code, at
+def _positive_fixint(view: memoryview, offset: int, first_byte: int, depth: int) -> Value:
+    return first_byte, offset
 
 
-def _negative_fixint(view: memoryview, at: int, code: int, depth: int) -> Value:
-    return code - 0x100, at
+def _negative_fixint(view: memoryview, offset: int, first_byte: int, depth: int) -> Value:
+    return first_byte - 0x100, offset
 
 
-def _fixmap(view: memoryview, at: int, code: int, depth: int) -> Value:
-    return _map(view, at, code & 0x0F, depth)
+def _fixmap(view: memoryview, offset: int, first_byte: int, depth: int) -> Value:
+    return _map(view, offset, first_byte & 0x0F, depth)
 
 
-def _fixarray(view: memoryview, at: int, code: int, depth: int) -> Value:
-    return _array(view, at, code & 0x0F, depth)
+def _fixarray(view: memoryview, offset: int, first_byte: int, depth: int) -> Value:
+    return _array(view, offset, first_byte & 0x0F, depth)
 
 
-def _fixstr(view: memoryview, at: int, code: int, depth: int) -> Value:
-    size = code & 0x1F
-    return _take(view, at, size), at + size
+def _fixstr(view: memoryview, offset: int, first_byte: int, depth: int) -> Value:
+    size = first_byte & 0x1F
+    return _take(view, offset, size), offset + size
 
 
-def _unknown(view: memoryview, at: int, code: int, depth: int) -> Value:
-    raise MalformedMessageError(f"byte {code:#x}")
+def _unknown(view: memoryview, offset: int, first_byte: int, depth: int) -> Value:
+    raise MalformedMessageError(f"byte {first_byte:#x}")
 
 
 def _constant(value: object) -> Reader:
-    return lambda view, at, code, depth: (value, at)
+    return lambda view, offset, first_byte, depth: (value, offset)
 
 
 def _integer(width: int, *, signed: bool) -> Reader:
-    def read_integer(view: memoryview, at: int, code: int, depth: int) -> Value:
-        return int.from_bytes(_take(view, at, width), "big", signed=signed), at + width
+    def read_integer(view: memoryview, offset: int, first_byte: int, depth: int) -> Value:
+        return int.from_bytes(_take(view, offset, width), "big", signed=signed), offset + width
 
     return read_integer
 
 
-def _float(form: struct.Struct) -> Reader:
-    def read_float(view: memoryview, at: int, code: int, depth: int) -> Value:
-        return form.unpack(_take(view, at, form.size))[0], at + form.size
+def _float(layout: struct.Struct) -> Reader:
+    def read_float(view: memoryview, offset: int, first_byte: int, depth: int) -> Value:
+        return layout.unpack(_take(view, offset, layout.size))[0], offset + layout.size
 
     return read_float
 
 
 def _counted(width: int, build: Callable[[memoryview, int, int, int], Value]) -> Reader:
-    def read_counted(view: memoryview, at: int, code: int, depth: int) -> Value:
-        count, at = _length(view, at, width)
-        return build(view, at, count, depth)
+    def read_counted(view: memoryview, offset: int, first_byte: int, depth: int) -> Value:
+        count, offset = _length(view, offset, width)
+        return build(view, offset, count, depth)
 
     return read_counted
 
 
-def _sized(width: int, head: int) -> Reader:
-    """Read a length of ``width`` bytes, skip ``head`` bytes (an extension's type), and take the rest."""
+def _sized(width: int, type_bytes: int) -> Reader:
+    """Return a reader of a length of ``width`` bytes, an extension type to skip, and the data."""
 
-    def read_sized(view: memoryview, at: int, code: int, depth: int) -> Value:
-        size, at = _length(view, at, width)
-        return _take(view, at + head, size), at + head + size
+    def read_sized(view: memoryview, offset: int, first_byte: int, depth: int) -> Value:
+        size, offset = _length(view, offset, width)
+        return _take(view, offset + type_bytes, size), offset + type_bytes + size
 
     return read_sized
 
 
 def _fixed_extension(size: int) -> Reader:
-    return lambda view, at, code, depth: (_take(view, at + 1, size), at + 1 + size)
+    return lambda view, offset, first_byte, depth: (_take(view, offset + 1, size), offset + 1 + size)
 
 
 def _readers() -> list[Reader]:
-    """Return the reader for each first byte, as the MessagePack specification lists the formats."""
+    """Return the readers by first byte, for the formats that the MessagePack specification lists."""
     readers: list[Reader] = [_unknown] * 256
     readers[0x00:0x80] = [_positive_fixint] * 0x80
     readers[0x80:0x90] = [_fixmap] * 0x10
@@ -149,18 +151,18 @@
     readers[0xC3] = _constant(True)
     readers[0xCA] = _float(struct.Struct(">f"))
     readers[0xCB] = _float(struct.Struct(">d"))
-    for power in range(4):
-        readers[0xCC + power] = _integer(1 << power, signed=False)
-        readers[0xD0 + power] = _integer(1 << power, signed=True)
-    for power in range(3):
-        readers[0xC4 + power] = _sized(1 << power, head=0)  # bin
-        readers[0xC7 + power] = _sized(1 << power, head=1)  # ext
-        readers[0xD9 + power] = _sized(1 << power, head=0)  # str
-    for power in range(5):
-        readers[0xD4 + power] = _fixed_extension(1 << power)
-    for power in range(2):
-        readers[0xDC + power] = _counted(2 << power, _array)
-        readers[0xDE + power] = _counted(2 << power, _map)
+    for exponent in range(4):
+        readers[0xCC + exponent] = _integer(1 << exponent, signed=False)
+        readers[0xD0 + exponent] = _integer(1 << exponent, signed=True)
+    for exponent in range(3):
+        readers[0xC4 + exponent] = _sized(1 << exponent, type_bytes=0)  # bin
+        readers[0xC7 + exponent] = _sized(1 << exponent, type_bytes=1)  # ext
+        readers[0xD9 + exponent] = _sized(1 << exponent, type_bytes=0)  # str
+    for exponent in range(5):
+        readers[0xD4 + exponent] = _fixed_extension(1 << exponent)
+    for exponent in range(2):
+        readers[0xDC + exponent] = _counted(2 << exponent, _array)
+        readers[0xDE + exponent] = _counted(2 << exponent, _map)
     return readers
 
 
--- a/fordstair/net/clients/odata_connection.py
+++ b/fordstair/net/clients/odata_connection.py
@@ -22,7 +22,7 @@
 
 
 class ODataConnection:
-    """Answers one request after the other."""
+    """Reads and answers the requests of one connection, one at a time."""
 
     def __init__(self, services: ODataServices, stream: trio.abc.Stream, read_delay: ReadDelay) -> None:
         self._stream = stream
@@ -30,7 +30,7 @@
         self._deadlines = services.coordinator.deadlines
         self._http = h11.Connection(h11.SERVER)
         self._read_delay = read_delay
-        self._has_requested = False  # it has sent a complete request
+        self._has_requested = False
         self._statements = StatementRunner(services.coordinator)
         self._router = ODataRouter(services, stream, self._statements)
 
@@ -47,7 +47,7 @@
         return self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
 
     async def _next_request(self) -> ODataRequest | None:
-        """Return the next request; None where the connection ends, or its client is too slow."""
+        """Return the next request; None if the connection ends or the request does not arrive in time."""
         try:
             if not self._http.trailing_data[0] and not await self._wait_for_request():
                 return None
@@ -61,7 +61,7 @@
         return None
 
     async def _wait_for_request(self) -> bool:
-        """Wait for a request to begin; return whether one has, or the connection has ended, in time."""
+        """Wait until a request begins or the connection ends; return False on a timeout."""
         timeout_ms = ODATA_IDLE_TIMEOUT_MS if self._has_requested else ODATA_REQUEST_TIMEOUT_MS
         with self._deadlines.limit_for(timeout_ms) as limit:
             self._http.receive_data(await self._read())
@@ -70,7 +70,7 @@
         return not limit.cancelled_caught
 
     async def _read_request(self) -> ODataRequest | None:
-        """Read a request to its end; None where the connection ends first, or the body is too large."""
+        """Read a whole request; return None if the connection ends first or the body is too large."""
         head: h11.Request | None = None
         body = bytearray()
         while True:
@@ -98,11 +98,11 @@
         self._http.receive_data(await self._read())
 
     async def _read(self) -> bytes:
-        """Read what comes next; its stream notes for how long it may have been here."""
+        """Read the next input; the stream records its read delay."""
         return bytes(await self._stream.receive_some(READ_BYTES))
 
     async def _answer(self, request: ODataRequest) -> None:
-        """Answer one request, while watching for its client to leave."""
+        """Answer one request, and stop if the client disconnects meanwhile."""
         self._statements.begin_request(self._read_delay.last_read_ms - self._read_delay.last_delay_ms)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_for_end)
@@ -112,7 +112,7 @@
             await self._send(response)
 
     async def _watch_for_end(self) -> None:
-        """Note when the client closes; what it sends early waits in h11 for its turn."""
+        """Watch for the client to disconnect; requests that it sends early are buffered in h11."""
         while True:
             try:
                 data = await self._read()
@@ -122,17 +122,17 @@
                 self._statements.disconnect()
                 return
             if len(self._http.trailing_data[0]) + len(data) > ODATA_MAX_BODY_BYTES:
-                await trio.sleep_forever()  # it may go on once it has read its answer
+                await trio.sleep_forever()  # the rest is read after this request has been answered
             self._http.receive_data(data)
 
     async def _send(self, response: Response, *, close: bool = False) -> None:
-        """Send a response; raise trio.BrokenResourceError where the client does not read it in time."""
+        """Send a response; raise trio.BrokenResourceError if the client does not read it in time."""
         encoded = self._encode(response, close=close or self._coordinator.draining)
         with self._deadlines.limit_for(ODATA_WRITE_TIMEOUT_MS) as limit:
             await self._stream.send_all(encoded)
         if limit.cancelled_caught:
             self._coordinator.counters.add("odata.write_stalled")
-            raise trio.BrokenResourceError("the client does not read")
+            raise trio.BrokenResourceError("the client did not read its response in time")
 
     def _encode(self, response: Response, *, close: bool) -> bytes:
         headers = [("OData-Version", "4.01"), *response.headers.items()]
--- a/fordstair/net/clients/odata_errors.py
+++ b/fordstair/net/clients/odata_errors.py
@@ -1,4 +1,4 @@
-"""Errors that the OData front answers with."""
+"""Errors that the OData front sends to clients."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ODataError(Exception):
-    """An error answer: HTTP status, OData code and message, with the headers that belong to it."""
+    """An error response: its HTTP status, OData error code, message and additional headers."""
 
     def __init__(
         self, status: int, code: str, message: str, headers: Mapping[str, str] | None = None
@@ -19,7 +19,7 @@
 
 
 class ClientDisconnectedError(ODataError):
-    """The client has left: nobody reads an answer, and nothing more is begun for it."""
+    """The client has disconnected: no response is sent, and no further statement is run for it."""
 
     def __init__(self) -> None:
         super().__init__(499, "ClientLeft", "the client has left")
--- a/fordstair/net/clients/odata_front.py
+++ b/fordstair/net/clients/odata_front.py
@@ -1,4 +1,4 @@
-"""The second front: OData 4.01 over HTTP, with the same classes, deadlines and single final answers."""
+"""The OData 4.01 front over HTTP, with the classes, deadlines and single final answers of the RPC front."""
 
 from __future__ import annotations
 
@@ -20,9 +20,13 @@
 
 
 class ODataFront:
-    """Serves HTTP connections; ``team_of`` returns the team of a peer's identity, None for one without."""
+    """Serves HTTP connections, at most ``max_clients`` at a time.
 
-    max_clients = 64  # until the configuration has been applied
+    ``team_of`` returns the team of a peer by its identity, or None for a peer without one.
+    """
+
+    # The default until the configuration has been applied:
+    max_clients = 64
 
     def __init__(
         self,
@@ -38,9 +42,10 @@
         self.connections = 0
 
     async def serve(self, stream: trio.abc.Stream, read_delay: ReadDelay) -> None:
-        """Serve one connection; a fault in it ends no other.
+        """Serve one connection until it ends; an exception is logged and does not affect other connections.
 
-        ``read_delay`` is kept by the stream, or by the one below it.
+        Without capacity the connection is closed. ``read_delay`` is updated by the stream, or by the stream
+        below it.
         """
         if self.connections >= self.max_clients:
             self.coordinator.counters.add("odata.rejected")
--- a/fordstair/net/clients/odata_loads.py
+++ b/fordstair/net/clients/odata_loads.py
@@ -1,4 +1,4 @@
-"""Loads: POST of one entity, run at most once where the client names the request."""
+"""Loads: a POST of one entity, which runs at most once if it carries a repeatability id."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
 _REQUEST_ID = "repeatability-request-id"
 _REPEATABILITY_ACCEPTED = {"Repeatability-Result": "accepted"}
-_REJECTED_STATUS = 503  # alone proves that nothing ran
+# The only status that proves that the load did not run.
+_REJECTED_STATUS = 503
 
 
-class Loads:
-    """Answers POST requests of one connection for entities."""
+class LoadHandler:
+    """Answers one connection's POST requests for entities."""
 
     def __init__(
         self,
@@ -35,7 +36,7 @@
         self._statements = statements
 
     async def load(self, path: str, team: str, headers: Mapping[str, str], body: bytes) -> Response:
-        """Run one load; raise ODataError."""
+        """Run one load; raise ODataError if it is invalid, rejected or failed."""
         entity_set, entity = self._read_entity(path, body)
         preferences = Preferences(headers)
         text = insert_statement(entity_set, entity)
@@ -44,12 +45,12 @@
         if request_id:
             return await self._load_once(statement, entity, preferences, request_id)
         await self._statements.run(statement)
-        return self._loaded(entity_set, entity, preferences, {})
+        return self._created_response(entity_set, entity, preferences, {})
 
     async def _load_once(
         self, statement: Statement, entity: dict[str, Any], preferences: Preferences, request_id: str
     ) -> Response:
-        """Run a load under its repeatability id, however often it is sent; return the first response."""
+        """Run a load at most once under its repeatability id; return the first run's response to a repeat."""
         ticket = await self._idempotency_store.begin(statement.team, request_id)
         if isinstance(ticket, Response):
             return ticket
@@ -59,7 +60,7 @@
             never_ran = error.status == _REJECTED_STATUS
             self._idempotency_store.end(ticket, None if never_ran else error_response(error))
             raise
-        response = self._loaded(statement.entity_set, entity, preferences, _REPEATABILITY_ACCEPTED)
+        response = self._created_response(statement.entity_set, entity, preferences, _REPEATABILITY_ACCEPTED)
         self._idempotency_store.end(ticket, response)
         return response
 
@@ -72,7 +73,7 @@
         except ValueError:
             raise ODataError(400, "BadRequest", "the body is no JSON") from None
 
-    def _loaded(
+    def _created_response(
         self,
         entity_set: EntitySet,
         entity: dict[str, Any],
--- a/fordstair/net/clients/odata_messages.py
+++ b/fordstair/net/clients/odata_messages.py
@@ -1,4 +1,4 @@
-"""Requests to the OData front and its responses, in JSON."""
+"""The OData front's requests and responses, and their JSON encoding."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """One HTTP response; its fields' names are those of the stored responses of repeatable requests."""
+    """One HTTP response; responses to repeatable requests are stored with these field names."""
 
     status: int
     body: bytes = b""
@@ -32,15 +32,15 @@
 
 
 def encode_json(value: Any) -> bytes:
-    """Write a value as JSON."""
+    """Encode a value as JSON."""
     text = ujson.dumps(value, ensure_ascii=False, escape_forward_slashes=False)
     return text.encode("utf-8", "replace")
 
 
 def decode_json(body: bytes) -> Any:
-    """Read JSON; raise ValueError for what is none, or could not be written again.
+    """Decode JSON; raise ValueError if it is invalid or could not be encoded again.
 
-    The latter are texts with a lone surrogate and numbers that are not finite.
+    Texts with a lone surrogate and numbers that are not finite could not be encoded again.
     """
     value = ujson.loads(body)
     try:
--- a/fordstair/net/clients/odata_metadata.py
+++ b/fordstair/net/clients/odata_metadata.py
@@ -1,4 +1,4 @@
-"""The documents that describe the service: the service document, and the model as CSDL XML."""
+"""The service document, and the metadata document in CSDL XML."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 def service_document(root: str, sets: Mapping[str, EntitySet]) -> Response:
-    """Return the list of entity sets."""
+    """Return the service document, which lists the entity sets."""
     listed = [{"name": name, "kind": "EntitySet", "url": name} for name in sets]
     return Response(200, encode_json({"@odata.context": f"{root}/$metadata", "value": listed}))
 
 
 def metadata_document(sets: Mapping[str, EntitySet]) -> Response:
-    """Return the model."""
-    types = "".join(_entity_type(each) for each in sets.values())
-    container = "".join(_container_entry(each) for each in sets.values())
+    """Return the metadata document, which describes the types of the entity sets."""
+    types = "".join(_entity_type(entity_set) for entity_set in sets.values())
+    container = "".join(_container_entry(entity_set) for entity_set in sets.values())
     text = (
         '<?xml version="1.0" encoding="UTF-8"?>'
         '<edmx:Edmx xmlns:edmx="http://docs.oasis-open.org/odata/ns/edmx" Version="4.01">'
--- a/fordstair/net/clients/odata_reads.py
+++ b/fordstair/net/clients/odata_reads.py
@@ -1,4 +1,4 @@
-"""Reads: single entities, and collections page by page."""
+"""Reads of single entities, and of collections page by page."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from fordstair.net.clients.odata_statements import Statement, StatementRunner
 
 
-class Reads:
-    """Answers GET requests of one connection for entities."""
+class ReadHandler:
+    """Answers one connection's GET requests for entities."""
 
     def __init__(self, operator: Operator, results: StoredResults, statements: StatementRunner) -> None:
         self._operator = operator
@@ -26,13 +26,13 @@
     async def read(
         self, path: str, options: Mapping[str, str], team: str, preferences: Preferences
     ) -> Response:
-        """Run a read; a collection's response is its first page. Raise ODataError."""
+        """Run a read; return an entity, or the first page of a collection. Raise ODataError."""
         query = parse_read(path, options, self._operator.entity_sets)
         statement = Statement(query.statement, query.class_name, query.entity_set, team, preferences.wait_ms)
         pages = await self._statements.run(statement)
         rows = [row for row in b"".join(pages).split(b"\n") if row]
         if query.single:
-            return self._entity(query, rows)
+            return self._entity_response(query, rows)
         return self._first_page(query, rows, team, preferences)
 
     def next_page(self, path: str, skip_token: str, team: str) -> Response:
@@ -40,9 +40,9 @@
         position = self._results.page(skip_token, team)
         if position.result.entity_set is not read_resource(path, self._operator.entity_sets).entity_set:
             raise ODataError(400, "BadRequest", "this token belongs to another set")
-        return self._page(position)
+        return self._page_response(position)
 
-    def _entity(self, query: ReadQuery, rows: list[bytes]) -> Response:
+    def _entity_response(self, query: ReadQuery, rows: list[bytes]) -> Response:
         if not rows:
             raise ODataError(404, "NotFound", "no such entity")
         context = f"{self._operator.root}/$metadata#{query.entity_set.name}/$entity"
@@ -56,13 +56,13 @@
         if preferences.max_page_rows:
             page_rows = min(page_rows, preferences.max_page_rows)
         result = Result(team, rows, query.entity_set, query.select, page_rows)
-        name = self._results.store(result) if len(rows) > page_rows else ""
-        response = self._page(PagePosition(result, 0, name), count=query.count)
+        result_id = self._results.store(result) if len(rows) > page_rows else ""
+        response = self._page_response(PagePosition(result, 0, result_id), count=query.count)
         if preferences.max_page_rows is not None:
             response.headers["Preference-Applied"] = f"odata.maxpagesize={page_rows}"
         return response
 
-    def _page(self, position: PagePosition, *, count: bool = False) -> Response:
+    def _page_response(self, position: PagePosition, *, count: bool = False) -> Response:
         result = position.result
         entity_set = result.entity_set
         root = self._operator.root
@@ -77,6 +77,6 @@
 
 
 def row_to_entity(row: bytes, entity_set: EntitySet, select: tuple[str, ...]) -> dict[str, str]:
-    """Return the selected columns of a row of text."""
+    """Return the selected columns of a row, in which every column ends with a tab."""
     cells = row.decode("utf-8", "replace").split("\t")
     return {name: cell for name, cell in zip(entity_set.columns, cells, strict=False) if name in select}
--- a/fordstair/net/clients/odata_results.py
+++ b/fordstair/net/clients/odata_results.py
@@ -1,4 +1,4 @@
-"""Results that are fetched page by page: stored until the last page, within bounds, and for a while."""
+"""Stores the results that clients fetch page by page, within limits on number, memory and time."""
 
 from __future__ import annotations
 
@@ -12,44 +12,59 @@
 from fordstair.net.decimal_text import decimal_number
 from fordstair.runtime.deadlines import Deadlines
 
-MAX_STORED_BYTES = 32 * 1024 * 1024  # of all results together, within the limit on memory
-ROW_OVERHEAD_BYTES = 64  # what a row takes beyond its text
+# Limits the memory of all stored results together, within the process's limit on memory.
+MAX_STORED_BYTES = 32 * 1024 * 1024
+# The memory that a row takes beyond its text.
+ROW_OVERHEAD_BYTES = 64
 _TOKEN_BYTES = 16
 
 
 @dataclass(slots=True)
 class Result:
-    """Rows that are still to be fetched, page by page, by the team that requested them."""
+    """The rows of one read.
+
+    Attributes:
+        team: the team that requested the rows, and the only one that may fetch them.
+        rows: each row as text, in which every column ends with a tab.
+        entity_set: the set that was read.
+        select: the columns to return.
+        page_rows: the number of rows of a page.
+    """
 
     team: str
-    rows: list[bytes]  # text: columns end with a tab
+    rows: list[bytes]
     entity_set: EntitySet
-    select: tuple[str, ...]  # columns to return
+    select: tuple[str, ...]
     page_rows: int
 
     @property
     def size_bytes(self) -> int:
-        """The memory that its rows take."""
+        """The memory that the rows take."""
         return sum(map(len, self.rows)) + ROW_OVERHEAD_BYTES * len(self.rows)
 
 
 @dataclass(slots=True, frozen=True)
 class PagePosition:
-    """Where a result goes on."""
+    """A page of a result.
+
+    Attributes:
+        start: the index of the page's first row.
+        result_id: the id of the stored result; empty for a result that is not stored.
+    """
 
     result: Result
-    start: int  # index of the page's first row
-    result_name: str  # empty for a result that is not stored
+    start: int
+    result_id: str
 
     @property
     def next_token(self) -> str:
         """The skip token of the page after this one; empty after the last."""
         end = self.start + self.result.page_rows
-        return f"{self.result_name}-{end}" if end < len(self.result.rows) else ""
+        return f"{self.result_id}-{end}" if end < len(self.result.rows) else ""
 
 
 class StoredResults:
-    """Paged results: bounded in number and memory, and dropped after ``retention_ms``."""
+    """The stored results: limited in number and memory, and dropped after ``retention_ms``."""
 
     def __init__(self, max_results: int, retention_ms: float, deadlines: Deadlines) -> None:
         self._max_results = max_results
@@ -61,22 +76,25 @@
         return len(self._results)
 
     def store(self, result: Result) -> str:
-        """Store a result, and evict the oldest over the bounds; return its name."""
-        name = secrets.token_hex(_TOKEN_BYTES)
-        self._results[name] = result
-        stored_bytes = sum(each.size_bytes for each in self._results.values())
+        """Store a result and return its id; evict the oldest results that exceed the limits.
+
+        A single result is kept even if it exceeds the limit on memory.
+        """
+        result_id = secrets.token_hex(_TOKEN_BYTES)
+        self._results[result_id] = result
+        stored_bytes = sum(stored.size_bytes for stored in self._results.values())
         while len(self._results) > self._max_results or (
             stored_bytes > MAX_STORED_BYTES and len(self._results) > 1
         ):
             stored_bytes -= self._results.popitem(last=False)[1].size_bytes
-        self._deadlines.after(self._retention_ms, partial(self._results.pop, name, None))
-        return name
+        self._deadlines.after(self._retention_ms, partial(self._results.pop, result_id, None))
+        return result_id
 
     def page(self, token: str, team: str) -> PagePosition:
-        """Return the page that a skip token names; raise ODataError where its result is no longer stored."""
-        name, _, start = token.partition("-")
+        """Return the page of a skip token; raise ODataError if the team has no such stored page."""
+        result_id, _, start = token.partition("-")
         start_row = decimal_number(start)
-        result = self._results.get(name)
+        result = self._results.get(result_id)
         if result is None or result.team != team or start_row is None or start_row >= len(result.rows):
             raise ODataError(410, "ResultGone", "this result is no longer kept; ask anew")
-        return PagePosition(result, start_row, name)
+        return PagePosition(result, start_row, result_id)
--- a/fordstair/net/clients/odata_router.py
+++ b/fordstair/net/clients/odata_router.py
@@ -1,4 +1,4 @@
-"""Routes OData requests by method and path to what answers them."""
+"""Routes OData requests to their handlers by method and path."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 import trio
 
-from fordstair.net.clients.odata_batch import Batches
+from fordstair.net.clients.odata_batch import BatchRunner
 from fordstair.net.clients.odata_errors import ODataError
-from fordstair.net.clients.odata_loads import Loads
+from fordstair.net.clients.odata_loads import LoadHandler
 from fordstair.net.clients.odata_messages import ODataRequest, Response, error_response
 from fordstair.net.clients.odata_metadata import metadata_document, service_document
 from fordstair.net.clients.odata_preferences import Preferences
-from fordstair.net.clients.odata_reads import Reads
+from fordstair.net.clients.odata_reads import ReadHandler
 from fordstair.net.clients.odata_services import ODataServices
 from fordstair.net.clients.odata_statements import StatementRunner
 
@@ -31,15 +31,15 @@
         self._operator = services.operator
         self._tenants = services.coordinator.tenants
         self._team_header = services.operator.team_header.lower()
-        self._team_of_peer = partial(services.team_of, stream)  # returns None for one without an identity
-        self._reads = Reads(services.operator, services.results, statements)
-        self._loads = Loads(
+        self._team_of_peer = partial(services.team_of, stream)
+        self._reads = ReadHandler(services.operator, services.results, statements)
+        self._loads = LoadHandler(
             services.operator.root, services.operator.entity_sets, services.idempotency_store, statements
         )
-        self._batches = Batches(("prefer", self._team_header), self.respond, statements)
+        self._batches = BatchRunner(("prefer", self._team_header), self.respond, statements)
 
     async def respond(self, request: ODataRequest) -> Response:
-        """Answer one request, or one part of a batch; every fault of its own becomes an error response."""
+        """Answer one request, or one part of a batch; an invalid or failed one gets an error response."""
         try:
             return await self._route(request)
         except ODataError as error:
@@ -73,7 +73,7 @@
         return await self._reads.read(path, options, team, Preferences(request.headers))
 
     def _path_below_root(self, path: str, *, in_batch: bool) -> str:
-        """Return a path relative to the service's root; parts of a batch may name it so."""
+        """Return the path relative to the service's root; a part of a batch may give it in that form."""
         root = self._operator.root
         if path == root or path.startswith(root + "/"):
             return path[len(root) :].strip("/")
@@ -82,7 +82,7 @@
         raise ODataError(404, "NotFound", "no such resource")
 
     def _team(self, headers: Mapping[str, str]) -> str:
-        """Return the team: by the peer's identity where there is one, else as the operator has set."""
+        """Return the team of the peer's identity, else that of the team header or the operator's default."""
         team = self._team_of_peer()
         if team is None:
             team = headers.get(self._team_header, self._operator.team)
--- a/fordstair/net/clients/odata_services.py
+++ b/fordstair/net/clients/odata_services.py
@@ -1,4 +1,4 @@
-"""What the OData front shares with its connections and their routers."""
+"""The interface of the OData front to its connections and their routers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ODataServices(Protocol):
-    """One front, as its connections see it."""
+    """The parts of a front that its connections use."""
 
     coordinator: Coordinator
     operator: Operator
@@ -23,4 +23,4 @@
 
     @property
     def team_of(self) -> Callable[[trio.abc.Stream], str | None]:
-        """Returns the team of a peer by its identity, None for one without."""
+        """A function that returns the team of a peer by its identity, or None for a peer without one."""
--- a/fordstair/net/clients/read_delay.py
+++ b/fordstair/net/clients/read_delay.py
@@ -79,7 +79,7 @@
         self._unwatched_since_ms = now_ms - self.last_delay_ms
 
     def note_read(self, size: int) -> bool:
-        """Record a read of ``size`` bytes; return whether it returned all the input of the wait's end."""
+        """Record a read of ``size`` bytes; return whether it took all input there was when the wait ended."""
         drained = size >= self._unread_bytes_at_wait_end
         if drained:
             self.note_drained(self.last_read_ms)
--- a/fordstair/net/clients/response_writer.py
+++ b/fordstair/net/clients/response_writer.py
@@ -1,4 +1,4 @@
-"""Sends a connection's responses in the order in which they are queued."""
+"""Sends the responses of one connection in the order in which they are queued."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ResponseWriter:
-    """What is still to be sent on one connection."""
+    """The queue of responses that are still to be sent on one connection."""
 
     def __init__(self, stream: trio.abc.SendStream, deadlines: Deadlines, write_timeout_ms: float) -> None:
         self._stream = stream
@@ -21,25 +21,29 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """What is queued and not being sent yet."""
+        """The number of bytes that are queued and not being sent yet."""
         return len(self._unsent)
 
     @property
     def flushed(self) -> bool:
-        """Whether every response has left."""
+        """Whether every response has been sent."""
         return not (self._unsent or self._sending)
 
     def queue(self, data: bytes) -> None:
-        """Queue a response; it is sent at once."""
+        """Queue a response, and wake the task that sends."""
         self._unsent += data
         self._changed.set()
 
     def wake(self) -> None:
-        """Have ``wait_for_change`` return, though nothing is queued."""
+        """Wake the task in ``wait_for_change`` without queueing a response."""
         self._changed.set()
 
     async def flush(self) -> int:
-        """Send all that is queued; return how many bytes could not leave in time, 0 where all did."""
+        """Send all queued responses; return 0, or the size of the batch that timed out.
+
+        Everything that is queued when a send starts is one batch, with one timeout. The stream cannot be used
+        after a timeout or a cancellation, since part of a batch may have been sent.
+        """
         while self._unsent:
             data = self._unsent
             self._unsent = bytearray()
@@ -53,11 +57,11 @@
         return 0
 
     async def wait_for_change(self) -> None:
-        """Wait until something is queued, or ``wake`` is called."""
+        """Wait until a response is queued or ``wake`` is called."""
         self._changed = trio.Event()
         await self._changed.wait()
 
     async def wait_for_flush(self) -> None:
-        """Wait until ``flush`` next returns with all sent."""
+        """Wait until ``flush`` next completes."""
         self._flushed = trio.Event()
         await self._flushed.wait()
--- a/fordstair/net/clients/rpc_front.py
+++ b/fordstair/net/clients/rpc_front.py
@@ -26,7 +26,6 @@
     """A connection that was idle when the shed order was built.
 
     Attributes:
-        connection: the connection.
         rank: its rank at that time.
         last_activity_ms: its last activity at that time; it may be shed only if there was none since.
     """
--- a/fordstair/net/clients/rpc_query.py
+++ b/fordstair/net/clients/rpc_query.py
@@ -1,4 +1,4 @@
-"""Reads the requests of the platform's front: fields and a statement become a ``Query``."""
+"""Turns the requests of the platform's front, with their fields and statement, into ``Query`` objects."""
 
 from __future__ import annotations
 
@@ -17,17 +17,18 @@
 _MEMORY_MB = b"need_mb"
 _IDEMPOTENCY_KEY = b"unique"
 _ORDERING_KEY = b"item"
-_PARAMETERS = 2  # a map of fields, and the statement
+# The parameters are a map of fields, and the statement.
+_PARAMETER_COUNT = 2
 
-# float() takes more than engines do: signs, exponents, nan, underscores.
-_NUMBER = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?", re.ASCII)
-_TRANSACTION_ID_FORM = re.compile(r"[0-9a-fA-F]{16}", re.ASCII)
-# What an HTTP header carries without a change: it goes on to the engine byte for byte.
-_KEY_FORM = re.compile(r"[!-~](?:[ -~]{0,254}[!-~])?", re.ASCII)
+# float() accepts more than engines do: signs, exponents, nan, underscores.
+_NUMBER_PATTERN = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?", re.ASCII)
+_TRANSACTION_ID_PATTERN = re.compile(r"[0-9a-fA-F]{16}", re.ASCII)
+# A key is sent to the engine byte for byte, so it may hold only what an HTTP header carries unchanged.
+_KEY_PATTERN = re.compile(r"[!-~](?:[ -~]{0,254}[!-~])?", re.ASCII)
 
 
 class InvalidRequestError(Exception):
-    """A request that cannot be used; the text, which its client gets, says why."""
+    """The request is invalid; the message is sent to its client."""
 
 
 def read_query(
@@ -39,17 +40,17 @@
     *,
     from_new_client: bool = False,
 ) -> Query:
-    """Read a request's fields and statement; raise InvalidRequestError, naming what cannot be used."""
+    """Read a request's fields and statement; raise InvalidRequestError that names the invalid part."""
     if method not in coordinator.classes:
         raise InvalidRequestError(f"unknown class {method[:40]!r}")
-    if not isinstance(params, list) or len(params) != _PARAMETERS or not isinstance(params[0], dict):
+    if not isinstance(params, list) or len(params) != _PARAMETER_COUNT or not isinstance(params[0], dict):
         raise InvalidRequestError("params must be a map and a body")
     fields, body = params
     if not isinstance(body, memoryview) or len(body) > max_statement_bytes:
         raise InvalidRequestError(f"the body must be at most {max_statement_bytes} bytes")
     transaction_id = _read_transaction_id(fields, coordinator)
     tenant = _read_tenant(fields, coordinator)
-    statement = bytes(body)  # the copy outlives the read buffer
+    statement = bytes(body)  # a copy, since the body is a slice of the read buffer
     return Query(
         transaction_id,
         method,
@@ -69,15 +70,19 @@
 
 def _read_transaction_id(fields: dict[Any, Any], coordinator: Coordinator) -> str:
     transaction_id = _text(fields, _TRANSACTION_ID)
-    if not _TRANSACTION_ID_FORM.fullmatch(transaction_id):
+    if not _TRANSACTION_ID_PATTERN.fullmatch(transaction_id):
         raise InvalidRequestError("txn must be 16 hex digits")
-    if coordinator.is_in_progress(transaction_id):  # an engine could not tell the two queries apart
+    # An engine could not tell two queries with the same id apart.
+    if coordinator.is_in_progress(transaction_id):
         raise InvalidRequestError("a request with this txn is open")
     return transaction_id
 
 
 def _read_idempotency_key(fields: dict[Any, Any], class_name: str, coordinator: Coordinator) -> str:
-    """Return the key of a class with keys, whose engines would run a repeat without; else an empty one."""
+    """Return the idempotency key; an empty one for a class without keys.
+
+    For a class with keys it is required: an engine would run a repeated query without a key again.
+    """
     spec = coordinator.settings.classes[coordinator.classes[class_name]]
     if spec.idempotency is not Idempotency.WITH_KEY:
         return ""
@@ -86,13 +91,13 @@
 
 def _read_key(fields: dict[Any, Any], name: bytes) -> str:
     key = _text(fields, name)
-    if not _KEY_FORM.fullmatch(key):
+    if not _KEY_PATTERN.fullmatch(key):
         raise InvalidRequestError(f"{name.decode()} must be 1 to 256 printable characters")
     return key
 
 
 def _read_tenant(fields: dict[Any, Any], coordinator: Coordinator) -> int:
-    """Return the tenant's index; at a site without teams the field says nothing."""
+    """Return the tenant's index; without configured teams the field is ignored."""
     team = _text(fields, _TEAM) if coordinator.tenants else ""
     tenant = coordinator.tenant_index(team)
     if tenant is None:
@@ -114,6 +119,6 @@
     if default is not None and name not in fields:
         return default
     text = _text(fields, name)
-    if not _NUMBER.fullmatch(text):
+    if not _NUMBER_PATTERN.fullmatch(text):
         raise InvalidRequestError(f"{name.decode()} is no number in range")
     return float(text)
