--- a/fordstair/net/clients/listener.py
+++ b/fordstair/net/clients/listener.py
@@ -96,7 +96,7 @@
         """Accept clients until cancelled, then close the socket.
 
         The handlers run in the nursery ``clients`` and are not cancelled along with this call. Clients that
-        were accepted before the cancellation are served too. Raise OSError where accept fails for good.
+        were accepted before the cancellation are served too. Raise OSError if accept fails for good.
         """
         backoff = Backoff()
         with self._sock:
--- a/fordstair/net/clients/odata_filter.py
+++ b/fordstair/net/clients/odata_filter.py
@@ -42,7 +42,7 @@
         return str(node.name)
 
     def visit_String(self, node: ast.String) -> str:  # noqa: N802 - the library's name
-        """Return an SQL literal. A lone wildcard in the text would change what LIKE matches."""
+        """Return a text as an SQL literal; a lone wildcard in it would change what LIKE matches."""
         return quote_text(node.val)
 
     def visit_Call(self, node: ast.Call) -> str:  # noqa: N802 - the library's name
--- a/fordstair/net/clients/poll_watch.py
+++ b/fordstair/net/clients/poll_watch.py
@@ -17,7 +17,7 @@
 class PollWatch(trio.abc.Instrument):
     """Records when the event loop last polled for I/O.
 
-    Its estimates need ``run`` to run; without it they assume no delay.
+    Its estimates are valid only while ``run`` is running; otherwise they assume no delay.
     """
 
     def __init__(self) -> None:
--- a/fordstair/net/clients/rpc_connection.py
+++ b/fordstair/net/clients/rpc_connection.py
@@ -252,7 +252,7 @@
         await self.deadlines.sleep(min(client_limits.RPC_MAX_INVALID_MESSAGE_PAUSE_MS, pause_ms))
 
     def _update_message_timeout(self, *, handled: bool, in_message: bool) -> None:
-        """Time each message separately: stop the timer for the handled ones, start one for a begun one."""
+        """Time each message separately: stop the timeout of a handled one, start it for an incomplete one."""
         if handled and self.has_requested:
             self._stop_message_timeout()
         if in_message and (handled or not self._message_began_ms):
