--- a/fordstair/net/engines/call.py
+++ b/fordstair/net/engines/call.py
@@ -1,4 +1,4 @@
-"""One attempt over HTTP, whatever the engine's protocol: started once, then polled until it ends."""
+"""One attempt over HTTP, independent of the engine's protocol: started once, then polled until it ends."""
 
 from __future__ import annotations
 
@@ -25,14 +25,18 @@
 from fordstair.net.engines.pool import ConnectionPool
 from fordstair.runtime.deadlines import Deadlines
 
-# An engine answers a poll within 250 ms, and must be polled every 2 s: a silent exchange is given up early
-# enough for another on a fresh connection.
+# An engine answers a poll within 250 ms, and must be polled every 2 s: an exchange without a response times
+# out early enough for another on a fresh connection.
 RESPONSE_TIMEOUT_MS = 800.0
-CANCELLED_POLL_TIMEOUT_MS = 300.0  # for the response to a poll that nobody waits for any more
-MAX_BROKEN_RESPONSES = 6  # in a row, before the query counts as lost with its engine
-OVERTAKE_MARGIN_MS = 20.0  # a request on another connection must not overtake the POST
-SIDE_REQUEST_TIMEOUT_MS = 600.0
-CONNECT_RETRY_MS = 50.0  # a connect that fails at once must not spin
+# Bounds the wait for the response to a cancelled poll, after which its connection can be reused.
+CANCELLED_POLL_TIMEOUT_MS = 300.0
+# After this many in a row, the query counts as lost together with its engine.
+MAX_CONSECUTIVE_BROKEN_RESPONSES = 6
+# Delays a request on another connection, so that it does not overtake the POST.
+OVERTAKE_MARGIN_MS = 20.0
+CONTROL_REQUEST_TIMEOUT_MS = 600.0
+# Prevents a busy loop when connects fail immediately.
+CONNECT_RETRY_DELAY_MS = 50.0
 
 ResultT = TypeVar("ResultT")
 
@@ -48,12 +52,12 @@
         self.load_report_fields = load_report_fields
 
     def forget(self, engine: Engine) -> None:
-        """Close idle connections to an engine."""
+        """Close the connections to an engine; those in use are closed once their calls end."""
         self.pool.evict(engine.address)
 
 
 class HttpCall(ABC):
-    """One attempt; the protocol says what is written and how responses read."""
+    """One attempt; a subclass builds the requests and parses the responses of its protocol."""
 
     poll_headers: ClassVar[Headers] = ()
 
@@ -64,7 +68,8 @@
         self.attempt_request = attempt_request
         self.address = attempt_request.engine.address
         self.delivery = Delivery()
-        self._awaiting_response: PooledConnection | None = None  # where a cancelled poll's response will come
+        # The connection on which the response to a cancelled poll is still outstanding.
+        self._cancelled_poll_connection: PooledConnection | None = None
 
     @abstractmethod
     def start_request(self, limit_ms: int) -> HttpRequest:
@@ -72,28 +77,29 @@
 
     @abstractmethod
     def read_progress(self, response: HttpResponse) -> QueryProgress:
-        """Read the response to the start or to a poll; raise what ``end`` returns when the query has failed.
+        """Parse the response to the start request or to a poll.
 
-        What cannot be the response to this request raises ProtocolError.
+        Raise the error that ``ended_error`` returns if the query has failed, and ProtocolError if this cannot
+        be the response to the request.
         """
 
     @property
     @abstractmethod
     def path(self) -> str:
-        """Where the query is polled and deleted; empty while that is not known."""
+        """The path at which the query is polled and deleted; empty until it is known."""
 
     @property
     def poll_path(self) -> str:
-        """Where its progress is."""
+        """The path that is polled for the query's progress."""
         return self.path
 
     async def start(self) -> QueryProgress:
-        """POST the query, once; where no response follows, poll. Raise AttemptFailedError."""
+        """POST the query, once; if no response follows, poll. Raise AttemptFailedError."""
         until_ms = self.deadlines.clock() + self.attempt_request.timeout_ms
         connection = await self._connect()
         failure = "silence"
         try:
-            # While the connection came up, the engine may have begun to drain, or been replaced.
+            # The engine may have begun to drain, or been replaced, during the connect.
             if not await self.attempt_request.may_send():
                 raise self.ended_error(Status.NOT_STARTED, "the engine takes nothing new")
             request = self.start_request(max(1, math.ceil(until_ms - self.deadlines.clock())))
@@ -105,23 +111,23 @@
         except ExchangeError as error:
             failure = str(error)
         finally:
-            self._note_sent(connection)
-            # An exchange that was cancelled closes its connection at once: a machine that was cut off and
-            # comes back would read the POST from it, and run the query beside the next attempt.
+            self._record_sent(connection)
+            # The connection of a cancelled exchange is closed at once. Otherwise a host that was cut off
+            # could read the POST from it later, and run the query in parallel with the next attempt.
             self.pool.release(connection)
         return await self._recover(failure)
 
     async def poll(self) -> QueryProgress:
-        """Poll until there is a response; a silent machine is polled until the attempt is given up."""
+        """Poll until there is a response; an unresponsive host is polled until the call is cancelled."""
         return await self.get(self.poll_path, self.read_progress)
 
     async def abandon(self) -> bool:
-        """DELETE the query if its POST went out completely; bounded, since the machine may be silent.
+        """DELETE the query if its POST was sent completely; bounded in time, as the host may not respond.
 
-        Return whether nothing begins or runs on at the engine from now on.
+        Return True if the query can neither start nor keep running at the engine from now on.
         """
-        connection = self._awaiting_response
-        self._awaiting_response = None
+        connection = self._cancelled_poll_connection
+        self._cancelled_poll_connection = None
         try:
             may_run = self.delivery.sent and not self.delivery.ended
             if may_run and self.path and not await self._delete(connection):
@@ -131,11 +137,11 @@
             if connection is not None:
                 self.pool.release(connection)
 
-    async def side_request(self, method: str, body: bytes = b"") -> None:
-        """Make a request whose response tells nothing, on another connection than the one that polls.
+    async def send_control_request(self, method: str, body: bytes = b"") -> None:
+        """Send a request and ignore its response, on another connection than the one that polls.
 
-        A connection that breaks, or does not come up, says nothing of the request's having arrived: it is
-        made again until it is answered or its process has gone. The caller bounds the time.
+        A connection that breaks or cannot be established does not show whether the request arrived: it is
+        repeated until there is a response or the engine's process has gone. The caller bounds the time.
         """
         request = HttpRequest(method, self.path, body=body)
         while True:
@@ -146,7 +152,7 @@
             except ConnectRefusedError:
                 return
             except ConnectError:
-                await self.deadlines.sleep(CONNECT_RETRY_MS)
+                await self.deadlines.sleep(CONNECT_RETRY_DELAY_MS)
             except ExchangeError:
                 await self.deadlines.sleep(OVERTAKE_MARGIN_MS)
             else:
@@ -156,10 +162,10 @@
                     self.pool.release(connection)
 
     async def get(self, path: str, read: Callable[[HttpResponse], ResultT]) -> ResultT:
-        """GET until there is a response that can be read.
+        """GET until there is a response that can be parsed.
 
-        A response that is broken, cut or missing proves nothing about the query, which the engine keeps under
-        its id: it is requested again on a fresh connection.
+        A response that is broken, truncated or missing proves nothing about the query, which the engine keeps
+        under its ID: the GET is repeated on a fresh connection.
         """
         broken_responses = 0
         fresh = False
@@ -171,22 +177,23 @@
                     response = await self._exchange_get(connection, path, response_limit)
                     return _read_or_desynchronize(connection, response, read)
             except ConnectRefusedError as error:
-                self.delivery.read_or_lost = True  # its process has gone: it never reads the POST
+                # The engine's process has gone and can no longer read the POST.
+                self.delivery.read_or_lost = True
                 raise self.ended_error(Status.RESET, str(error)) from error
             except ConnectError:
-                await self.deadlines.sleep(CONNECT_RETRY_MS)
+                await self.deadlines.sleep(CONNECT_RETRY_DELAY_MS)
             except ExchangeError as error:
                 broken_responses += 1
                 self.pool.counters.add("engine.broken_responses")
-                if broken_responses >= MAX_BROKEN_RESPONSES:
+                if broken_responses >= MAX_CONSECUTIVE_BROKEN_RESPONSES:
                     raise AttemptFailedError(Status.RESET, str(error)) from error
             finally:
-                if connection is not None and connection is not self._awaiting_response:
+                if connection is not None and connection is not self._cancelled_poll_connection:
                     self.pool.release(connection)
             fresh = True
 
     def ended_error(self, status: Status, why: str, report: tuple[float, ...] = ()) -> AttemptFailedError:
-        """Note that nothing runs any more; return the error to raise."""
+        """Record that nothing runs at the engine any more; return the error to raise."""
         self.delivery.ended = True
         return AttemptFailedError(status, why, report)
 
@@ -199,73 +206,74 @@
             failure.may_connect_late = isinstance(error, ConnectTimeoutError)
             raise failure from error
 
-    def _note_sent(self, connection: PooledConnection) -> None:
+    def _record_sent(self, connection: PooledConnection) -> None:
         if connection.request_sent:
             self.delivery.sent_ms = self.deadlines.clock()
-            # A response that has come and is not read yet: then it is this program that is late.
+            # An unread response shows that the engine has read the POST, and that this program is late.
             self.delivery.read_or_lost = self.delivery.read_or_lost or connection.has_unread_bytes
 
     async def _recover(self, failure: str) -> QueryProgress:
-        """Go on after a POST without a response.
+        """Continue after a POST without a response.
 
-        The query may run: a second POST would run another beside it, and its end, which the engine reports
-        under its id, would be lost.
+        The query may be running: a second POST would run another one in parallel, and the end of the first,
+        which the engine reports under its ID, would be lost.
         """
-        if not self.delivery.sent:  # nothing runs; for a load that is no proof yet
-            raise self.ended_error(Status.RESET, f"the engine does not read: {failure}")
+        if not self.delivery.sent:
+            # Nothing runs, but the status RESET is no proof of that for a load.
+            raise self.ended_error(Status.RESET, f"the POST was not sent completely: {failure}")
         if not self.path:
-            raise AttemptFailedError(Status.RESET, f"the engine did not say where to poll: {failure}")
+            raise AttemptFailedError(Status.RESET, f"no response to the POST named a path to poll: {failure}")
         self.pool.counters.add("engine.polled_after_reset")
         await self.deadlines.sleep(OVERTAKE_MARGIN_MS)
         try:
             return await self.get(self.poll_path, self.read_progress)
         except AttemptFailedError as error:
-            if not self.delivery.poll_again_after(error.status):
+            if not self.delivery.should_poll_again(error.status):
                 raise
         self.delivery.ended = False
         await self.deadlines.sleep(OVERTAKE_MARGIN_MS)
         return await self.get(self.poll_path, self.read_progress)
 
     async def _delete(self, connection: PooledConnection | None) -> bool:
-        """DELETE the query; return whether the engine has taken that.
+        """DELETE the query; return False on timeout.
 
-        ``connection`` awaits the response to a cancelled poll: with its query gone the engine has nothing to
-        wait for, and the connection can be used again.
+        ``connection`` awaits the response to a cancelled poll: once the query is deleted, the engine has no
+        reason to delay that response, after which the connection can be reused.
         """
-        with trio.CancelScope(shield=True), self.deadlines.limit_for(SIDE_REQUEST_TIMEOUT_MS) as limit:
+        with trio.CancelScope(shield=True), self.deadlines.limit_for(CONTROL_REQUEST_TIMEOUT_MS) as limit:
             await self.deadlines.sleep(self.delivery.sent_ms + OVERTAKE_MARGIN_MS - self.deadlines.clock())
-            await self.side_request("DELETE")
+            await self.send_control_request("DELETE")
             if connection is not None:
                 with contextlib.suppress(ExchangeError), self.deadlines.limit_for(CANCELLED_POLL_TIMEOUT_MS):
                     await connection.receive_response()
         if limit.cancelled_caught:
-            # Behind a network partition the query runs on until it is not polled for too long, however surely
-            # the engine had read it.
+            # Behind a network partition the query runs until it has not been polled for too long, even where
+            # the engine is known to have read it.
             self.pool.counters.add("engine.cancels_unacknowledged")
         return not limit.cancelled_caught
 
     async def _exchange_get(
         self, connection: PooledConnection, path: str, response_limit: trio.CancelScope
     ) -> HttpResponse:
-        """Make a GET; where it is cancelled before its response, if not by the limit, keep the connection.
+        """Send a GET; if it is cancelled before its response, other than by the limit, keep the connection.
 
         Closing it would cost the next query a handshake: with many engines and few requests to each, there is
-        seldom another connection at hand. A GET that is read late starts nothing.
+        seldom another idle connection. A GET that the engine reads late starts nothing.
         """
         try:
             response = await connection.exchange(HttpRequest("GET", path, self.poll_headers))
         except trio.Cancelled:
             if connection.awaiting_response and not response_limit.cancel_called:
-                self._awaiting_response = connection
+                self._cancelled_poll_connection = connection
             raise
-        self.delivery.note_poll_status(response.status)
+        self.delivery.record_poll_status(response.status)
         return response
 
 
 def _read_or_desynchronize(
     connection: PooledConnection, response: HttpResponse, read: Callable[[HttpResponse], ResultT]
 ) -> ResultT:
-    """Read a response; after a ProtocolError its connection is not used again."""
+    """Parse a response; after a ProtocolError its connection is not reused."""
     try:
         return read(response)
     except ProtocolError:
--- a/fordstair/net/engines/connection_policies.py
+++ b/fordstair/net/engines/connection_policies.py
@@ -1,4 +1,4 @@
-"""The pool's decisions, one question each: reuse, late connects, and retries of a connect."""
+"""The pool's policies: reuse of idle connections, late connects, and connect retries."""
 
 from __future__ import annotations
 
@@ -6,20 +6,22 @@
 
 # An idle connection is closed here before the engine closes it: a POST must not cross such a close.
 IDLE_CLOSE_MARGIN_MS = 1_000.0
-MIN_IDLE_FACTOR = 0.5  # of the engines' idle timeout, where that is hardly longer than the margin
-# A lost SYN goes out again after 1 s (RFC 6298), and once more 2 s later.
+# Lower bound on how long an idle connection is kept, as a fraction of the engines' idle timeout. It applies
+# where that timeout is hardly longer than the margin.
+MIN_IDLE_FACTOR = 0.5
+# A lost SYN is sent again after 1 s (RFC 6298), and once more 2 s later.
 LATE_CONNECT_TIMEOUT_MS = 3_000.0
-MAX_LATE_CONNECTS = 2  # to one endpoint
+MAX_LATE_CONNECTS_PER_ENDPOINT = 2
 
 
 class IdleConnectionPolicy:
-    """Asked before an idle connection is reused, and at each sweep of the idle ones.
+    """Asked before an idle connection is reused, and for the oldest ones in each sweep.
 
-    A connection that has expired is closed; any other may carry the next request.
+    An expired connection is closed; any other may carry the next request.
     """
 
-    def expired(self, idle_since_ms: float, now_ms: float, idle_timeout_ms: float) -> bool:
-        """Whether the engine, which closes after ``idle_timeout_ms``, may close it at any moment."""
+    def is_expired(self, idle_since_ms: float, now_ms: float, idle_timeout_ms: float) -> bool:
+        """Return whether the engine, which closes after ``idle_timeout_ms``, may close it at any moment."""
         kept_ms = max(MIN_IDLE_FACTOR * idle_timeout_ms, idle_timeout_ms - IDLE_CLOSE_MARGIN_MS)
         return idle_since_ms < now_ms - kept_ms
 
@@ -27,29 +29,29 @@
 class LateConnectPolicy:
     """Asked when a call stops waiting for its own connect.
 
-    A connect that goes on serves a later call; one that does not is cancelled.
+    A connect that continues serves a later call; any other is cancelled.
     """
 
     def keep_connecting(self, late_connects: int) -> bool:
-        """Whether it goes on, with ``late_connects`` others on their way to the same endpoint."""
-        return late_connects < MAX_LATE_CONNECTS
+        """Return whether it continues, given the number of late connects in flight to the same endpoint."""
+        return late_connects < MAX_LATE_CONNECTS_PER_ENDPOINT
 
     def timeout_ms(self, connect_timeout_ms: float) -> float:
-        """Return how long a connect may take in all, whether or not a call waits for it."""
+        """Return the timeout of a connect, whether or not a call still waits for it."""
         return max(LATE_CONNECT_TIMEOUT_MS, connect_timeout_ms)
 
 
 class ConnectRetryPolicy:
-    """Asked after each failed connect(2) of one connection, in its order."""
+    """Asked after each failed connect(2) for one connection."""
 
     def __init__(self, until_ms: float) -> None:
         self._until_ms = until_ms
         self._backoff = Backoff()
 
-    def retry_after_ms(self, error: OSError, now_ms: float) -> float | None:
-        """Return the pause before the next try; None where the connect is given up.
+    def retry_delay_ms(self, error: OSError, now_ms: float) -> float | None:
+        """Return the delay before the next connect(2); None if there is none.
 
-        An error that may pass in a moment tells nothing of the engine, and is retried while there is time.
+        A transient error says nothing about the engine, and is retried until the deadline.
         """
         pause_ms = self._backoff.next_ms()
         if error_scope(error) is ErrorScope.TRANSIENT and now_ms + pause_ms < self._until_ms:
--- a/fordstair/net/engines/connector.py
+++ b/fordstair/net/engines/connector.py
@@ -1,4 +1,4 @@
-"""Opens connections to engines: TCP, and TLS where the address calls for it."""
+"""Opens connections to engines: TCP, and TLS where the address requires it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from fordstair.net.engines.connection_policies import ConnectRetryPolicy
 from fordstair.net.engines.endpoint import Endpoint, PooledConnection
-from fordstair.net.engines.error_mapping import connect_error
+from fordstair.net.engines.error_mapping import map_connect_error
 from fordstair.net.engines.errors import ConnectTimeoutError
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
@@ -23,7 +23,7 @@
     """Connects to endpoints.
 
     ``tls_context_of`` returns the context for an address, None for plain TCP; ``check_peer`` raises
-    ssl.SSLError where the other end of a finished handshake is not an engine.
+    ssl.SSLError if the peer of a finished handshake is not an engine.
     """
 
     def __init__(
@@ -39,20 +39,20 @@
         self._check_peer = check_peer
 
     async def connect(self, endpoint: Endpoint, timeout_ms: float) -> PooledConnection:
-        """Return a connection, retrying what may pass in a moment; raise ConnectError."""
+        """Open a connection, retrying transient errors until the timeout; raise ConnectError."""
         until_ms = self._deadlines.clock() + timeout_ms
         retries = ConnectRetryPolicy(until_ms)
         while True:
             try:
                 return await self._connect_once(endpoint, until_ms, timeout_ms)
             except (trio.BrokenResourceError, ssl.SSLError) as error:
-                raise connect_error(endpoint.address, error) from error
+                raise map_connect_error(endpoint.address, error) from error
             except OSError as error:
-                pause_ms = retries.retry_after_ms(error, self._deadlines.clock())
-                if pause_ms is None:
-                    raise connect_error(endpoint.address, error) from error
+                delay_ms = retries.retry_delay_ms(error, self._deadlines.clock())
+                if delay_ms is None:
+                    raise map_connect_error(endpoint.address, error) from error
                 self._counters.add("engine.connect_retries")
-                await self._deadlines.sleep(pause_ms)
+                await self._deadlines.sleep(delay_ms)
 
     async def _connect_once(self, endpoint: Endpoint, until_ms: float, timeout_ms: float) -> PooledConnection:
         host, _, port = endpoint.address.rpartition(":")
@@ -60,7 +60,7 @@
         sock = trio.socket.socket(family, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            stream = await self._open(sock, (host.strip("[]"), int(port)), endpoint.address, until_ms)
+            stream = await self._open_stream(sock, (host.strip("[]"), int(port)), endpoint.address, until_ms)
         except BaseException:
             sock.close()
             raise
@@ -69,17 +69,17 @@
             raise ConnectTimeoutError(f"{endpoint.address}: no connection within {timeout_ms:.0f} ms")
         return PooledConnection(sock, stream, endpoint)
 
-    async def _open(
+    async def _open_stream(
         self, sock: trio.socket.SocketType, peer: tuple[str, int], address: str, until_ms: float
     ) -> trio.abc.Stream | None:
-        """Connect and secure a socket; None where that takes too long: a vanished machine never answers."""
+        """Connect a socket, with TLS if required; return None on timeout, as when the host is down."""
         with self._deadlines.limit(until_ms):
             await sock.connect(peer)
             return await self._secure(address, trio.SocketStream(sock))
         return None
 
     async def _secure(self, address: str, plain: trio.SocketStream) -> trio.abc.Stream:
-        """Do the TLS handshake where the address calls for one."""
+        """Perform the TLS handshake and check the peer if the address requires TLS."""
         context = self._tls_context_of(address)
         if context is None:
             return plain
--- a/fordstair/net/engines/error_mapping.py
+++ b/fordstair/net/engines/error_mapping.py
@@ -1,4 +1,4 @@
-"""Maps errors of sockets, TLS and h11 to the engine transport's own, once, where they are caught."""
+"""Maps errors of sockets, TLS and h11 to those of the engine transport, where they are first caught."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 EXCHANGE_ERRORS = (*LOST_CONNECTION_ERRORS, *PROTOCOL_ERRORS)
 
 
-def exchange_error(error: Exception) -> ExchangeError:
+def map_exchange_error(error: Exception) -> ExchangeError:
     """Return the error to raise for one of ``EXCHANGE_ERRORS``."""
     text = str(error) or type(error).__name__
     return ConnectionLostError(text) if isinstance(error, LOST_CONNECTION_ERRORS) else ProtocolError(text)
 
 
-def connect_error(address: str, error: Exception) -> ConnectError:
-    """Return the error to raise for a connect, or TLS handshake, that is given up."""
+def map_connect_error(address: str, error: Exception) -> ConnectError:
+    """Return the error to raise for a connect or TLS handshake that failed for good."""
     text = f"{address}: {error}"
     if isinstance(error, trio.BrokenResourceError | ssl.SSLError) or not isinstance(error, OSError):
         return ConnectError(text)
--- a/fordstair/net/engines/errors.py
+++ b/fordstair/net/engines/errors.py
@@ -1,7 +1,7 @@
-"""What goes wrong between this program and an engine, by what it proves about the request.
+"""Errors of the engine transport, by what they prove about the request.
 
-``ConnectError`` and its kinds: no connection, so nothing was sent. ``ExchangeError`` and its kinds: bytes may
-have arrived, so the engine may have run the request.
+``ConnectError`` and its subclasses: there was no connection, so nothing was sent. ``ExchangeError`` and its
+subclasses: bytes may have arrived, so the engine may have run the request.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 
 class ConnectError(EngineTransportError):
-    """No connection came up: nothing was sent."""
+    """No connection was established: nothing was sent."""
 
 
 class ConnectRefusedError(ConnectError):
-    """Nobody listens at the address: the engine's process has gone."""
+    """No process listens at the address: the engine's process has gone."""
 
 
 class ConnectTimeoutError(ConnectError):
-    """The connection was not up in time, and may come up yet."""
+    """The connection was not established in time, and may still be."""
 
 
 class ExchangeError(EngineTransportError):
-    """No usable response followed; what was sent may have arrived."""
+    """No usable response followed; the request may have arrived."""
 
 
 class ConnectionLostError(ExchangeError):
@@ -32,4 +32,4 @@
 
 
 class ProtocolError(ExchangeError):
-    """What came is not HTTP, exceeds a bound, or cannot be the response to this request."""
+    """The bytes received are not HTTP, exceed a bound, or cannot be the response to this request."""
--- a/fordstair/net/engines/http11_connection.py
+++ b/fordstair/net/engines/http11_connection.py
@@ -11,7 +11,7 @@
 import h11
 import trio
 
-from fordstair.net.engines.error_mapping import EXCHANGE_ERRORS, exchange_error
+from fordstair.net.engines.error_mapping import EXCHANGE_ERRORS, map_exchange_error
 from fordstair.net.engines.errors import ConnectionLostError, ProtocolError
 from fordstair.net.engines.http_messages import HttpRequest, HttpResponse
 
@@ -22,15 +22,21 @@
 
 
 class HTTP11Connection:
-    """One connection to an engine."""
+    """One connection to an engine.
+
+    Attributes:
+        idle_since_ms: when it last became idle.
+        request_sent: whether all bytes of the current request have been sent.
+        desynchronized: whether something was received that answers no request; no further one may be sent.
+    """
 
     def __init__(self, sock: trio.socket.SocketType, stream: trio.abc.Stream, host: str) -> None:
         self.sock = sock
         self.stream = stream
         self.host = host
         self.idle_since_ms = 0.0
-        self.request_sent = False  # whether all bytes of the current request are out
-        self.desynchronized = False  # something came that answers no request: no further one may go out
+        self.request_sent = False
+        self.desynchronized = False
         self._h11 = h11.Connection(h11.CLIENT)
 
     async def exchange(self, request: HttpRequest) -> HttpResponse:
@@ -43,35 +49,36 @@
             self.request_sent = True
             return await self._receive()
         except EXCHANGE_ERRORS as error:
-            raise exchange_error(error) from error
+            raise map_exchange_error(error) from error
 
     async def receive_response(self) -> HttpResponse:
         """Receive the response to an exchange that was cancelled while ``awaiting_response``."""
         try:
             return await self._receive()
         except EXCHANGE_ERRORS as error:
-            raise exchange_error(error) from error
+            raise map_exchange_error(error) from error
 
     @property
     def awaiting_response(self) -> bool:
-        """Whether a request has gone out completely and nothing of its response has been read."""
+        """Return whether a request was sent completely and nothing of its response has been read."""
         sent = self.request_sent and self._h11.our_state is h11.DONE
         return sent and self._h11.their_state is h11.SEND_RESPONSE
 
     @property
     def reusable(self) -> bool:
-        """Whether a further request may go out; bytes or an end that came unasked say no.
+        """Return whether a further request may be sent; unsolicited bytes or an end of stream rule it out.
 
-        What h11 holds after a response, a second copy say, would be read as the response to the next request.
+        What h11 holds after a response, for example a duplicate of it, would be read as the response to the
+        next request.
         """
         states = (self._h11.our_state, self._h11.their_state)
         between_requests = states in ((h11.IDLE, h11.IDLE), (h11.DONE, h11.DONE))
-        unasked = self.desynchronized or self._h11.trailing_data[0] or self.sock.is_readable()
-        return between_requests and not unasked
+        unsolicited = self.desynchronized or self._h11.trailing_data[0] or self.sock.is_readable()
+        return between_requests and not unsolicited
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Whether bytes have come that are not read yet; an end or a reset, though readable too, says no."""
+        """Return whether there are unread bytes; False after an end of stream or a reset, though readable."""
         poll = select.poll()
         poll.register(self.sock, select.POLLIN | select.POLLRDHUP)
         ended = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
@@ -79,13 +86,13 @@
         return any(event & select.POLLIN and not event & ended for event in events)
 
     def abort(self) -> None:
-        """Close at once and drop unsent bytes: they must not reach whoever comes back at the address."""
+        """Close at once and drop unsent bytes: they must not reach a process that returns at the address."""
         with contextlib.suppress(OSError):
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
         self.sock.close()
 
     def close(self) -> None:
-        """Close an idle connection in the ordinary way."""
+        """Close an idle connection normally, without a forced reset."""
         self.sock.close()
 
     def _encode(self, request: HttpRequest) -> bytes:
@@ -114,19 +121,19 @@
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
                 size += len(event.data)
-                if size > MAX_RESPONSE_BYTES:  # a faulty engine must not use up the memory here
-                    raise ProtocolError("the response is too large")
+                if size > MAX_RESPONSE_BYTES:  # Bounds the memory that a faulty engine can use.
+                    raise ProtocolError(f"response body exceeds {MAX_RESPONSE_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 response.body = b"".join(parts)
                 return response
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionLostError("closed before a response")
+                raise ConnectionLostError("connection closed before a complete response")
 
 
 def _check_length(headers: Mapping[bytes, bytes]) -> None:
-    """Guard against a response that claims gigabytes, and one whose truncation could not be detected."""
+    """Reject a response that announces gigabytes, and one whose truncation could not be detected."""
     length = headers.get(b"content-length")
     if length is not None and int(length) > MAX_RESPONSE_BYTES:
-        raise ProtocolError(f"the response claims {int(length)} bytes")
+        raise ProtocolError(f"response too large: Content-Length {int(length)}")
     if length is None and b"transfer-encoding" not in headers:
-        raise ProtocolError("the response does not say where it ends")
+        raise ProtocolError("response has neither Content-Length nor Transfer-Encoding")
--- a/fordstair/net/engines/http_messages.py
+++ b/fordstair/net/engines/http_messages.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HttpRequest:
-    """One request, without the headers that belong to the connection."""
+    """One request, without the headers that the connection adds."""
 
     method: str
     path: str
@@ -21,7 +21,7 @@
 
     @property
     def has_content_length(self) -> bool:
-        """Whether a length is sent, be it 0."""
+        """Return whether Content-Length is sent, even if it is 0."""
         return bool(self.body) or self.method in _METHODS_WITH_BODY
 
 
@@ -34,5 +34,5 @@
     body: bytes
 
     def header(self, name: bytes, default: str = "") -> str:
-        """Return one header as text."""
+        """Return the value of a header as text."""
         return self.headers.get(name, default.encode()).decode("latin-1")
--- a/fordstair/net/engines/odata.py
+++ b/fordstair/net/engines/odata.py
@@ -1,4 +1,4 @@
-"""Attempts at engines that expect OData 4.01: an action, its status monitor, and next links."""
+"""Attempts at engines that speak OData 4.01: an action, its status monitor, and next links."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ODataTransport(HttpTransport):
-    """Carries attempts to engines that expect OData."""
+    """Carries attempts to engines that speak OData."""
 
     def call(self, attempt_request: AttemptRequest) -> Call:
         """Prepare one attempt."""
@@ -20,7 +20,7 @@
 
 
 class ODataCall(HttpCall):
-    """One attempt: POST of the action with respond-async, then its monitor, then its next links."""
+    """One attempt: POST the action with respond-async, poll its status monitor, follow its next links."""
 
     poll_headers: ClassVar[Headers] = odata_wire.VERSION_HEADERS
 
@@ -28,11 +28,11 @@
         super().__init__(transport, attempt_request)
         self._monitor_path = ""
         self._next_path = ""
-        self._poll_interval_ms = odata_wire.POLL_INTERVAL_MS
+        self._poll_interval_ms = odata_wire.DEFAULT_POLL_INTERVAL_MS
 
     @property
     def path(self) -> str:
-        """The status monitor, once the engine has named it."""
+        """The path of the status monitor; empty until the engine has named it."""
         return self._monitor_path
 
     def start_request(self, limit_ms: int) -> HttpRequest:
@@ -40,7 +40,7 @@
         return odata_wire.start_request(self.attempt_request.query, limit_ms, self.attempt_request.priority)
 
     async def poll(self) -> QueryProgress:
-        """Poll the monitor, no more often than the engine wants."""
+        """Poll the status monitor, after the interval that the engine asked for."""
         await self.deadlines.sleep(self._poll_interval_ms)
         return await super().poll()
 
@@ -51,13 +51,13 @@
         return await self.get(self._next_path, self._read_page)
 
     async def set_priority(self, priority: int) -> None:
-        """OData has no term for the priority of running work."""
+        """Do nothing: OData cannot change the priority of a running query."""
 
     def read_progress(self, response: HttpResponse) -> QueryProgress:
-        """Read progress: 202 names the monitor, a result is the first page, anything else has ended."""
+        """Parse progress: 202 names the monitor, a result is the first page, anything else is a failure."""
         report = rest_wire.load_report(response, self.load_report_fields)
         if response.status == odata_wire.STATUS_RUNNING:
-            self._note_monitor(response)
+            self._record_monitor(response)
             return QueryProgress(True, load_report=report)
         if not odata_wire.result_succeeded(response):
             http_status = odata_wire.result_status(response)
@@ -67,9 +67,9 @@
         self.delivery.ended = True
         return QueryProgress(False, rows, load_report=report)
 
-    def _note_monitor(self, response: HttpResponse) -> None:
+    def _record_monitor(self, response: HttpResponse) -> None:
         try:
-            named_path = odata_wire.own_path(self.address, odata_wire.monitor_link(response))
+            named_path = odata_wire.same_host_path(self.address, odata_wire.monitor_link(response))
         except odata_wire.ForeignLinkError as error:
             raise self.ended_error(Status.ERROR, str(error)) from error
         self._monitor_path = named_path or self._monitor_path
@@ -79,7 +79,7 @@
 
     def _read_page(self, response: HttpResponse) -> bytes:
         if response.status != odata_wire.STATUS_OK:
-            raise self.ended_error(Status.ERROR, f"a page: status {response.status}")
+            raise self.ended_error(Status.ERROR, f"next page: status {response.status}")
         return self._read_rows(response)
 
     def _read_rows(self, response: HttpResponse) -> bytes:
--- a/fordstair/net/engines/pool.py
+++ b/fordstair/net/engines/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to engines: bounded in all, and kept open between calls."""
+"""The pool of connections to engines: bounded in total, with connections kept open between calls."""
 
 from __future__ import annotations
 
@@ -20,56 +20,67 @@
 
 
 class ConnectionPool:
-    """Connections to engines, at most ``max_connections`` in all."""
+    """Connections to engines, at most ``max_connections`` in total.
 
-    # Until the configuration has been applied:
+    Attributes:
+        max_connections: the bound on connections that are open or connecting.
+        connect_timeout_ms: how long a call waits for a new connection.
+        idle_timeout_ms: after which engines close an idle connection.
+        on_connect_timeout: called with the address and the timeout in ms when a connect has timed out.
+    """
+
+    # These values apply until the configuration has been applied.
     max_connections = 64
-    connect_timeout_ms = 250.0  # that a call waits for a new connection
-    idle_timeout_ms = 30_000.0  # after which engines close an idle connection
+    connect_timeout_ms = 250.0
+    idle_timeout_ms = 30_000.0
 
     def __init__(
         self,
         deadlines: Deadlines,
         counters: Counters,
         *,
-        tls: TlsContextOf = lambda _: None,
-        accept: CheckPeer = lambda *_: None,
+        tls_context_of: TlsContextOf = lambda _: None,
+        check_peer: CheckPeer = lambda *_: None,
     ) -> None:
         self.deadlines = deadlines
         self.counters = counters
-        self.connector = Connector(deadlines, counters, tls, accept)
-        self.unreached: Callable[[str, float], None] = lambda address, after_ms: None
+        self.connector = Connector(deadlines, counters, tls_context_of, check_peer)
+        self.on_connect_timeout: Callable[[str, float], None] = lambda address, after_ms: None
         self._idle_policy = IdleConnectionPolicy()
         self._late_policy = LateConnectPolicy()
         self._endpoints: dict[str, Endpoint] = {}
-        self._waiting: deque[ConnectionWaiter] = deque()  # for capacity
-        self._late: dict[ConnectionWaiter, trio.CancelScope] = {}  # connects for no call, the oldest first
-        self._open = 0
+        self._capacity_waiters: deque[ConnectionWaiter] = deque()
+        # Connects for which no call waits any more, the oldest first.
+        self._late_connects: dict[ConnectionWaiter, trio.CancelScope] = {}
+        self._connection_count = 0
         self._nursery: trio.Nursery | None = None
 
     @property
-    def open(self) -> int:
-        """Connections that are open or connecting now."""
-        return self._open
+    def connection_count(self) -> int:
+        """The number of connections that are open or connecting."""
+        return self._connection_count
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Hold the tasks that connect, until cancelled."""
+        """Start the sweeps of idle connections, then run the connect tasks until cancelled."""
         async with trio.open_nursery() as self._nursery:
             self.close_expired()
             task_status.started()
             await trio.sleep_forever()
 
     def resize(self, max_connections: int) -> None:
-        """Allow that many connections from now on; those over it end with their calls."""
+        """Change the bound; connections in excess of it are closed once their calls end."""
         self.max_connections = max_connections
-        while self._waiting:
-            self._waiting.popleft().changed.set()
+        while self._capacity_waiters:
+            self._capacity_waiters.popleft().changed.set()
 
     async def acquire(self, address: str, *, fresh: bool = False) -> PooledConnection:
-        """Return a connection for one call; raise ConnectError where none comes up in time.
+        """Return a connection for one call; raise ConnectError if none is available in time.
+
+        The first available one is used: the call's own connect, or a connection that another call releases. A
+        connection that is established too late for its call is kept for the next. ``fresh``: only a new
+        connection is used.
 
-        The first one that is free is taken, be it the call's own connect or one given back by another call.
-        What comes up too late for its call is kept for the next. ``fresh``: only a new one will do.
+        If cancelled, a connection that has been assigned to the call is released.
         """
         endpoint = self._endpoints.get(address) or Endpoint(address)
         if not fresh and (connection := self._take_idle(endpoint)) is not None:
@@ -79,15 +90,16 @@
         endpoint.waiters.append(waiter)
         try:
             await self._wait_for_connection(waiter)
-        except BaseException:  # its request is over; a connection that was given to it meanwhile is not lost
+        except BaseException:  # The call was cancelled; a connection assigned to it meanwhile is not lost.
             if waiter.connection is not None:
                 self.release(waiter.connection)
             raise
         finally:
             endpoint.waiters.remove(waiter)
-            if waiter.connecting is not None:
-                self._detach_connect(waiter, waiter.connecting)
-            self._wake_next()  # capacity that was meant for it, and is not taken
+            if waiter.connect_scope is not None:
+                self._detach_connect(waiter, waiter.connect_scope)
+            # Passes on capacity that was reserved for this call and is not used.
+            self._wake_capacity_waiter()
             self._drop_if_unused(endpoint)
         if waiter.connection is None:
             raise waiter.failure or ConnectTimeoutError(
@@ -96,15 +108,15 @@
         return waiter.connection
 
     def release(self, connection: PooledConnection) -> None:
-        """Take a connection back after its call, whatever became of the call."""
+        """Return a connection to the pool after its call, however the call ended."""
         endpoint = connection.endpoint
         if not connection.reusable:
             connection.abort()
             self._count_closed(endpoint)
-        elif self._open > self.max_connections or endpoint.evicted:
+        elif self._connection_count > self.max_connections or endpoint.evicted:
             self._close(connection)
         else:
-            self._hand_over(connection)
+            self._reassign(connection)
 
     def evict(self, address: str) -> None:
         """Close the connections to a process that has gone; those in use are closed once their calls end."""
@@ -116,64 +128,68 @@
             self._close(endpoint.idle.pop())
 
     def close_expired(self) -> None:
-        """Close what has been idle for long; sets its own next deadline."""
+        """Close expired idle connections, and schedule the next sweep."""
         for endpoint in list(self._endpoints.values()):
-            while endpoint.idle and self._expired(endpoint.idle[0]):
+            while endpoint.idle and self._is_expired(endpoint.idle[0]):
                 self._close(endpoint.idle.pop(0))
         self.deadlines.after(IDLE_CLOSE_MARGIN_MS, self.close_expired)
 
-    def _expired(self, connection: PooledConnection) -> bool:
+    def _is_expired(self, connection: PooledConnection) -> bool:
         now_ms = self.deadlines.clock()
-        return self._idle_policy.expired(connection.idle_since_ms, now_ms, self.idle_timeout_ms)
+        return self._idle_policy.is_expired(connection.idle_since_ms, now_ms, self.idle_timeout_ms)
 
     def _take_idle(self, endpoint: Endpoint) -> PooledConnection | None:
         while endpoint.idle:
             connection = endpoint.idle.pop()
-            if not self._expired(connection) and connection.reusable:
+            if not self._is_expired(connection) and connection.reusable:
                 return connection
             self._close(connection)
         return None
 
-    def _hand_over(self, connection: PooledConnection) -> None:
-        """Give a free connection to the call that has waited longest for that endpoint, or keep it idle."""
+    def _reassign(self, connection: PooledConnection) -> None:
+        """Assign a free connection to the call that has waited longest for its endpoint, or keep it idle."""
         endpoint = connection.endpoint
         for waiter in endpoint.waiters:
-            if waiter.connection is None and not waiter.fresh:
+            if waiter.connection is None and not waiter.fresh_only:
                 waiter.connection = connection
                 waiter.changed.set()
                 return
         connection.idle_since_ms = self.deadlines.clock()
         endpoint.idle.append(connection)
-        if self._waiting:  # a call waits for capacity: an idle connection is the first to go
+        if self._capacity_waiters:  # An idle connection is closed first to free capacity.
             self._free_capacity()
 
     async def _wait_for_connection(self, waiter: ConnectionWaiter) -> None:
-        """Wait for capacity, then for the waiter's own connect, unless another call gives one back first."""
+        """Wait for capacity, then for the waiter's own connect, unless a connection is released first."""
         await self._wait_for_capacity(waiter)
         if waiter.connection is not None:
             return
         assert self._nursery is not None, "the pool is not running"
         waiter.changed = trio.Event()
-        waiter.connecting = trio.CancelScope()
-        self._open += 1
-        waiter.endpoint.open += 1
-        self._nursery.start_soon(self._establish, waiter, waiter.connecting)
+        waiter.connect_scope = trio.CancelScope()
+        self._connection_count += 1
+        waiter.endpoint.connection_count += 1
+        self._nursery.start_soon(self._establish, waiter, waiter.connect_scope)
         with self.deadlines.limit_for(self.connect_timeout_ms):
             await waiter.changed.wait()
 
     async def _wait_for_capacity(self, waiter: ConnectionWaiter) -> None:
-        """Wait until one more may be opened, or another call's connection has come free."""
-        while waiter.connection is None and self._open >= self.max_connections and not self._free_capacity():
+        """Wait until one more connection may be opened, or a released one has been assigned."""
+        while (
+            waiter.connection is None
+            and self._connection_count >= self.max_connections
+            and not self._free_capacity()
+        ):
             waiter.changed = trio.Event()
-            self._waiting.append(waiter)
+            self._capacity_waiters.append(waiter)
             try:
                 await waiter.changed.wait()
             finally:
-                if waiter in self._waiting:
-                    self._waiting.remove(waiter)
+                if waiter in self._capacity_waiters:
+                    self._capacity_waiters.remove(waiter)
 
     def _free_capacity(self) -> bool:
-        """Close an idle connection; where there is none, cancel a late connect, which takes a moment.
+        """Close an idle connection; if there is none, cancel a late connect, which frees capacity later.
 
         Return whether there is capacity at once.
         """
@@ -181,8 +197,8 @@
             if endpoint.idle:
                 self._close(endpoint.idle.pop(0))
                 return True
-        if self._late:
-            self._late.pop(next(iter(self._late))).cancel()
+        if self._late_connects:
+            self._late_connects.pop(next(iter(self._late_connects))).cancel()
         return False
 
     def _close(self, connection: PooledConnection) -> None:
@@ -190,42 +206,42 @@
         self._count_closed(connection.endpoint)
 
     def _count_closed(self, endpoint: Endpoint) -> None:
-        self._open -= 1
-        endpoint.open -= 1
+        self._connection_count -= 1
+        endpoint.connection_count -= 1
         self._drop_if_unused(endpoint)
-        self._wake_next()
+        self._wake_capacity_waiter()
 
-    def _wake_next(self) -> None:
-        if self._waiting and self._open < self.max_connections:
-            self._waiting.popleft().changed.set()
+    def _wake_capacity_waiter(self) -> None:
+        if self._capacity_waiters and self._connection_count < self.max_connections:
+            self._capacity_waiters.popleft().changed.set()
 
     def _drop_if_unused(self, endpoint: Endpoint) -> None:
-        in_use = endpoint.open or endpoint.waiters
+        in_use = endpoint.connection_count or endpoint.waiters
         if not in_use and self._endpoints.get(endpoint.address) is endpoint:
             del self._endpoints[endpoint.address]
 
-    def _detach_connect(self, waiter: ConnectionWaiter, connecting: trio.CancelScope) -> None:
-        """Decide on a connect whose call no longer waits for it."""
-        late_connects = sum(each.endpoint is waiter.endpoint for each in self._late)
+    def _detach_connect(self, waiter: ConnectionWaiter, connect_scope: trio.CancelScope) -> None:
+        """Continue or cancel a connect for which its call no longer waits."""
+        late_connects = sum(each.endpoint is waiter.endpoint for each in self._late_connects)
         if self._late_policy.keep_connecting(late_connects):
-            self._late[waiter] = connecting
+            self._late_connects[waiter] = connect_scope
         else:
-            connecting.cancel()
+            connect_scope.cancel()
 
-    async def _establish(self, waiter: ConnectionWaiter, connecting: trio.CancelScope) -> None:
-        """Connect; give the connection to the call that it was begun for, or to whoever has use for it."""
+    async def _establish(self, waiter: ConnectionWaiter, connect_scope: trio.CancelScope) -> None:
+        """Connect; assign the connection to the call that started it, or else release it to the pool."""
         endpoint = waiter.endpoint
         connection = None
         timeout_ms = self._late_policy.timeout_ms(self.connect_timeout_ms)
-        with connecting:
+        with connect_scope:
             try:
                 connection = await self.connector.connect(endpoint, timeout_ms)
             except ConnectError as error:
                 waiter.failure = error
                 if isinstance(error, ConnectTimeoutError) and not endpoint.evicted:
-                    self.unreached(endpoint.address, timeout_ms)
-        waiter.connecting = None
-        self._late.pop(waiter, None)
+                    self.on_connect_timeout(endpoint.address, timeout_ms)
+        waiter.connect_scope = None
+        self._late_connects.pop(waiter, None)
         if connection is None:
             waiter.changed.set()
             self._count_closed(endpoint)
--- a/fordstair/net/engines/rest.py
+++ b/fordstair/net/engines/rest.py
@@ -5,7 +5,7 @@
 from fordstair.core.ports import AttemptRequest, Call, QueryProgress
 from fordstair.decisions.events import Status
 from fordstair.net.engines import rest_wire
-from fordstair.net.engines.call import SIDE_REQUEST_TIMEOUT_MS, HttpCall, HttpTransport
+from fordstair.net.engines.call import CONTROL_REQUEST_TIMEOUT_MS, HttpCall, HttpTransport
 from fordstair.net.engines.http_messages import HttpRequest, HttpResponse
 
 
@@ -22,17 +22,17 @@
 
     def __init__(self, transport: HttpTransport, attempt_request: AttemptRequest) -> None:
         super().__init__(transport, attempt_request)
-        self._pages = 0  # of the result
-        self._page = 0  # that was fetched last
+        self._page_count = 0
+        self._page_number = 0
 
     @property
     def path(self) -> str:
-        """The query's own resource."""
+        """The path of the query's resource."""
         return rest_wire.query_path(self.attempt_request.query.transaction_id)
 
     @property
     def poll_path(self) -> str:
-        """Page 0: the end, a note, or 250 ms of nothing."""
+        """The path of page 0, which reports the end or a note; without news the response takes 250 ms."""
         return rest_wire.page_path(self.attempt_request.query.transaction_id, 0)
 
     def start_request(self, limit_ms: int) -> HttpRequest:
@@ -40,21 +40,21 @@
         return rest_wire.start_request(self.attempt_request.query, limit_ms, self.attempt_request.priority)
 
     async def next_page(self) -> bytes | None:
-        """Fetch the next page; what is not that page is an error of a query that has run."""
-        self._page += 1
-        if self._page >= self._pages:
+        """Fetch the next page; a failure here is an error of a query that has run."""
+        self._page_number += 1
+        if self._page_number >= self._page_count:
             return None
-        path = rest_wire.page_path(self.attempt_request.query.transaction_id, self._page)
+        path = rest_wire.page_path(self.attempt_request.query.transaction_id, self._page_number)
         return await self.get(path, self._read_page)
 
     async def set_priority(self, priority: int) -> None:
-        """PUT a new priority; one that does not arrive does no harm."""
+        """PUT a new priority, best effort: one that does not arrive does no harm."""
         if self.delivery.sent and not self.delivery.ended:
-            with self.deadlines.limit_for(SIDE_REQUEST_TIMEOUT_MS):
-                await self.side_request("PUT", str(priority).encode())
+            with self.deadlines.limit_for(CONTROL_REQUEST_TIMEOUT_MS):
+                await self.send_control_request("PUT", str(priority).encode())
 
     def read_progress(self, response: HttpResponse) -> QueryProgress:
-        """Read progress: 202 still runs, 200 is page 0, any other status has ended."""
+        """Parse progress: 202 is still running, 200 is page 0, any other status is a failure."""
         report = rest_wire.load_report(response, self.load_report_fields)
         if response.status == rest_wire.STATUS_RUNNING:
             return QueryProgress(True, note=rest_wire.note(response), load_report=report)
@@ -62,11 +62,11 @@
             status = rest_wire.failure_status(response, response.status)
             raise self.ended_error(status, f"status {response.status}", report)
         rows = rest_wire.complete_rows(response.body)
-        self._pages = rest_wire.page_count(response)
+        self._page_count = rest_wire.page_count(response)
         self.delivery.ended = True
         return QueryProgress(False, rows, load_report=report)
 
     def _read_page(self, response: HttpResponse) -> bytes:
         if response.status != rest_wire.STATUS_OK:
-            raise self.ended_error(Status.ERROR, f"page {self._page}: status {response.status}")
-        return rest_wire.page_rows(response, self._page)
+            raise self.ended_error(Status.ERROR, f"page {self._page_number}: status {response.status}")
+        return rest_wire.page_rows(response, self._page_number)
--- a/fordstair/net/engines/rest_wire.py
+++ b/fordstair/net/engines/rest_wire.py
@@ -1,4 +1,4 @@
-"""The platform's REST form: its paths and headers, mapped to the terms of the code here alone."""
+"""The platform's REST wire format; only this module maps its paths and headers to the code's terms."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 STATUS_OK = 200
 STATUS_RUNNING = 202
 MAX_PAGES = 1_000
-_COLUMN_SEPARATORS = 2  # in a row of three columns
+_SEPARATORS_PER_ROW = 2  # A row has three columns.
 
 _REQUEST_ID = "X-Txn"
 _REQUEST_CLASS = "X-Lane"
@@ -39,12 +39,12 @@
 
 
 def page_path(request_id: str, page: int) -> str:
-    """Return the path of a page of its result, from 0; page 0 also tells its progress."""
+    """Return the path of a page of a query's result, from 0; page 0 also reports progress."""
     return f"{QUERIES_PATH}/{request_id}/{page}"
 
 
 def start_request(query: Query, limit_ms: int, priority: int) -> HttpRequest:
-    """Return the POST that starts a query; id, class, keys and statement go out as they came."""
+    """Return the POST that starts a query; ID, class, keys and statement are sent as received."""
     headers = [
         (_REQUEST_ID, query.transaction_id),
         (_REQUEST_CLASS, query.class_name),
@@ -59,40 +59,40 @@
 
 
 def load_report(response: HttpResponse, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """Return the engine's load report, in the order of the fields; empty where there is none."""
+    """Return the engine's load report, in the order of ``fields``; empty if there is none."""
     return parse_report(response.header(_LOAD_REPORT), fields)
 
 
 def note(response: HttpResponse) -> tuple[NoteKind, float] | None:
-    """Return the engine's note on a running query."""
+    """Return the engine's note on a running query; None if there is none."""
     return parse_note(response.header(_NOTE_KIND), response.header(_NOTE_VALUE))
 
 
 def page_count(response: HttpResponse) -> int:
-    """Return of how many pages the result consists; raise ProtocolError."""
+    """Return the number of pages of the result; raise ProtocolError if it is malformed or out of bounds."""
     text = response.header(_PAGE_COUNT)
     pages = decimal_number(text)
     if pages is None or not 1 <= pages <= MAX_PAGES:
-        raise ProtocolError(f"{text[:20]!r} pages")
+        raise ProtocolError(f"invalid page count {text[:20]!r}")
     return pages
 
 
 def page_rows(response: HttpResponse, page: int) -> bytes:
-    """Return the rows of a later page; raise ProtocolError where it is another one, a stray copy say."""
+    """Return the rows of a later page; raise ProtocolError for another page, for example a duplicate."""
     if response.header(_PAGE_NUMBER) != str(page):
-        raise ProtocolError(f"not page {page}")
+        raise ProtocolError(f"the response is not page {page}")
     return complete_rows(response.body)
 
 
 def failure_status(response: HttpResponse, http_status: int) -> Status:
-    """Return what a response without a result proves: X-Unrun alone proves that nothing ran."""
+    """Return the status that a response without a result proves: only X-Unrun proves that nothing ran."""
     if response.header(_NOT_RUN) != "1":
         return Status.ERROR
     return _NOT_RUN_STATUSES.get(http_status, Status.ERROR)
 
 
 def parse_report(text: str, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """Read ``inflight:7;util:0.61`` in the order of the fields; empty where one is missing or malformed."""
+    """Parse ``inflight:7;util:0.61`` in the order of ``fields``; empty if one is missing or malformed."""
     values_by_name = dict(part.split(":", 1) for part in text.split(";") if ":" in part)
     try:
         values = tuple(float(values_by_name[name]) for name in fields)
@@ -102,7 +102,7 @@
 
 
 def parse_note(kind: str, value: str) -> tuple[NoteKind, float] | None:
-    """Read a note; an unknown or malformed one counts as none."""
+    """Parse a note; return None for an unknown or malformed one."""
     try:
         number = float(value)
     except ValueError:
@@ -111,10 +111,10 @@
 
 
 def complete_rows(body: bytes) -> bytes:
-    """Return a page of complete rows; raise ProtocolError for one that a wrong length has cut."""
-    ends_whole = not body or body.endswith(b"\n")
-    if not ends_whole or (
-        body and any(row.count(b"\t") != _COLUMN_SEPARATORS for row in body[:-1].split(b"\n"))
+    """Return a page of complete rows; raise ProtocolError for one that a wrong length has truncated."""
+    ends_complete = not body or body.endswith(b"\n")
+    if not ends_complete or (
+        body and any(row.count(b"\t") != _SEPARATORS_PER_ROW for row in body[:-1].split(b"\n"))
     ):
-        raise ProtocolError("not whole rows")
+        raise ProtocolError("the page contains an incomplete row")
     return body
--- a/fordstair/program/coordinator_program.py
+++ b/fordstair/program/coordinator_program.py
@@ -81,7 +81,7 @@
         self.coordinator = Coordinator(
             config.settings, config.seed, self.transports, self.deadlines, self.counters
         )
-        self.pool.unreached = self.coordinator.engine_unreachable
+        self.pool.on_connect_timeout = self.coordinator.engine_unreachable
         self.admission_queue = build_admission_queue(config, self.coordinator)
         add_zone_watch(operator, self.coordinator)
         self.budgets = build_fleet_budgets(operator, config, self.coordinator, self.admission_queue)
@@ -179,8 +179,8 @@
         return ConnectionPool(
             self.deadlines,
             self.counters,
-            tls=self._tls_context,
-            accept=self.identity.check_engine if self.identity else lambda *_: None,
+            tls_context_of=self._tls_context,
+            check_peer=self.identity.check_engine if self.identity else lambda *_: None,
         )
 
     def _tls_context(self, address: str) -> ssl.SSLContext | None:
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -84,7 +84,7 @@
             one.script = at_once
             await commands.tell(frame(3, (9, one.address, 0)))  # a new one is at its address
             await until(lambda: node.coordinator.engines)
-            assert node.pool.open == 0
+            assert node.pool.connection_count == 0
             assert await client.answer(await client.ask()) == (None, ROWS)
             assert one.calls["connections"] == opened + 1
 
@@ -107,16 +107,16 @@
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(wait, scope)
-                await until(lambda: len(pool._waiting) == 1)
+                await until(lambda: len(pool._capacity_waiters) == 1)
                 nursery.start_soon(wait, trio.CancelScope())
-                await until(lambda: len(pool._waiting) == 2)
+                await until(lambda: len(pool._capacity_waiters) == 2)
                 scope.cancel()
                 held.desynchronized = True
                 pool.release(held)  # before the cancelled one has run
                 with trio.fail_after(5.0):
                     await until(lambda: len(got) == 1)
             pool.release(got[0])
-            assert pool.open == 1
+            assert pool.connection_count == 1
 
     play(scene)
 
@@ -134,12 +134,12 @@
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(wait)
-                await until(lambda: pool._waiting)
+                await until(lambda: pool._capacity_waiters)
                 scope.cancel()
                 pool.release(held)
             with trio.fail_after(5.0):
                 assert await pool.acquire(one.address) is held
-            assert pool.open == 1
+            assert pool.connection_count == 1
             assert one.calls["connections"] == 1
 
     play(scene)
@@ -158,8 +158,8 @@
                 module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) == 1.0
             )  # late is not down
             gate.open.set()
-            await until(lambda: node.pool.open == node.counters["engine.connections_late"] > 0)
-            await until(lambda: one.calls["connections"] == node.pool.open)
+            await until(lambda: node.pool.connection_count == node.counters["engine.connections_late"] > 0)
+            await until(lambda: one.calls["connections"] == node.pool.connection_count)
             opened = one.calls["connections"]
             assert await client.answer(await client.ask()) == (None, ROWS)
             assert one.calls["connections"] == opened
@@ -188,7 +188,7 @@
             assert module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) == 1.0
             await until(lambda: module.engines["s-00000000"].unreachable_at)
             assert module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) < 1.0
-            assert node.pool.open == 0
+            assert node.pool.connection_count == 0
 
     play(scene)
 
@@ -208,7 +208,7 @@
                 error, _ = await client.answer(await client.ask())
                 assert error[0] == "Overloaded"
             await wait_all_tasks_blocked(0.05)
-            assert node.pool.open <= 2
+            assert node.pool.connection_count <= 2
 
     play(scene)
 
