--- a/fordstair/cli/serve.py
+++ b/fordstair/cli/serve.py
@@ -24,7 +24,7 @@
             lambda: _read_config(path),
         )
         if program.console_server is not None:
-            handler.listeners.append(program.console_server.note)
+            handler.listeners.append(program.console_server.add_log_line)
         trio.run(program.run)
     except* ConfigError as group:
         raise ConfigError("\n".join(f"{path}: {line}" for line in problem_lines(group))) from None
--- a/fordstair/net/__init__.py
+++ b/fordstair/net/__init__.py
@@ -1,1 +1,1 @@
-"""The wires: fronts for clients, transports to engines, the watch of the engine list, identity, consoles."""
+"""Networking: fronts for clients, transports to engines, the engine list watch, identity and consoles."""
--- a/fordstair/net/console_commands.py
+++ b/fordstair/net/console_commands.py
@@ -1,4 +1,4 @@
-"""The console's commands, other than ``follow``: one JSON object in, one out."""
+"""The console's commands other than ``follow``: each is one JSON object, answered by another."""
 
 from __future__ import annotations
 
@@ -32,35 +32,36 @@
 _COUNTERS = "counters"
 _STATUS = "status"
 _MAX_TEXT_CHARS = 200
-_SHOWN_CHARS = 40  # of a command's name in an error message
+# Bounds a command's name in an error message.
+_MAX_QUOTED_CHARS = 40
 
 Answer = dict[str, Any]
 
 
 class InvalidCommandError(Exception):
-    """A line that cannot be used; the text, which the console shows, says why."""
+    """A line is not a valid command; the console shows the message."""
 
 
 @dataclass(slots=True, frozen=True)
 class Command:
-    """One command, with its fields as they came."""
+    """One command, with its fields as received."""
 
     name: str
     fields: Mapping[str, Any]
 
     @property
     def seen_revision(self) -> int | None:
-        """The revision of the overrides that its author has seen; None: it does not say."""
+        """The revision of the overrides that the command's author has seen; None if not given."""
         seen = self.fields.get("seen")
         return seen if isinstance(seen, int) and not isinstance(seen, bool) else None
 
     @property
     def confirmed(self) -> bool:
-        """Whether its author has confirmed that it disturbs service."""
+        """Return whether the command's author has confirmed that it disturbs service."""
         return self.fields.get("confirmed") is True
 
     def text(self, field: str) -> str:
-        """Return a field that is a text; raise InvalidCommandError."""
+        """Return a text field; raise InvalidCommandError if it is missing, too long or not text."""
         value = self.fields.get(field)
         if not isinstance(value, str) or not 0 < len(value) <= _MAX_TEXT_CHARS:
             raise InvalidCommandError(f"{field}: a text is wanted")
@@ -68,7 +69,7 @@
 
 
 def read_command(line: bytes) -> Command:
-    """Read one line; raise InvalidCommandError for what is no object with a command."""
+    """Parse one line; raise InvalidCommandError unless it is an object with a command."""
     try:
         fields = ujson.loads(line)
     except ValueError:
@@ -79,7 +80,7 @@
 
 
 class ConsoleCommands:
-    """Answers commands, and carries out the overrides that the register accepts."""
+    """Answers commands, and applies the overrides that the register accepts."""
 
     def __init__(
         self,
@@ -97,14 +98,14 @@
         self.on_override: Callable[[], None] = lambda: None
 
     def answer(self, command: Command, who: str) -> Answer:
-        """Answer one command of a user; raise InvalidCommandError."""
+        """Answer one command from user ``who``; raise InvalidCommandError."""
         if command.name == _COUNTERS:
             return {"counters": self.coordinator.counters.snapshot()}
         if command.name == _STATUS or command.name in TABLES:
-            return self._show(command.name)
+            return self._table_answer(command.name)
         return self._propose(_read_override(command), command, who)
 
-    def _show(self, table: str) -> Answer:
+    def _table_answer(self, table: str) -> Answer:
         snapshot = self.collector.collect(self.coordinator.deadlines.clock())
         if table == _STATUS:
             return {"at_ms": snapshot.at_ms, "status": msgspec.to_builtins(snapshot.site)}
@@ -130,11 +131,11 @@
         )
         if result.verdict is Verdict.DONE:
             self.coordinator.counters.add("adjustments")
-            self._carry_out(override)
+            self._apply(override)
             self.on_override()
         return _result_answer(result, self.overrides.revision)
 
-    def _carry_out(self, override: Override) -> None:
+    def _apply(self, override: Override) -> None:
         match override:
             case Cordon(engine):
                 self.coordinator.set_cordoned(engine, True)
@@ -146,7 +147,7 @@
                 self._drain()
 
     def _program_state(self) -> ProgramState:
-        """Return what the register must know to judge."""
+        """Return the state by which the register decides on a proposal."""
         coordinator = self.coordinator
         return ProgramState(
             frozenset(name for name, engine in coordinator.engines.items() if engine.ready),
@@ -158,7 +159,7 @@
 
 
 def _read_override(command: Command) -> Override:
-    """Read an override; raise InvalidCommandError, naming what cannot be used."""
+    """Parse an override; raise InvalidCommandError, which names the invalid field or command."""
     match command.name:
         case "set-aside":
             return Cordon(command.text("engine"))
@@ -171,12 +172,17 @@
             return SetConcurrencyLimit(command.text("class"), threads)
         case "drain":
             return Drain()
-    raise InvalidCommandError(f"unknown command {command.name[:_SHOWN_CHARS]!r}")
+    raise InvalidCommandError(f"unknown command {command.name[:_MAX_QUOTED_CHARS]!r}")
 
 
 def _result_answer(result: ProposalResult, revision: int) -> Answer:
     answer: Answer = {"verdict": result.verdict.value, "why": result.reason, "revision": revision}
-    made = result.override
-    if made is not None:
-        answer |= {"target": made.target, "what": made.effect, "who": made.author, "at_ms": made.applied_ms}
+    applied = result.override
+    if applied is not None:
+        answer |= {
+            "target": applied.target,
+            "what": applied.effect,
+            "who": applied.author,
+            "at_ms": applied.applied_ms,
+        }
     return answer
--- a/fordstair/net/console_server.py
+++ b/fordstair/net/console_server.py
@@ -1,8 +1,8 @@
 """Serves consoles on a Unix socket that only the program's own user may open.
 
-A line of JSON goes in, a line comes back; after ``follow`` the line that comes back is the first of many
-(see ``fordstair/snapshots``), and each is answered by a line feed. A console that stops costs one frame, and
-is cut after SLOW_FOLLOWER_TIMEOUT_MS.
+Each line of JSON is answered by one line; ``follow`` is answered by a stream of frames (see
+``fordstair/snapshots``), each of which the console acknowledges with a line feed. A console that stops
+acknowledging costs one frame, and is disconnected after SLOW_FOLLOWER_TIMEOUT_MS.
 """
 
 from __future__ import annotations
@@ -40,12 +40,13 @@
 
 MAX_LINE_BYTES = 4_096
 MAX_CONNECTIONS = 32
-IDLE_TIMEOUT_MS = 60_000.0  # for the next command
-SEND_BUFFER_BYTES = 4_096  # what the kernel holds for a console that reads nothing: a few frames
+IDLE_TIMEOUT_MS = 60_000.0
+# Limits what the kernel buffers for a console that does not read to a few frames.
+SEND_BUFFER_BYTES = 4_096
 
 
 class ConsoleServer:
-    """Answers commands, and streams snapshots to the consoles that follow."""
+    """Answers commands, and streams snapshots to consoles that follow."""
 
     def __init__(
         self,
@@ -67,17 +68,17 @@
         self._max_followers = max_followers
         self._source = SnapshotSource(self.collector, coordinator)
         self._commands = ConsoleCommands(coordinator, overrides, self.collector, wall_clock, drain)
-        self._commands.on_override = self._source.note_change
+        self._commands.on_override = self._source.mark_changed
         if membership is not None:
-            membership.listeners.append(lambda _: self._source.note_change())
+            membership.listeners.append(lambda _: self._source.mark_changed())
         self._connections = 0
         self._last_log_line = 0
 
     async def run(self, path: str, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Listen until cancelled; raise ConfigError where the path cannot be had."""
+        """Listen until cancelled; raise ConfigError if the path cannot be used."""
         listener = await console_socket.listen(path)
         inode = console_socket.inode(path)
-        self.coordinator.on_change = self._source.note_change
+        self.coordinator.on_change = self._source.mark_changed
         task_status.started()
         try:
             await trio.serve_listeners(self.serve, [listener])
@@ -85,16 +86,16 @@
             self.coordinator.on_change = lambda: None
             console_socket.remove(path, inode)
 
-    def note(self, at_ms: float, level: str, text: str) -> None:
-        """Take a line of the log for the pane."""
+    def add_log_line(self, at_ms: float, level: str, text: str) -> None:
+        """Add a line to the log that consoles show."""
         self._last_log_line += 1
         self.collector.log_lines.append(
             LogLineView(self._last_log_line, self.wall_clock.unix(at_ms).value, level, text)
         )
-        self._source.note_change()
+        self._source.mark_changed()
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Answer line after line; a fault here must not end the program."""
+        """Answer the lines of one connection; an internal error is logged and does not end the program."""
         if self._connections >= MAX_CONNECTIONS:
             self.coordinator.counters.add("console.rejected")
             await trio.aclose_forcefully(stream)
@@ -125,14 +126,14 @@
                 return
 
     async def _receive(self, stream: trio.SocketStream) -> bytes:
-        """Return what comes next; nothing where the connection has ended, or nothing comes for long."""
+        """Return the next bytes; empty at the end of the connection, or after IDLE_TIMEOUT_MS without any."""
         chunk = b""
         with self.coordinator.deadlines.limit_for(IDLE_TIMEOUT_MS):
             chunk = bytes(await stream.receive_some(MAX_LINE_BYTES))
         return chunk
 
     async def _answer_line(self, stream: trio.SocketStream, line: bytes, who: str) -> bool:
-        """Answer one line; return whether a further one may follow."""
+        """Answer one line; return whether the connection can take another one."""
         try:
             command = read_command(line)
             if command.name == FOLLOW:
@@ -155,7 +156,7 @@
             self.collector.followers -= 1
 
     async def _send(self, stream: trio.SocketStream, answer: Answer) -> bool:
-        """Send an answer; return whether it left in time."""
+        """Send an answer; return False on timeout."""
         with self.coordinator.deadlines.limit_for(SLOW_FOLLOWER_TIMEOUT_MS) as limit:
             await stream.send_all(ujson.dumps(answer).encode() + b"\n")
         if limit.cancelled_caught:
--- a/fordstair/net/decimal_text.py
+++ b/fordstair/net/decimal_text.py
@@ -1,4 +1,4 @@
-"""Whole numbers in what peers send as text."""
+"""Parses decimal integers in text received from peers."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def decimal_number(text: str) -> int | None:
-    """Return the number that a text consists of; None for anything else, and for over 15 digits."""
+    """Return the integer if the text is 1 to 15 decimal digits, else None."""
     return int(text) if _DECIMAL.fullmatch(text) else None
--- a/fordstair/net/engine_list_wire.py
+++ b/fordstair/net/engine_list_wire.py
@@ -1,4 +1,4 @@
-"""The engine list as the command channel and the configuration tell it, mapped to the terms of the code here.
+"""The engine list in the formats of the command channel and the configuration, mapped to the code's terms.
 
 A frame is its length (4 bytes, big-endian, of what follows), a number (8), a kind (1) and records of engines.
 """
@@ -14,22 +14,23 @@
 from fordstair.runtime.clock import UnixMs
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
-HEADER = struct.Struct(">IQB")  # length, number, kind
+HEADER = struct.Struct(">IQB")
 RECORD = struct.Struct(">I4sHBBBHIQ")
 _LENGTH_BYTES = 4
 _MIN_FRAME_BYTES = HEADER.size - _LENGTH_BYTES
-_WEIGHT_UNITS = 1_000  # a record's weight is in thousandths
+_WEIGHT_SCALE = 1_000  # A record's weight is in thousandths.
 _STATES = (EngineState.READY, EngineState.DRAINING, EngineState.GONE)
 _STATE_NAMES = {"ready": EngineState.READY, "draining": EngineState.DRAINING, "gone": EngineState.GONE}
-_UPDATE_KINDS = {1: ListUpdateKind.FULL, 2: ListUpdateKind.DELTA}  # 0: a heartbeat
+# Kind 0 is a heartbeat.
+_UPDATE_KINDS = {1: ListUpdateKind.FULL, 2: ListUpdateKind.DELTA}
 
 
 class FrameError(Exception):
-    """A frame that cannot be read."""
+    """A frame is malformed."""
 
 
 class Frame(NamedTuple):
-    """One frame, and how many bytes it takes."""
+    """One frame; ``size_bytes`` includes its length field."""
 
     number: int
     kind: int
@@ -38,7 +39,7 @@
 
 
 class EngineListEvent(NamedTuple):
-    """An update of the engine list; numbers count up."""
+    """An update of the engine list; numbers increase."""
 
     number: int
     kind: ListUpdateKind
@@ -46,12 +47,12 @@
 
 
 def read_frame(view: memoryview) -> Frame | None:
-    """Return the first frame; None where it is incomplete. Raise FrameError."""
+    """Return the first frame; None if it is incomplete. Raise FrameError."""
     if len(view) < _LENGTH_BYTES:
         return None
     size_bytes = int.from_bytes(view[:_LENGTH_BYTES], "big")
     if not _MIN_FRAME_BYTES <= size_bytes <= MAX_FRAME_BYTES:
-        raise FrameError(f"a frame of {size_bytes} bytes")
+        raise FrameError(f"frame length {size_bytes} is out of bounds")
     end = _LENGTH_BYTES + size_bytes
     if len(view) < end:
         return None
@@ -60,20 +61,20 @@
 
 
 def read_event(frame: Frame) -> EngineListEvent | None:
-    """Return the update in a frame; None for a heartbeat, and for a kind that is not known here."""
+    """Return the update in a frame; None for a heartbeat and for an unknown kind. Raise FrameError."""
     kind = _UPDATE_KINDS.get(frame.kind)
     return None if kind is None else EngineListEvent(frame.number, kind, read_records(frame.payload))
 
 
 def read_records(payload: memoryview) -> list[Engine]:
-    """Read the engines in a frame; raise FrameError."""
+    """Parse the engines in a frame; raise FrameError."""
     if len(payload) % RECORD.size:
-        raise FrameError(f"{len(payload)} bytes of records")
+        raise FrameError(f"{len(payload)} bytes are not a whole number of records")
     return [_engine(*record) for record in RECORD.iter_unpack(payload)]
 
 
 def read_known_event(command: Mapping[str, Any], zones: list[str], kinds: list[str]) -> EngineListEvent:
-    """Read one event of the configuration's ``known``; raise ValueError or KeyError where it cannot be."""
+    """Parse one event of the configuration's ``known``; raise ValueError or KeyError if it is malformed."""
     nodes = command["nodes"]
     engines = [_known_engine(server, zones, kinds) for server in nodes["servers"]]
     kind = ListUpdateKind.FULL if nodes.get("full") else ListUpdateKind.DELTA
@@ -93,7 +94,7 @@
 ) -> Engine:
     if state >= len(_STATES):
         raise FrameError(f"unknown state {state}")
-    entry = EngineEntry(f"s-{name:08x}", _STATES[state], zone, cell, host_type, weight=weight / _WEIGHT_UNITS)
+    entry = EngineEntry(f"s-{name:08x}", _STATES[state], zone, cell, host_type, weight=weight / _WEIGHT_SCALE)
     address = f"{'.'.join(map(str, host))}:{port}"
     return Engine(entry, address, started_at=_started_at(started_ms))
 
@@ -112,7 +113,7 @@
 
 
 def _started_at(started_ms: Any) -> UnixMs | None:
-    """Read the Unix time of a start in ms; 0 says that it is long past."""
+    """Return the start of an engine's process; 0 stands for a start that is long past and gives None."""
     return UnixMs(float(started_ms)) if float(started_ms) > 0.0 else None
 
 
--- a/fordstair/net/engines/call.py
+++ b/fordstair/net/engines/call.py
@@ -222,7 +222,7 @@
             # Nothing runs, but the status RESET is no proof of that for a load.
             raise self.ended_error(Status.RESET, f"the POST was not sent completely: {failure}")
         if not self.path:
-            raise AttemptFailedError(Status.RESET, f"no response to the POST named a path to poll: {failure}")
+            raise AttemptFailedError(Status.RESET, f"no path to poll was received: {failure}")
         self.pool.counters.add("engine.polled_after_reset")
         await self.deadlines.sleep(OVERTAKE_MARGIN_MS)
         try:
--- a/fordstair/net/engines/http11_connection.py
+++ b/fordstair/net/engines/http11_connection.py
@@ -78,7 +78,10 @@
 
     @property
     def has_unread_bytes(self) -> bool:
-        """Return whether there are unread bytes; False after an end of stream or a reset, though readable."""
+        """Return whether received bytes are unread; False after an end of stream or a reset.
+
+        Both make the socket readable as well.
+        """
         poll = select.poll()
         poll.register(self.sock, select.POLLIN | select.POLLRDHUP)
         ended = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
--- a/fordstair/net/engines/pool.py
+++ b/fordstair/net/engines/pool.py
@@ -90,7 +90,7 @@
         endpoint.waiters.append(waiter)
         try:
             await self._wait_for_connection(waiter)
-        except BaseException:  # The call was cancelled; a connection assigned to it meanwhile is not lost.
+        except BaseException:  # Cancelled: a connection that was assigned meanwhile must not leak.
             if waiter.connection is not None:
                 self.release(waiter.connection)
             raise
@@ -98,7 +98,7 @@
             endpoint.waiters.remove(waiter)
             if waiter.connect_scope is not None:
                 self._detach_connect(waiter, waiter.connect_scope)
-            # Passes on capacity that was reserved for this call and is not used.
+            # Passes on a wake-up for capacity that this call does not use.
             self._wake_capacity_waiter()
             self._drop_if_unused(endpoint)
         if waiter.connection is None:
@@ -156,7 +156,8 @@
                 return
         connection.idle_since_ms = self.deadlines.clock()
         endpoint.idle.append(connection)
-        if self._capacity_waiters:  # An idle connection is closed first to free capacity.
+        # Calls that wait for capacity take precedence over idle connections.
+        if self._capacity_waiters:
             self._free_capacity()
 
     async def _wait_for_connection(self, waiter: ConnectionWaiter) -> None:
--- a/fordstair/net/identity.py
+++ b/fordstair/net/identity.py
@@ -1,4 +1,4 @@
-"""This program's SPIFFE identity (X.509-SVID and trust bundle, from files), mutual TLS, and who a peer is."""
+"""This program's SPIFFE identity (X.509-SVID and trust bundle from files), mutual TLS, and peer checks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 
 log = EventLog(__name__)
 
-RELOAD_CHECK_MS = 2_000.0  # between two checks of the files, which are replaced when the identity rotates
+# How often the files are checked; they are replaced when the identity rotates.
+RELOAD_CHECK_INTERVAL_MS = 2_000.0
 HANDSHAKE_TIMEOUT_MS = 5_000.0
 
 StreamT = TypeVar("StreamT", bound=trio.abc.Stream)
@@ -28,34 +29,43 @@
 
 @dataclass(frozen=True, slots=True)
 class IdentityFiles:
-    """Where the identity is stored, and who is trusted."""
+    """The files of the identity, and the peers to accept.
+
+    Attributes:
+        certificate: the X.509-SVID.
+        key: its private key.
+        bundle: the trust bundle.
+        trust_domain: the one to which peers must belong.
+        teams: clients' teams by SPIFFE ID.
+        engines: the SPIFFE IDs that engines may have.
+    """
 
     certificate: Path
     key: Path
     bundle: Path
     trust_domain: str
-    teams: Mapping[str, str]  # by SPIFFE ID
-    engines: frozenset[str]  # SPIFFE IDs that engines may have
+    teams: Mapping[str, str]
+    engines: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """What was read from the files, and from which state of them."""
+    """The TLS contexts loaded from the files, and the stamps of the files at that time."""
 
     stamps: FileStamps
     server: ssl.SSLContext
     client: ssl.SSLContext
 
 
-def read_files(table: Mapping[str, Any]) -> IdentityFiles:
-    """Read the operator's table; raise ConfigError, which names the field."""
+def parse_identity_table(table: Mapping[str, Any]) -> IdentityFiles:
+    """Parse the operator's ``identity`` table; raise ConfigError."""
     for name in ("certificate", "key", "bundle", "trust_domain"):
         if not isinstance(table.get(name), str):
-            raise ConfigError(f"identity.{name}: a text is wanted")
+            raise ConfigError(f"identity.{name}: must be text")
     teams = table.get("teams", {})
     engines = table.get("engines", [])
     if not isinstance(teams, dict) or not isinstance(engines, list):
-        raise ConfigError("identity: teams is a table, engines a list")
+        raise ConfigError("identity: teams must be a table and engines a list")
     for name in [*teams, *engines]:
         try:
             parse_id(str(name))
@@ -72,9 +82,9 @@
 
 
 class Identity:
-    """This program's own identity, reloaded when its files change, and its judgement of peers.
+    """This program's own identity, reloaded when its files change, and its checks of peers.
 
-    Raises ConfigError where the files cannot be used at the start.
+    Raises ConfigError if the files cannot be loaded on construction.
     """
 
     def __init__(self, files: IdentityFiles, deadlines: Deadlines, counters: Counters) -> None:
@@ -88,62 +98,65 @@
 
     @property
     def server(self) -> ssl.SSLContext:
-        """The context for connections that are accepted."""
+        """The TLS context for accepted connections."""
         return self._credentials.server
 
     @property
     def client(self) -> ssl.SSLContext:
-        """The context for connections that are opened."""
+        """The TLS context for outgoing connections."""
         return self._credentials.client
 
     def watch(self) -> None:
-        """Check the files, take over what has changed, and set the time of the next check."""
+        """Reload the files if they have changed, and schedule the next check."""
         try:
             if self._file_stamps() != self._credentials.stamps:
                 self._credentials = self._load()
                 self.counters.add("identity.rotations")
                 log.info("identity.rotated")
         except (OSError, ssl.SSLError) as error:
-            # Files that are being replaced, or do not belong together yet: the old identity stays in use.
+            # While the files are being replaced they may not match; the old identity stays in use.
             self.counters.add("identity.reload_failures")
             log.warning("identity.reload_failed", why=error)
-        self.deadlines.after(RELOAD_CHECK_MS, self.watch)
+        self.deadlines.after(RELOAD_CHECK_INTERVAL_MS, self.watch)
+
+    def verified_peer_id(self, stream: trio.SSLStream[Any]) -> str:
+        """Return the SPIFFE ID of the peer after the handshake.
 
-    def check(self, stream: trio.SSLStream[Any]) -> str:
-        """Return the ID of the peer of a finished handshake; raise IdentityError for another trust domain."""
+        Raise IdentityError if the peer has no valid ID or belongs to another trust domain.
+        """
         certificate = stream.getpeercert(binary_form=True)
         if not certificate:
-            raise IdentityError("no certificate")
+            raise IdentityError("the peer has sent no certificate")
         name = spiffe_id(x509.load_der_x509_certificate(certificate))
         if parse_id(name).trust_domain != self.files.trust_domain:
-            raise IdentityError(f"{name} is of another trust domain")
+            raise IdentityError(f"{name} is not in trust domain {self.files.trust_domain}")
         return name
 
     def check_engine(self, _: str, stream: trio.SSLStream[trio.SocketStream]) -> None:
-        """Let a connection be used only if an engine's identity is at its other end; raise ssl.SSLError.
+        """Raise ssl.SSLError if the peer of a connection does not have the identity of an engine.
 
-        Nothing has been sent then: the connection never came up.
+        No request has been sent at that point: the connection counts as not established.
         """
         try:
-            name = self.check(stream)
+            name = self.verified_peer_id(stream)
         except IdentityError as error:
             raise self._engine_rejected(str(error)) from error
         if name not in self.files.engines:
-            raise self._engine_rejected(f"{name} is no engine")
+            raise self._engine_rejected(f"{name} is not in identity.engines")
 
     def team_of(self, stream: trio.abc.Stream) -> str | None:
-        """Return the team of a secured client's identity, '' for an unknown one, None without TLS."""
+        """Return the team of a TLS client's identity, '' for an unknown or rejected one, None without TLS."""
         if not isinstance(stream, trio.SSLStream):
             return None
         try:
-            return self.files.teams.get(self.check(stream), "")
+            return self.files.teams.get(self.verified_peer_id(stream), "")
         except IdentityError as error:
             log.info("identity.client_rejected", why=error)
             self.counters.add("identity.clients_rejected")
             return ""
 
     async def secure(self, stream: StreamT) -> trio.SSLStream[StreamT] | None:
-        """Do a client's handshake; None where it fails or takes too long."""
+        """Perform the TLS handshake with a client; on failure or timeout close the stream, return None."""
         secured = trio.SSLStream(stream, self.server, server_side=True, https_compatible=True)
         with self.deadlines.limit_for(HANDSHAKE_TIMEOUT_MS):
             try:
@@ -172,7 +185,7 @@
     def _context(self, protocol: int) -> ssl.SSLContext:
         context = ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
-        context.check_hostname = False  # a SPIFFE ID names the peer, not a host
+        context.check_hostname = False  # A SPIFFE ID identifies the peer, not a host name.
         context.verify_mode = ssl.CERT_REQUIRED
         context.load_verify_locations(self.files.bundle)
         context.load_cert_chain(self.files.certificate, self.files.key)
--- a/fordstair/net/system_errors.py
+++ b/fordstair/net/system_errors.py
@@ -1,4 +1,4 @@
-"""What an error of a system call means, and the pauses between retries of one."""
+"""Classifies the errors of system calls, and provides the backoff for retries."""
 
 from __future__ import annotations
 
@@ -7,15 +7,21 @@
 
 
 class ErrorScope(Enum):
-    """What an error concerns."""
+    """What an error affects.
 
-    TRANSIENT = "transient"  # a moment: the same call may succeed soon
-    CONNECTION = "connection"  # one connection, or the route to one peer
-    PROGRAM = "program"  # this program: a retry is of no use
+    Attributes:
+        TRANSIENT: the same call may soon succeed.
+        CONNECTION: the error affects one connection, or the route to one peer.
+        PROGRAM: the error affects this program; a retry is useless.
+    """
+
+    TRANSIENT = "transient"
+    CONNECTION = "connection"
+    PROGRAM = "program"
 
 
-# accept(2), socket(2) and connect(2): no descriptor, memory, local port or network at this moment, or a peer
-# that left before it was accepted.
+# accept(2), socket(2) and connect(2): no descriptor, memory, local port or network is available at the
+# moment, or a peer disconnected before it was accepted.
 _TRANSIENT = frozenset(
     {
         errno.EAGAIN,
@@ -41,9 +47,9 @@
 
 
 def error_scope(error: OSError, *, binding: bool = False) -> ErrorScope:
-    """Return what an error concerns; an unknown one concerns its connection.
+    """Return what an error affects; an unknown one counts as affecting its connection.
 
-    ``binding``: it came from bind(2), where an address that is not available is not this machine's.
+    ``binding``: the error comes from bind(2), where EADDRNOTAVAIL means that the address is not local.
     """
     if binding and error.errno == errno.EADDRNOTAVAIL:
         return ErrorScope.PROGRAM
@@ -53,18 +59,18 @@
 
 
 def is_connection_refused(error: OSError) -> bool:
-    """Whether the error proves that nobody listens there; no other error proves anything."""
+    """Return whether the error proves that no process listens at the address; no other error proves it."""
     return error.errno == errno.ECONNREFUSED
 
 
 class Backoff:
-    """Exponential pauses between retries of a system call: short at first, and never a spin."""
+    """Exponential backoff between retries of a system call: short at first, and never a busy loop."""
 
     def __init__(self) -> None:
         self._next_ms = INITIAL_BACKOFF_MS
 
     def next_ms(self) -> float:
-        """Return how long to wait before the next retry."""
-        pause_ms = self._next_ms
-        self._next_ms = min(MAX_BACKOFF_MS, BACKOFF_FACTOR * pause_ms)
-        return pause_ms
+        """Return the delay before the next retry."""
+        delay_ms = self._next_ms
+        self._next_ms = min(MAX_BACKOFF_MS, BACKOFF_FACTOR * delay_ms)
+        return delay_ms
--- a/fordstair/program/optional_parts.py
+++ b/fordstair/program/optional_parts.py
@@ -32,9 +32,9 @@
     """Read the certificates of clients and engines; raise ConfigError where they cannot be used."""
     if operator is None or not operator.identity:
         return None
-    from fordstair.net.identity import Identity, read_files
+    from fordstair.net.identity import Identity, parse_identity_table
 
-    return Identity(read_files(operator.identity), deadlines, counters)
+    return Identity(parse_identity_table(operator.identity), deadlines, counters)
 
 
 def build_admission_queue(config: Config, coordinator: Coordinator) -> AdmissionQueue | None:
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -17,7 +17,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from fordstair.net.identity import Identity, read_files
+from fordstair.net.identity import Identity, parse_identity_table
 from fordstair.net.spiffe import IdentityError, parse_id, spiffe_id
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
@@ -121,7 +121,7 @@
 def test_files_that_rotate_are_read_anew_and_broken_ones_are_not_taken(tmp_path: Path) -> None:
     authority, counters = Authority(), Counters()
     told = authority.write(tmp_path, "own", KARRI) | {"trust_domain": "solar.example"}
-    identity = Identity(read_files(told), Deadlines(), counters)
+    identity = Identity(parse_identity_table(told), Deadlines(), counters)
     first = identity.server
     identity.watch()
     assert identity.server is first
