--- a/fordstair/net/console_commands.py
+++ b/fordstair/net/console_commands.py
@@ -61,7 +61,7 @@
         return self.fields.get("confirmed") is True
 
     def text(self, field: str) -> str:
-        """Return a text field; raise InvalidCommandError if it is missing, too long or not text."""
+        """Return a text field; raise InvalidCommandError if it is missing, empty, too long or not text."""
         value = self.fields.get(field)
         if not isinstance(value, str) or not 0 < len(value) <= _MAX_TEXT_CHARS:
             raise InvalidCommandError(f"{field}: a text is wanted")
--- a/fordstair/net/identity.py
+++ b/fordstair/net/identity.py
@@ -58,7 +58,7 @@
 
 
 def parse_identity_table(table: Mapping[str, Any]) -> IdentityFiles:
-    """Parse the operator's ``identity`` table; raise ConfigError."""
+    """Parse the operator's ``identity`` table; raise ConfigError, which names the field."""
     for name in ("certificate", "key", "bundle", "trust_domain"):
         if not isinstance(table.get(name), str):
             raise ConfigError(f"identity.{name}: must be text")
