--- a/fordstair/replication/anti_entropy.py
+++ b/fordstair/replication/anti_entropy.py
@@ -1,4 +1,4 @@
-"""The periodic exchange with other members, by which all replicas converge."""
+"""Anti-entropy: the periodic exchange with other members by which all replicas converge."""
 
 from __future__ import annotations
 
@@ -19,13 +19,15 @@
 
 log = EventLog(__name__)
 
-EXCHANGE_TIMEOUT_S = 60.0  # the next exchange goes on where one was stopped
-MIN_JITTER_FACTOR = 0.8  # of the interval between two exchanges
+# An exchange that times out is continued by the next one.
+EXCHANGE_TIMEOUT_S = 60.0
+# The interval between two exchanges is multiplied by a random factor in this range.
+MIN_JITTER_FACTOR = 0.8
 MAX_JITTER_FACTOR = 1.2
 
 
 class AntiEntropy:
-    """Compares state with one member after the other, and takes in what is missing here."""
+    """Compares state with one member after another, and pulls what is missing here."""
 
     def __init__(
         self,
@@ -46,18 +48,18 @@
         self._random = rng
 
     async def run(self) -> None:
-        """Exchange with all members in random order, again and again; return where there are none."""
+        """Exchange with all members in random order, repeatedly; return if there are no other members."""
         names = sorted(self._peers.names)
         interval_s = self._state.settings.exchange_interval_ms / 1000.0
         while names:
             for member in self._random.sample(names, len(names)):
-                await self._delete_forgotten()
+                await self._delete_expired()
                 await trio.sleep(interval_s * self._random.uniform(MIN_JITTER_FACTOR, MAX_JITTER_FACTOR))
                 with trio.move_on_after(EXCHANGE_TIMEOUT_S):
-                    await self._tasks.contain(self._exchange, member)
+                    await self._tasks.run_and_log_errors(self._exchange, member)
 
     async def _exchange(self, member: str) -> None:
-        """Take in from a member what it has and this one has not."""
+        """Pull the state that a member has and this member lacks."""
         progress = PullProgress()
         started_s = trio.current_time()
         try:
@@ -67,17 +69,17 @@
                 await self._engines.exchange(member)
                 self._state.counts["exchanges"] += 1
         finally:
-            if progress.changed:
-                self._state.counts["caught_up"] += progress.changed
+            if progress.changed_entries:
+                self._state.counts["caught_up"] += progress.changed_entries
                 log.info(
                     "ledger.caught_up",
                     member=member,
-                    entries=progress.changed,
+                    entries=progress.changed_entries,
                     seconds=round(trio.current_time() - started_s, 3),
                 )
 
-    async def _delete_forgotten(self) -> None:
-        """Delete what has expired from the disk too; what cannot be deleted is retried at the next turn."""
+    async def _delete_expired(self) -> None:
+        """Delete expired state from memory and disk; if the disk fails, the next call retries."""
         now_ms = self._state.now_ms()
         self._state.claim_replica.expire(now_ms)
         self._state.register_map.expire(now_ms)
@@ -85,7 +87,7 @@
             (CLAIM_KIND, self._state.claim_replica),
             (REGISTER_KIND, self._state.register_map),
         ):
-            keys = replica.forgotten_keys
-            replica.forgotten_keys = []
+            keys = replica.expired_keys
+            replica.expired_keys = []
             if keys and not await self._state.put_records([deletion(kind, key) for key in keys]):
-                replica.forgotten_keys = keys
+                replica.expired_keys = keys
--- a/fordstair/replication/background_tasks.py
+++ b/fordstair/replication/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that go on beside the one that starts them, and whose faults end nothing else."""
+"""Background tasks whose exceptions are logged and end no other task."""
 
 from __future__ import annotations
 
@@ -16,23 +16,27 @@
 
 
 class BackgroundTasks:
-    """Starts tasks in the nursery of a running service; ``nursery`` is None while it does not run."""
+    """Starts tasks in the nursery of a running service.
+
+    Attributes:
+        nursery: The nursery of the service, or None before it runs.
+    """
 
     def __init__(self, counts: Counter[str]) -> None:
         self.counts = counts
         self.nursery: trio.Nursery | None = None
 
     def running_nursery(self) -> trio.Nursery:
-        """Return the nursery of the running service."""
+        """Return the nursery of the service, which must be running."""
         assert self.nursery is not None, "replication is not running"
         return self.nursery
 
     def start(self, function: Callable[[*Ts], Awaitable[None]], *args: *Ts) -> None:
-        """Run a function in the background."""
-        self.running_nursery().start_soon(self.contain, function, *args)
+        """Run a function in the background, as ``run_and_log_errors`` does; return immediately."""
+        self.running_nursery().start_soon(self.run_and_log_errors, function, *args)
 
-    async def contain(self, function: Callable[[*Ts], Awaitable[None]], *args: *Ts) -> None:
-        """Run a function; a fault with one member or one claim ends nothing else."""
+    async def run_and_log_errors(self, function: Callable[[*Ts], Awaitable[None]], *args: *Ts) -> None:
+        """Run a function and log an exception, so that a fault with one member or claim affects no other."""
         try:
             await function(*args)
         except Exception:
--- a/fordstair/replication/claim_coordinator.py
+++ b/fordstair/replication/claim_coordinator.py
@@ -1,4 +1,4 @@
-"""Claims of this member: votes are requested, outcomes are stored and grants released at all replicas."""
+"""The claims of this member: requests votes, stores outcomes and releases grants at a key's replicas."""
 
 from __future__ import annotations
 
@@ -26,15 +26,17 @@
 from fordstair.replication.peers import Peers
 from fordstair.replication.replica_state import ReplicaState
 
-SETTLE_TIMEOUT_S = 5.0  # replicas that do not get the outcome in it get it by anti-entropy
+# Replicas that miss the outcome within this time receive it by anti-entropy.
+SETTLE_TIMEOUT_S = 5.0
 RELEASE_TIMEOUT_S = 2.0
-RETRY_INTERVAL_S = 0.2  # before a replica that did not confirm is sent the same again
+# Delay before a request is repeated at a replica that did not acknowledge it.
+RETRY_INTERVAL_S = 0.2
 _SEED_MASK = 0xFFFFFF
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimHandle:
-    """A claim and its replicas; a granted one is to be settled or released."""
+    """A claim and its replicas. Whoever holds a granted claim must settle or release it."""
 
     key: str
     token: str
@@ -42,7 +44,13 @@
 
 
 class ClaimResult(NamedTuple):
-    """A claim's verdict, with the claim where it was granted, or the outcome of the load that has run."""
+    """The result of a claim.
+
+    Attributes:
+        verdict: The verdict of the replicas' votes.
+        claim: The claim if it was granted, otherwise None.
+        outcome: The outcome of the load if the verdict is ALREADY_RUN, otherwise None.
+    """
 
     verdict: ClaimVerdict
     claim: ClaimHandle | None
@@ -50,24 +58,28 @@
 
 
 class ClaimCoordinator:
-    """Claims keys at their replicas."""
+    """Claims keys at their replicas, and settles or releases the claims."""
 
     def __init__(self, state: ReplicaState, peers: Peers, tasks: BackgroundTasks, seed: int) -> None:
         self._state = state
         self._peers = peers
         self._tasks = tasks
         self._token_prefix = f"{state.settings.member}:{int(state.now_ms())}:{seed & _SEED_MASK:x}"
-        self._numbers = itertools.count(1)
+        self._claim_numbers = itertools.count(1)
 
     async def begin(self, key: str) -> ClaimResult:
-        """Claim a key; a claim that is not granted is released in the background."""
+        """Claim a key, waiting for the votes until the claim timeout at most.
+
+        A claim that is not granted, or whose ``begin`` is cancelled, is released in the background.
+        """
         replicas = self._state.claim_replica.replicas_of(key)
-        handle = ClaimHandle(key, f"{self._token_prefix}:{next(self._numbers)}", replicas)
+        handle = ClaimHandle(key, f"{self._token_prefix}:{next(self._claim_numbers)}", replicas)
         quorum = ClaimQuorum(key, handle.token, replicas)
         self._state.counts["claims"] += 1
         try:
             verdict = await self._collect_votes(quorum)
-        except BaseException:  # nobody waits for it any more: it has not run, and will not
+        except BaseException:
+            # The caller has gone, so the load has not run and never will by this claim.
             self.release_in_background(handle)
             raise
         self._state.counts[f"claims_{verdict.value}"] += 1
@@ -77,29 +89,32 @@
         return ClaimResult(verdict, None, quorum.outcome)
 
     async def settle(self, claim: ClaimHandle, outcome: bytes) -> None:
-        """Store a load's outcome at all replicas; one over MAX_OUTCOME_BYTES is stored as empty."""
+        """Store a load's outcome at all replicas, for at most SETTLE_TIMEOUT_S.
+
+        An outcome larger than MAX_OUTCOME_BYTES is stored as empty.
+        """
         stored = outcome if len(outcome) <= MAX_OUTCOME_BYTES else b""
         request = partial(SettleRequest, key=claim.key, token=claim.token, outcome=stored)
         await self._notify_replicas(claim, request, SETTLE_TIMEOUT_S)
 
     def settle_in_background(self, claim: ClaimHandle, outcome: bytes) -> None:
-        """Settle, without waiting for it."""
+        """Settle a claim in the background; return immediately."""
         self._tasks.start(self.settle, claim, outcome)
 
     async def release(self, claim: ClaimHandle) -> None:
-        """Release a claim that has run nothing, and never will.
+        """Release a claim whose load has not run and never will.
 
-        A grant that is not released keeps its key from all others for as long as it is remembered.
+        A grant that is not released blocks its key for all other claims until it expires.
         """
         request = partial(ReleaseRequest, key=claim.key, token=claim.token)
         await self._notify_replicas(claim, request, RELEASE_TIMEOUT_S)
 
     def release_in_background(self, claim: ClaimHandle) -> None:
-        """Release, without waiting for it."""
+        """Release a claim in the background; return immediately."""
         self._tasks.start(self.release, claim)
 
     async def _collect_votes(self, quorum: ClaimQuorum) -> ClaimVerdict:
-        """Request all votes at once, until there is a verdict or the time is over."""
+        """Request all votes concurrently; return when there is a verdict, or at the claim timeout."""
         send, receive = trio.open_memory_channel[tuple[str, Vote]](len(quorum.replicas))
 
         async def collect(replica: str) -> None:
@@ -118,14 +133,15 @@
         request = partial(ClaimRequest, key=quorum.key, token=quorum.token)
         try:
             response = await self._peers.request(replica, request, VoteResponse)
-        except PeerUnreachableError:  # it may have granted: that is released with the rest
+        except PeerUnreachableError:
+            # The replica may have granted the claim; releasing the claim removes such a grant as well.
             return Vote(VoteStatus.UNAVAILABLE)
         return Vote(VoteStatus(response.status), response.token, response.outcome)
 
     async def _notify_replicas(
         self, claim: ClaimHandle, request: Callable[[int], Request], timeout_s: float
     ) -> None:
-        """Send each replica a request until it is on its disk or the time is over."""
+        """Send each replica a request until the change is on its disk, or until the timeout."""
 
         async def notify(replica: str) -> None:
             while True:
--- a/fordstair/replication/claim_entry.py
+++ b/fordstair/replication/claim_entry.py
@@ -1,4 +1,4 @@
-"""What a replica knows of one key, and how two copies of it are merged; pure."""
+"""The replicated entry of a claimed key, and the merge of two copies of it; pure."""
 
 from __future__ import annotations
 
@@ -6,16 +6,20 @@
 
 from msgspec import Meta, Struct
 
-MAX_OUTCOME_BYTES = 16 * 1024  # of an answer that is stored
-UNKNOWN_TOKEN = "?"  # of a grant that cannot be read any more: given to some claim, and never released
-ENTRY_OVERHEAD_BYTES = 32  # of an entry on a wire, beside its key, token and outcome
+MAX_OUTCOME_BYTES = 16 * 1024
+# Token of a grant to a claim that can no longer be determined. Such a grant is never released.
+UNKNOWN_TOKEN = "?"
+# Encoded size of an entry without its key, token and outcome, approximately.
+ENTRY_OVERHEAD_BYTES = 32
 
 
 class ClaimEntry(Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """To which claim a key was granted, and the outcome of its load, if that is known.
+    """The grant of a key to a claim, and the outcome of the claim's load.
 
-    ``token`` names the claim by its claimant, the claimant's start and a number. ``granted_ms`` is the Unix
-    time at which this replica granted it, by its own clock. An empty outcome was too large to be stored.
+    Attributes:
+        token: The claim, as its claimant's name, the start of the claimant's process and a number.
+        granted_ms: The Unix time of the grant, by this replica's clock.
+        outcome: The load's outcome; None if it is not known, empty if it was too large to be stored.
     """
 
     token: Annotated[str, Meta(min_length=1, max_length=512)]
@@ -24,10 +28,10 @@
 
 
 def merge_entries(one: ClaimEntry | None, other: ClaimEntry | None) -> ClaimEntry | None:
-    """Merge two copies, a join: nothing < a grant < grants to two claims < an outcome.
+    """Return the join of two copies, in the order: none < grant < grants to two claims < outcome.
 
-    Grants to two claims become a grant to an unknown claim, which nobody can release, since either may have
-    counted its grant in a quorum. Two outcomes under different tokens cannot be: each would prove a quorum.
+    Grants to two claims become a grant to an unknown claim, which cannot be released: either claim may have
+    counted its grant in a quorum. Two outcomes with different tokens cannot occur: each would prove a quorum.
     """
     if one is None or other is None:
         return one or other
@@ -40,5 +44,5 @@
 
 
 def entry_size_bytes(key: str, entry: ClaimEntry) -> int:
-    """Return about how many bytes an entry takes on a wire."""
+    """Return the approximate size of an entry on the wire."""
     return len(key) + len(entry.token) + len(entry.outcome or b"") + ENTRY_OVERHEAD_BYTES
--- a/fordstair/replication/claim_quorum.py
+++ b/fordstair/replication/claim_quorum.py
@@ -1,7 +1,7 @@
-"""When a claimant may run its load: its count of the replicas' votes; pure.
+"""The claimant's count of the replicas' votes, which decides whether its load may run; pure.
 
 Majority consensus over fixed replicas (Thomas, "A majority consensus approach", TODS 1979, section 3): two
-quorums meet in one replica, and a replica grants a key once. So at most one claim on a key gets a quorum.
+quorums share a replica, and a replica grants a key once. So at most one claim on a key gets a quorum.
 """
 
 from __future__ import annotations
@@ -15,16 +15,23 @@
 
 
 class VoteStatus(Enum):
-    """What a replica answers to a claim; the values are those on the wire."""
+    """A replica's answer to a claim. The values go over the wire.
+
+    Attributes:
+        GRANTED: The replica has granted the key to this claim.
+        TAKEN: Another claim has the grant; the vote holds its outcome if that is known.
+        UNAVAILABLE: The replica grants nothing now: its entries may be incomplete or not on disk, or it holds
+            the maximum number of them. A replica that does not respond counts as unavailable.
+    """
 
     GRANTED = 0
-    TAKEN = 1  # by another claim; with its outcome where that is known
-    UNAVAILABLE = 2  # this replica may not grant now: its memory or its disk is in doubt
+    TAKEN = 1
+    UNAVAILABLE = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """A replica's vote; ``token`` and ``outcome`` go with TAKEN."""
+    """A replica's vote; ``token`` and ``outcome`` are those of the other claim if the status is TAKEN."""
 
     status: VoteStatus
     token: str = ""
@@ -32,18 +39,28 @@
 
 
 class ClaimVerdict(Enum):
-    """What a claimant may do; the values are those in the names of counters."""
+    """The result of a claim. The values are the suffixes of counters, for example "ledger.claims_run".
+
+    Attributes:
+        GRANTED: A quorum has granted the claim, so the load may run.
+        ALREADY_RUN: The load has run, and its outcome is known.
+        UNKNOWN: Another claim has the key, and it is not known whether its load has run.
+        REJECTED: The load has not run by this claim, and a retry is harmless.
+    """
 
-    GRANTED = "run"  # counter ledger.claims_run: a quorum has granted it: the load may run
-    ALREADY_RUN = "answer"  # ledger.claims_answer: the load has run, and its outcome is known
-    UNKNOWN = (
-        "unknown"  # ledger.claims_unknown: another claim has the key, and whether its load ran is not known
-    )
-    REJECTED = "refuse"  # ledger.claims_refuse: it has not run by this claim; a retry is harmless
+    GRANTED = "run"
+    ALREADY_RUN = "answer"
+    UNKNOWN = "unknown"
+    REJECTED = "refuse"
 
 
 class ClaimQuorum:
-    """The votes on one claim, from its first request to its verdict."""
+    """The votes on one claim, from its first request to its verdict.
+
+    Attributes:
+        quorum: The number of grants that make a quorum.
+        outcome: The outcome of the load if the verdict is ALREADY_RUN, otherwise None.
+    """
 
     def __init__(self, key: str, token: str, replicas: Sequence[str]) -> None:
         self.key = key
@@ -51,18 +68,21 @@
         self.replicas = tuple(replicas)
         self.quorum = quorum_size(len(self.replicas))
         self.votes: dict[str, Vote] = {}
-        self.outcome: bytes | None = None  # goes with ALREADY_RUN
+        self.outcome: bytes | None = None
 
     def record_vote(self, replica: str, vote: Vote) -> ClaimVerdict | None:
-        """Count a replica's first vote; return the verdict once there is one."""
+        """Record a replica's vote and return the verdict, or None while it is undecided.
+
+        Repeated votes and votes of members that are not replicas are ignored.
+        """
         if replica in self.replicas and replica not in self.votes:
             self.votes[replica] = vote
         return self.verdict(final=False)
 
     def verdict(self, *, final: bool) -> ClaimVerdict | None:
-        """Return the verdict, or None where votes to come may still bring one.
+        """Return the verdict, or None if it depends on outstanding votes.
 
-        ``final``: no vote is waited for any more.
+        With ``final``, outstanding votes are not waited for, and there always is a verdict.
         """
         for vote in self.votes.values():
             if vote.status is VoteStatus.TAKEN and vote.outcome is not None:
@@ -77,10 +97,11 @@
         return None
 
     def _another_may_have_quorum(self) -> bool:
-        """Return whether a claim that some vote names may have a quorum, and so may have run.
+        """Return whether a claim named in some vote may have a quorum, and so may have run its load.
 
-        It may have the grants that name it, those of replicas that were not heard or cannot tell, and those
-        to an unknown claim. Only a claim that surely lacks a quorum has surely run nothing.
+        Beside the grants that name it, such a claim may have those of replicas that did not vote or were
+        unavailable, and the grants to an unknown claim. Only a claim that certainly has no quorum has
+        certainly not run its load.
         """
         other_tokens = [vote.token for vote in self.votes.values() if vote.status is VoteStatus.TAKEN]
         if not other_tokens:
@@ -88,8 +109,8 @@
         missing = len(self.replicas) - len(self.votes)
         undetermined = missing + self._count(VoteStatus.UNAVAILABLE) + other_tokens.count(UNKNOWN_TOKEN)
         known_tokens = set(other_tokens) - {UNKNOWN_TOKEN}
-        most_grants = max((other_tokens.count(token) for token in known_tokens), default=0)
-        return most_grants + undetermined >= self.quorum
+        max_grants = max((other_tokens.count(token) for token in known_tokens), default=0)
+        return max_grants + undetermined >= self.quorum
 
     def _count(self, status: VoteStatus) -> int:
         return sum(vote.status is status for vote in self.votes.values())
--- a/fordstair/replication/claim_recovery.py
+++ b/fordstair/replication/claim_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of claims after a loss: nothing is granted until every other member has been heard."""
+"""Recovery of claims after a loss of state: no claim is granted until every other member has responded."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 
 log = EventLog(__name__)
 
-FIRST_START_S = 60.0  # for which a member of a new fleet tells the others that its store is new as well
+# Time for which a member of a new fleet reports to the others that its store is new as well.
+NEW_STORE_REPORT_S = 60.0
 MIN_RETRY_INTERVAL_S = 0.3
 MAX_RETRY_INTERVAL_S = 0.7
 
 
 class ClaimRecovery:
-    """Restores a member's claims from the others, where its store is new or was found incomplete."""
+    """Restores this member's claims from the other members if its store is new or incomplete."""
 
     def __init__(self, state: ReplicaState, peers: Peers, sync: ClaimSync, rng: random.Random) -> None:
         self._state = state
@@ -31,7 +32,7 @@
         self._random = rng
 
     async def run(self) -> None:
-        """Return once this member may grant: all were heard, or each lost grant has expired by now."""
+        """Return once this member may grant: all members have responded, or any lost grant has expired."""
         claims = self._state.claim_replica
         expired_at_s = trio.current_time() + self._state.settings.retention_ms / 1000.0
         while claims.incomplete_reason:
@@ -42,10 +43,10 @@
             await trio.sleep(self._random.uniform(MIN_RETRY_INTERVAL_S, MAX_RETRY_INTERVAL_S))
 
     async def _pull_from_all(self) -> bool:
-        """Take in all entries of every other member, unsettled ones too; False where some may be missing.
+        """Pull all entries of every other member, also unsettled ones; return False if some may be missing.
 
-        A grant that was lost here may have been counted in a quorum with any of the others: each must be
-        heard, and none may be incomplete itself, unless all stores are new, which is a fleet's first start.
+        A grant that was lost here may have been counted in a quorum with any other member. So each must
+        respond, and none may be incomplete itself, unless all stores are new, as on a fleet's first start.
         """
         progress = PullProgress(all_new_stores=self._state.is_new_store)
         try:
@@ -56,6 +57,6 @@
         if progress.incomplete and not progress.all_new_stores:
             return False
         self._state.new_store_until_s = (
-            trio.current_time() + FIRST_START_S if progress.all_new_stores else -math.inf
+            trio.current_time() + NEW_STORE_REPORT_S if progress.all_new_stores else -math.inf
         )
         return True
--- a/fordstair/replication/claim_replica.py
+++ b/fordstair/replication/claim_replica.py
@@ -1,4 +1,4 @@
-"""What one member stores and answers as a replica of claims; pure: no clock, no disk, no wire."""
+"""The claim entries of one member and its votes as a replica; pure: no clock, disk or network."""
 
 from __future__ import annotations
 
@@ -11,12 +11,16 @@
 
 
 class ClaimReplica:
-    """One member's entries. What a call returns as changed must be on disk before the call is answered.
-
-    ``digests`` holds for each other member the digest of each range, over the settled entries that both are
-    replicas of: equal entries have equal digests, in whatever order they came. The times of grants are left
-    out, since each replica has its own. ``incomplete_reason`` says why entries may be missing here, so that
-    nothing may be granted; empty: none is missing.
+    """One member's entries. The caller must write a changed entry to disk before it answers the request.
+
+    Attributes:
+        entries: The entries by key, oldest grant first. Copies from other replicas are appended whatever
+            their age, so that an entry is kept for up to twice the retention time.
+        digests: For each other member the digest of each range, over the settled entries of which both are
+            replicas. Equal entries have equal digests, in whatever order they were added. The times of grants
+            are left out, since each replica has its own.
+        expired_keys: Keys that have expired here and whose records are still on disk.
+        incomplete_reason: Why entries may be missing here, so that nothing may be granted; empty if none is.
     """
 
     def __init__(
@@ -32,10 +36,10 @@
         self.replication_factor = replication_factor
         self.retention_ms = retention_ms
         self.max_entries = max_entries
-        self.entries: dict[str, ClaimEntry] = {}  # oldest first, but for copies: kept up to twice as long
+        self.entries: dict[str, ClaimEntry] = {}
         self.ranges: RangeIndex[ClaimEntry] = RangeIndex()
         self.digests = {name: [0] * RANGE_COUNT for name in self.members if name != member}
-        self.forgotten_keys: list[str] = []  # expired, and still on disk
+        self.expired_keys: list[str] = []
         self.incomplete_reason = ""
 
     def replicas_of(self, key: str) -> tuple[str, ...]:
@@ -43,10 +47,10 @@
         return replicas_of(key, self.members, self.replication_factor)
 
     def claim(self, now_ms: float, key: str, token: str) -> tuple[Vote, ClaimEntry | None]:
-        """Vote on a claim; with GRANTED comes the entry to write.
+        """Return the vote on a claim, and the entry to write if the vote is GRANTED.
 
         A key is granted to the first claim on it, unless entries may be missing here or there are
-        ``max_entries`` of them. A repeated claim gets the same grant, and waits for the same write.
+        ``max_entries`` of them. A repeated claim gets the same grant, and its entry is written again.
         """
         self.expire(now_ms)
         if (entry := self.entries.get(key)) is not None:
@@ -60,7 +64,7 @@
         return Vote(VoteStatus.GRANTED), entry
 
     def release(self, key: str, token: str) -> bool:
-        """Remove a grant for its own claimant, which has run nothing; True where it was there."""
+        """Remove the grant to a claim whose load has not run; return whether there was one."""
         entry = self.entries.get(key)
         if entry is None or entry.token != token or entry.outcome is not None:
             return False
@@ -68,13 +72,13 @@
         return True
 
     def settle(self, now_ms: float, key: str, token: str, outcome: bytes) -> ClaimEntry | None:
-        """Store a claim's outcome, which proves its quorum; return the entry to write, if any."""
+        """Store a claim's outcome, which proves its quorum; return the entry to write if it has changed."""
         before = self.entries.get(key)
         granted_ms = before.granted_ms if before is not None else int(now_ms)
         return self.merge(key, ClaimEntry(token, granted_ms, outcome))
 
     def merge(self, key: str, entry: ClaimEntry) -> ClaimEntry | None:
-        """Merge another replica's copy; return the entry to write where it has changed."""
+        """Merge another replica's copy of an entry; return the entry to write if it has changed."""
         before = self.entries.get(key)
         merged = merge_entries(before, entry)
         if merged is None or merged == before:
@@ -83,23 +87,23 @@
         return merged
 
     def load(self, entries: Iterable[tuple[str, ClaimEntry]]) -> None:
-        """Merge what the store held with what was received while it was read."""
+        """Merge the entries read from the store with those received while it was read."""
         for key, entry in sorted(entries, key=lambda item: item[1].granted_ms):
             self.merge(key, entry)
 
     def expire(self, now_ms: float) -> None:
-        """Forget entries that were granted ``retention_ms`` ago or earlier."""
+        """Remove the entries granted ``retention_ms`` ago or earlier, and list them in ``expired_keys``."""
         while self.entries:
             key, entry = next(iter(self.entries.items()))
             if now_ms - entry.granted_ms < self.retention_ms:
                 return
             self._remove(key)
-            self.forgotten_keys.append(key)
+            self.expired_keys.append(key)
 
     def page(
         self, range_number: int, after_key: str, max_bytes: int, *, include_unsettled: bool
     ) -> Page[ClaimEntry]:
-        """Return a range's entries after a key, until their sizes exceed ``max_bytes``."""
+        """Return a range's entries after a key, until their total size exceeds ``max_bytes``."""
 
         def size_of(key: str, entry: ClaimEntry) -> int | None:
             included = include_unsettled or entry.outcome is not None
@@ -119,7 +123,7 @@
         self.ranges.remove(key)
 
     def _toggle_digests(self, key: str) -> None:
-        """Add a settled entry to the digests, or remove it: with exclusive-or the same step."""
+        """Add a key's settled entry to the digests, or remove it, which is the same exclusive-or."""
         entry = self.entries.get(key)
         if entry is None or entry.outcome is None:
             return
--- a/fordstair/replication/claim_sync.py
+++ b/fordstair/replication/claim_sync.py
@@ -1,4 +1,4 @@
-"""Anti-entropy of claims: a member's entries are taken in range by range, page by page."""
+"""Anti-entropy of claims: pulls another member's entries range by range and page by page."""
 
 from __future__ import annotations
 
@@ -21,23 +21,33 @@
 from fordstair.replication.replica_state import ReplicaState
 from fordstair.replication.stored_records import claim_record
 
-CONCURRENT_RANGES = 4  # that are taken in from one member
-PAGE_TIMEOUT_S = 5.0  # for one page; how long all of them take is bounded by the settings' rate alone
+# Ranges pulled from one member at a time.
+CONCURRENT_RANGES = 4
+# The duration of a whole pull is limited only by the rate in the settings.
+PAGE_TIMEOUT_S = 5.0
 
 
 @dataclass(slots=True)
 class PullProgress:
-    """What came of taking another member's entries in."""
+    """The result so far of pulling entries from other members.
 
-    changed: int = 0  # entries
-    incomplete: bool = False  # whether a page came from a member at which entries may be missing
-    all_new_stores: bool = True  # whether all pages came from stores that their start had made
+    Attributes:
+        changed_entries: The number of entries that were new or have changed here.
+        incomplete: Whether a page came from a member whose entries may be incomplete.
+        all_new_stores: Whether all pages came from members that report a new store, as on a fleet's first
+            start.
+    """
+
+    changed_entries: int = 0
+    incomplete: bool = False
+    all_new_stores: bool = True
 
 
 class ClaimSync:
-    """Takes in what other members know of claims.
+    """Pulls other members' claim entries.
 
-    ``differing_ranges`` holds by member in how many ranges its digests differed when last compared.
+    Attributes:
+        differing_ranges: By member, the number of ranges whose digests differed at the last comparison.
     """
 
     def __init__(self, state: ReplicaState, peers: Peers) -> None:
@@ -46,7 +56,7 @@
         self.differing_ranges: dict[str, int] = {}
 
     async def exchange(self, member: str, progress: PullProgress) -> None:
-        """Take in what a member has settled and this one has not; raise as ``pull`` does."""
+        """Pull the settled entries that a member has and this member lacks; raise as ``pull`` does."""
         response = await self._peers.request(member, ClaimDigestsRequest, DigestsResponse)
         self._state.claim_replica.expire(self._state.now_ms())
         differing = differing_ranges(self._state.claim_replica.digests[member], response.digests)
@@ -56,10 +66,10 @@
     async def pull(
         self, member: str, ranges: Iterable[int], progress: PullProgress, *, include_unsettled: bool
     ) -> None:
-        """Take ranges in, some at a time, so that neither the disk nor the connection is idle.
+        """Pull ranges, several concurrently, so that neither the disk nor the connection is idle.
 
-        What came is added to ``progress``, also where this ends early. Raise PeerUnreachableError where the
-        member does not respond, or the store does not take its entries.
+        ``progress`` is updated after each page, so that it is valid also after an error or cancellation.
+        Raise PeerUnreachableError if the member does not respond or the store cannot be written.
         """
         remaining = iter(ranges)
         errors = list[PeerUnreachableError]()
@@ -92,25 +102,25 @@
             with trio.move_on_after(PAGE_TIMEOUT_S) as timeout:
                 page = await self._peers.request(member, request, ClaimPageResponse)
             if timeout.cancelled_caught:
-                raise PeerUnreachableError("no page in time")
-            await self._take_in(page, progress)
+                raise PeerUnreachableError(f"no page of entries within {PAGE_TIMEOUT_S} s")
+            await self._merge_page(page, progress)
             after_key = last_key(page.entries) if page.more else None
             page_bytes = sum(entry_size_bytes(key, entry) for key, entry in page.entries)
             await trio.sleep(CONCURRENT_RANGES * page_bytes / self._state.settings.max_pull_bytes_per_s)
 
-    async def _take_in(self, page: ClaimPageResponse, progress: PullProgress) -> None:
+    async def _merge_page(self, page: ClaimPageResponse, progress: PullProgress) -> None:
         progress.incomplete = progress.incomplete or page.incomplete
         progress.all_new_stores = progress.all_new_stores and page.new_store
         changed = list(self._merge(page.entries))
-        progress.changed += len(changed)
+        progress.changed_entries += len(changed)
         records = [claim_record(key, entry) for key, entry in changed]
         if records and not await self._state.put_records(records):
             raise PeerUnreachableError("the store cannot be written")
 
     def _merge(self, entries: Iterable[tuple[str, ClaimEntry]]) -> Iterator[tuple[str, ClaimEntry]]:
-        """Merge entries of which this member is a replica; yield those that changed something."""
+        """Merge the entries of which this member is a replica; yield those that have changed here."""
         replica = self._state.claim_replica
-        # What is dated ahead of every clock would never expire.
+        # An entry dated too far ahead of this clock would not expire in time, so it is skipped.
         latest_ms = self._state.now_ms() + MAX_CLOCK_SKEW_MS
         for key, entry in entries:
             if entry.granted_ms >= latest_ms or replica.member not in replica.replicas_of(key):
@@ -130,5 +140,5 @@
 
 
 def last_key(items: Sequence[tuple[str, object]]) -> str | None:
-    """Return the key after which the next page begins; None after an empty page."""
+    """Return the key after which the next page begins, or None after an empty page."""
     return items[-1][0] if items else None
--- a/fordstair/replication/engine_restoration.py
+++ b/fordstair/replication/engine_restoration.py
@@ -1,4 +1,4 @@
-"""Engines of the coordinator as members of the replicated set, and back; pure."""
+"""Conversion of the coordinator's engines to members of the replicated set, and back; pure."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 def replicated_engines(engines: Iterable[Engine]) -> list[ReplicatedEngine]:
-    """Return those engines that are listed as ready, as they are stored and sent."""
+    """Return the engines that are listed as ready, in the form in which they are stored and sent."""
     return [_replicated(engine) for engine in engines if engine.entry.state is EngineState.READY]
 
 
 class EngineRestorer:
-    """The engines of the set as a coordinator gets them while its registry is not heard.
+    """Restores engines from the set for a coordinator that does not reach its registry.
 
-    The longer ago the registry was heard, the less is known of what became of an engine: one that was last
-    heard of longer ago than it takes to warm up counts as started when it was first taken from the set, and
-    a set older than MAX_AGE_MS is not used at all. What was said once of an engine's start stays, so that
-    nothing that runs there is given up for a mere change of belief.
+    An engine may have restarted since the last registry contact. If that contact is longer ago than an engine
+    takes to warm up, an engine counts as started when it was first restored, that is, as cold. A set older
+    than MAX_AGE_MS is not used at all. The start time once returned for an engine does not change, since a
+    new start time would make the coordinator abandon the queries that run there.
     """
 
     def __init__(self, slow_start_ms: float) -> None:
@@ -29,8 +29,8 @@
         self._started_ms: dict[ReplicatedEngine, float] = {}
 
     def engines(self, now_ms: float, engine_set: EngineSet) -> list[Engine]:
-        """Return the engines to go on with at Unix time ``now_ms``; none where the set is too old."""
-        age_ms = now_ms - engine_set.registry_heard_ms
+        """Return the engines to use at Unix time ``now_ms``, or none if the set is too old."""
+        age_ms = now_ms - engine_set.registry_contact_ms
         if age_ms >= MAX_AGE_MS:
             return []
         known = engine_set.engines.values()
--- a/fordstair/replication/key_ranges.py
+++ b/fordstair/replication/key_ranges.py
@@ -1,6 +1,6 @@
-"""Keys split into ranges, which members compare by digest and exchange page by page; pure.
+"""Hash ranges of keys, which members compare by digest and exchange page by page; pure.
 
-A range's digest is the exclusive-or of its entries' digests: a Merkle tree of one level, whose leaves are
+The digest of a range is the exclusive-or of its entries' digests: a Merkle tree of one level whose leaves are
 updated in constant time.
 """
 
@@ -27,7 +27,7 @@
 
 
 def entry_digest(*parts: bytes) -> int:
-    """Return the digest of one entry's parts, of DIGEST_BITS bits."""
+    """Return the digest of DIGEST_BITS bits over the parts of one entry."""
     digest = blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         digest.update(len(part).to_bytes(4, "big") + part)
@@ -35,14 +35,14 @@
 
 
 class Page(NamedTuple, Generic[V]):
-    """Some of a range's items in the order of their keys; ``more`` where others follow."""
+    """Some of a range's items, ordered by key; ``more`` is true if others follow."""
 
     items: list[tuple[str, V]]
     more: bool
 
 
 class RangeIndex(Generic[V]):
-    """Values by key, in order within each range."""
+    """Values by key, ordered by key within each range."""
 
     def __init__(self) -> None:
         self._ranges: list[SortedDict[str, V]] = [SortedDict() for _ in range(RANGE_COUNT)]
@@ -55,15 +55,15 @@
         self._ranges[range_of(key)][key] = value
 
     def remove(self, key: str) -> None:
-        """Remove a key; raise KeyError where it is not there."""
+        """Remove a key; raise KeyError if it is missing."""
         del self._ranges[range_of(key)][key]
 
     def page(
         self, range_number: int, after_key: str, max_bytes: int, size_of: Callable[[str, V], int | None]
     ) -> Page[V]:
-        """Return a range's items after a key, until their sizes exceed ``max_bytes``.
+        """Return a range's items after a key, until their total size exceeds ``max_bytes``.
 
-        ``size_of`` returns an item's size in bytes; None leaves the item out.
+        ``size_of`` returns an item's size in bytes, or None to leave the item out.
         """
         items = list[tuple[str, V]]()
         page_bytes = 0
--- a/fordstair/replication/learned_costs.py
+++ b/fordstair/replication/learned_costs.py
@@ -1,7 +1,7 @@
-"""What the decision module has learned of costs, as values to store and to replicate; pure.
+"""The costs learned by the decision module, as values to store and to replicate; pure.
 
-Means go by the names of classes and table groups, so that members whose files list classes in another order
-agree. A value is taken over only where the decision module has learned too little of its own.
+Means are keyed by the names of classes and table groups, so that members whose files list the classes in
+different orders agree. A value is restored only where this decision module has learned too little itself.
 """
 
 from __future__ import annotations
@@ -16,12 +16,15 @@
 from fordstair.decisions.gateway import Gateway
 from fordstair.decisions.statistics import BoundedMeans, RunningMean
 
-MIN_OUTCOMES = 5  # a mean of fewer says too little to be replicated
-MAX_WEIGHT_OUTCOMES = 30  # that a value taken over counts as: it must not outlast what is seen here
-MIN_LOG_CHANGE = 0.2  # of a value's natural logarithm, between two that are replicated: about a fifth
+# A mean of fewer outcomes is not replicated, since it is too inaccurate.
+MIN_OUTCOMES = 5
+# A restored value counts as at most this many outcomes, so that it does not outweigh those observed here.
+MAX_WEIGHT_OUTCOMES = 30
+# The least change of a value's natural logarithm that is replicated, about a fifth of the value.
+MIN_LOG_CHANGE = 0.2
 MAX_VALUE = 1e9
 
-# The running means of a request class by their names in keys. Stored and replicated keys hold these names.
+# The running means of a request class, by the names that stored and replicated keys contain.
 _CLASS_MEANS: dict[str, Callable[[ClassStatistics], RunningMean]] = {
     "mean": lambda statistics: statistics.cost,
     "memory": lambda statistics: statistics.memory_mb,
@@ -32,7 +35,7 @@
 
 
 def learned_values(gateway: Gateway) -> Iterator[tuple[str, bytes]]:
-    """Yield by key what the decision module has learned from enough outcomes, to three figures."""
+    """Yield the key and value of each mean over at least MIN_OUTCOMES, to three significant digits."""
     learned = _learned_means(gateway)
     for name, class_statistics in zip(learned.class_names, learned.classes, strict=True):
         for figure, mean_of in _CLASS_MEANS.items():
@@ -42,9 +45,10 @@
 
 
 def differs_enough(old: bytes | None, new: bytes) -> bool:
-    """Return whether a value is worth replicating in place of the old one.
+    """Return whether a value differs enough from the old one to be replicated.
 
-    Each member sees a little else: without a least difference they would go on overwriting one another.
+    Members observe slightly different costs. Without a minimum difference they would keep overwriting each
+    other's values.
     """
     before = _decode(old) if old is not None else None
     after = _decode(new)
@@ -54,9 +58,9 @@
 
 
 def restore_values(gateway: Gateway, values: Mapping[str, bytes]) -> int:
-    """Take values over where too little was learned here; return how many."""
+    """Restore the values whose means have fewer than MIN_OUTCOMES here; return their number."""
     learned = _learned_means(gateway)
-    taken_over = 0
+    restored = 0
     for key in sorted(values):
         value = _decode(values[key])
         if value is None:
@@ -65,23 +69,27 @@
         if mean is not None and mean.count < MIN_OUTCOMES:
             mean.value = value[0]
             mean.count = value[1]
-            taken_over += 1
-    return taken_over
+            restored += 1
+    return restored
 
 
 @dataclass(frozen=True, slots=True)
 class _LearnedMeans:
-    """The running means inside the decision module, which change as it learns."""
+    """The running means of the decision module, which it updates as it learns.
+
+    Attributes:
+        classes: The statistics of the request classes, in the order of ``class_names``.
+    """
 
     class_names: list[str]
     class_indexes: dict[str, int]
-    classes: Sequence[ClassStatistics]  # in the order of ``class_names``
+    classes: Sequence[ClassStatistics]
     table_groups: BoundedMeans
 
     def mean_of_key(self, key: str) -> RunningMean | None:
-        """Return the mean that a key names, None for an unknown key.
+        """Return the mean that a key names, or None for an unknown key.
 
-        A table group not seen yet gets a new mean where there is room for one.
+        A new mean is added for an unknown table group if there is room.
         """
         kind, _, rest = key.partition("|")
         class_name, _, figure_or_group = rest.partition("|")
@@ -99,7 +107,7 @@
 
 
 def _learned_means(gateway: Gateway) -> _LearnedMeans:
-    """Return the decision module's means: the only access to its parts."""
+    """Return the decision module's means; only this function accesses the module's internals."""
     class_names = [spec.name for spec in gateway.settings.classes]
     class_indexes = {name: index for index, name in enumerate(class_names)}
     return _LearnedMeans(
@@ -113,7 +121,7 @@
 
 
 def _decode(value: bytes) -> tuple[float, int] | None:
-    """Return a mean and its weight in outcomes; None for bytes that are no such value."""
+    """Return a mean and its weight in outcomes, or None if the bytes are not a valid value."""
     try:
         mean, outcomes = _decoder.decode(value)
     except msgspec.MsgspecError:
--- a/fordstair/replication/messages.py
+++ b/fordstair/replication/messages.py
@@ -1,7 +1,7 @@
-"""Frames between replicas: MessagePack arrays over TCP, every field checked; pure.
+"""Frames between replicas: MessagePack arrays over TCP, with every field validated; pure.
 
-Each frame is preceded by its length in four bytes, big endian. Tags, the order of fields and their types are
-those on the wire; names are not sent.
+Each frame is preceded by its length in four bytes, big endian. The tags and the order and types of the fields
+go over the wire; the names do not.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 from fordstair.runtime.message_codec import MalformedMessageError, MessageCodec, WireMessage
 
 MAX_FRAME_BYTES = 256 * 1024
-PAGE_BYTES = 64 * 1024  # after which a page of entries ends
+# A page of entries ends once it is larger.
+PAGE_BYTES = 64 * 1024
 MAX_PAGE_ITEMS = 8_192
 _LENGTH = struct.Struct(">I")
 
@@ -32,32 +33,33 @@
 
 
 class _Frame(WireMessage, frozen=True):
-    request_id: RequestId  # of a request on its connection; the response has the same
+    # Unique among the pending requests of a connection; a response repeats that of its request.
+    request_id: RequestId
 
 
 class Hello(_Frame, frozen=True, tag=0):
-    """The first frame of whoever connects."""
+    """The first frame on a connection, by which the connecting member identifies itself."""
 
     cluster: Text
     member: Text
 
 
 class ClaimRequest(_Frame, frozen=True, tag=1):
-    """Grant a key to a claim."""
+    """Requests a grant of a key to a claim."""
 
     key: Text
     token: Text
 
 
 class ReleaseRequest(_Frame, frozen=True, tag=2):
-    """Remove a grant; the claim has run nothing."""
+    """Requests the removal of a grant to a claim whose load has not run."""
 
     key: Text
     token: Text
 
 
 class SettleRequest(_Frame, frozen=True, tag=3):
-    """Store the outcome of a claim."""
+    """Requests that the outcome of a claim's load is stored."""
 
     key: Text
     token: Text
@@ -65,11 +67,14 @@
 
 
 class ClaimDigestsRequest(_Frame, frozen=True, tag=4):
-    """The digests by range of the settled entries of which both members are replicas."""
+    """Requests the digest of each range over the settled entries of which both members are replicas."""
 
 
 class ClaimPageRequest(_Frame, frozen=True, tag=5):
-    """A page of a range's entries after a key; with ``include_unsettled`` also grants without an outcome."""
+    """Requests a page of a range's entries after a key.
+
+    With ``include_unsettled`` the page also contains grants without an outcome.
+    """
 
     range_number: RangeNumber
     after_key: AfterKey
@@ -77,18 +82,18 @@
 
 
 class RegisterDigestsRequest(_Frame, frozen=True, tag=6):
-    """The digests by range of the registers."""
+    """Requests the digest of each range over the registers."""
 
 
 class RegisterPageRequest(_Frame, frozen=True, tag=7):
-    """A page of a range's registers after a key."""
+    """Requests a page of a range's registers after a key."""
 
     range_number: RangeNumber
     after_key: AfterKey
 
 
 class EngineSetRequest(_Frame, frozen=True, tag=8):
-    """The known engines, unless the requesting member's set has this digest."""
+    """Requests the set of known engines, unless its digest equals that of the requesting member's set."""
 
     digest: Digest
 
@@ -102,7 +107,7 @@
 
 
 class WrittenResponse(_Frame, frozen=True, tag=17):
-    """A release or an outcome is on disk, or could not be written."""
+    """Tells whether a release or an outcome was written to disk."""
 
     written: bool
 
@@ -114,10 +119,13 @@
 
 
 class ClaimPageResponse(_Frame, frozen=True, tag=19):
-    """Entries by key, in order; ``more`` where others follow.
+    """A page of entries, ordered by key.
 
-    ``incomplete``: entries may be missing at the responding member. ``new_store``: its store was made by its
-    start, which is the fleet's first as far as it knows.
+    Attributes:
+        more: Whether the range has further entries.
+        incomplete: Whether entries may be missing at the responding member.
+        new_store: Whether that member created its store at its start, which is the fleet's first as far as it
+            knows.
     """
 
     entries: Annotated[list[tuple[Text, ClaimEntry]], Meta(max_length=MAX_PAGE_ITEMS)]
@@ -127,17 +135,22 @@
 
 
 class RegisterPageResponse(_Frame, frozen=True, tag=20):
-    """Registers by key, in order; ``more`` where others follow."""
+    """A page of registers, ordered by key; ``more`` is true if the range has further ones."""
 
     registers: Annotated[list[tuple[Text, Register]], Meta(max_length=MAX_PAGE_ITEMS)]
     more: bool
 
 
 class EngineSetResponse(_Frame, frozen=True, tag=21):
-    """The engines that a member knows, None where the sets are equal; when it last heard of a registry."""
+    """A member's engine set.
+
+    Attributes:
+        state: The set, or None if the digests of both sets are equal.
+        registry_contact_ms: The Unix time at which any member last received from its registry.
+    """
 
     state: EngineSetState | None
-    registry_heard_ms: UnixMilliseconds
+    registry_contact_ms: UnixMilliseconds
 
 
 Request: TypeAlias = (
@@ -165,25 +178,25 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the bytes of a frame, with their length before them."""
+    """Return the encoding of a frame, preceded by its length."""
     body = _codec.encode(frame)
     return _LENGTH.pack(len(body)) + body
 
 
 class FrameDecoder:
-    """Takes bytes as they are received, and returns the frames in them."""
+    """Splits a stream of bytes into frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, chunk: bytes) -> list[Frame]:
-        """Return the frames completed by a chunk; raise MalformedMessageError for what cannot be a frame."""
+        """Return the frames that a chunk completes; raise MalformedMessageError for an invalid frame."""
         self._buffer += chunk
         frames = list[Frame]()
         while len(self._buffer) >= _LENGTH.size:
             length: int = _LENGTH.unpack_from(self._buffer)[0]
             if length > MAX_FRAME_BYTES:
-                raise MalformedMessageError(f"{length} bytes")
+                raise MalformedMessageError(f"frame of {length} bytes, of {MAX_FRAME_BYTES} allowed")
             end = _LENGTH.size + length
             if len(self._buffer) < end:
                 break
--- a/fordstair/replication/peer_connection.py
+++ b/fordstair/replication/peer_connection.py
@@ -1,4 +1,4 @@
-"""Requests to another member over one TCP connection, made when needed and again when it was lost."""
+"""Requests to another member over one TCP connection, opened on demand and reopened after a loss."""
 
 from __future__ import annotations
 
@@ -19,34 +19,42 @@
 from fordstair.runtime.message_codec import MalformedMessageError
 
 READ_CHUNK_BYTES = 65_536
-MAX_PENDING_REQUESTS = 256  # to one member
+MAX_PENDING_REQUESTS = 256
 CONNECT_TIMEOUT_S = 1.0
 SEND_TIMEOUT_S = 1.0
-SILENCE_TIMEOUT_S = 0.5  # without a byte, after which a request that is abandoned ends its connection
-RECONNECT_DELAY_S = 0.1  # after a failed connect: one that fails at once must not be repeated in a busy loop
+# An abandoned request closes its connection if no byte has been received for longer than this.
+SILENCE_TIMEOUT_S = 0.5
+# Prevents a busy loop if connecting fails immediately.
+RECONNECT_DELAY_S = 0.1
 REQUEST_IDS = 2**32
 
 T = TypeVar("T", bound=Response)
 
 
 class PeerUnreachableError(Exception):
-    """No response came, or none that could be read: the request may have been carried out."""
+    """No valid response was received. The member may have carried out the request nevertheless."""
 
 
 @dataclass(slots=True)
 class _PendingRequest:
-    """A request that waits for its response; ``finished`` with none: the connection ended."""
+    """A request in flight. If ``finished`` is set without a response, the connection was lost."""
 
     finished: trio.Event = field(default_factory=trio.Event)
     response: Frame | None = None
 
 
 class PeerConnection:
-    """The connection to one member; the caller bounds the time of its requests."""
+    """The connection to one member. It has no request timeout; callers set their own.
+
+    Attributes:
+        member: The name of the connecting member, which goes into its Hello.
+        address: The host and port of the other member.
+        sent_bytes: The size of all requests sent so far.
+    """
 
     def __init__(self, cluster: str, member: str, address: str, connect_from_host: str) -> None:
         self.cluster = cluster
-        self.member = member  # that connects
+        self.member = member
         self.address = address
         self.sent_bytes = 0
         self._connect_from_host = connect_from_host
@@ -61,13 +69,14 @@
     async def request(
         self, nursery: trio.Nursery, build: Callable[[int], Request], response_type: type[T]
     ) -> T:
-        """Send a request, built for the id it gets, and return its response.
+        """Send the request that ``build`` returns for a new request id, and return the response.
 
-        Raise PeerUnreachableError where no response of that type comes. ``nursery`` runs the reader of a new
-        connection.
+        Raise PeerUnreachableError if the connection fails, the response is not of ``response_type``, or too
+        many requests are pending. ``nursery`` runs the reader task of a new connection. If this is cancelled,
+        the request may have been sent.
         """
         if len(self._pending) >= MAX_PENDING_REQUESTS:
-            raise PeerUnreachableError("too many requests are pending")
+            raise PeerUnreachableError(f"{MAX_PENDING_REQUESTS} requests are already pending")
         stream = await self._connected(nursery)
         self._last_request_id = (self._last_request_id + 1) % REQUEST_IDS
         request_id = self._last_request_id
@@ -79,14 +88,14 @@
             await pending.finished.wait()
         finally:
             self._pending.pop(request_id, None)
-            # A machine that vanished resets nothing: where all is silent, the next request connects again.
+            # A host that has vanished sends no reset: after a silence, the next request connects again.
             silent_s = trio.current_time() - max(sent_at_s, self._received_at_s)
             if not pending.finished.is_set() and silent_s > SILENCE_TIMEOUT_S:
                 self._disconnect(stream)
         if pending.response is None:
-            raise PeerUnreachableError("the connection ended")
+            raise PeerUnreachableError("the connection was lost before the response")
         if not isinstance(pending.response, response_type):
-            raise PeerUnreachableError("a response of another type")
+            raise PeerUnreachableError(f"response is not a {response_type.__name__}")
         return pending.response
 
     async def _connected(self, nursery: trio.Nursery) -> trio.SocketStream:
@@ -112,18 +121,18 @@
             if not isinstance(error, OSError | trio.TooSlowError | trio.BrokenResourceError):
                 raise
             self._connect_failed_at_s = trio.current_time()
-            raise PeerUnreachableError(str(error) or "no connection in time") from None
+            raise PeerUnreachableError(str(error) or f"no connection within {CONNECT_TIMEOUT_S} s") from None
         return stream
 
     async def _send(self, stream: trio.SocketStream, data: bytes) -> None:
         try:
             async with self._send_lock:
-                # Half a frame would corrupt the connection for others: a cancelled caller does not stop it.
+                # Shielded, since a partly sent frame would corrupt the connection for other requests.
                 with trio.move_on_after(SEND_TIMEOUT_S, shield=True) as timeout:
                     await stream.send_all(data)
                 if timeout.cancelled_caught:
                     self._disconnect(stream)
-                    raise PeerUnreachableError("the member does not read")
+                    raise PeerUnreachableError(f"request could not be sent within {SEND_TIMEOUT_S} s")
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise PeerUnreachableError(str(error)) from None
         self.sent_bytes += len(data)
@@ -147,7 +156,7 @@
             pending.finished.set()
 
     def _disconnect(self, stream: trio.SocketStream) -> None:
-        """Close a connection, and wake up all who wait for a response on it."""
+        """Close a connection and finish all requests that are pending on it."""
         if self._stream is stream:
             self._stream = None
             for pending in self._pending.values():
--- a/fordstair/replication/peer_server.py
+++ b/fordstair/replication/peer_server.py
@@ -1,4 +1,4 @@
-"""Serves other members' requests over TCP."""
+"""The TCP server for other members' requests."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 log = EventLog(__name__)
 
 MAX_CONNECTIONS = 256
-MAX_CONCURRENT_REQUESTS = 64  # of one member; more wait on its connection
-HELLO_TIMEOUT_S = 5.0  # in which whoever connects must say who it is
+# Further requests of a connection wait until one has been answered.
+MAX_CONCURRENT_REQUESTS = 64
+HELLO_TIMEOUT_S = 5.0
 READ_CHUNK_BYTES = 65_536
 
 
 class PeerServer:
-    """Serves connections. ``handle`` is called for each request as it is read, with the member it is from."""
+    """Serves connections. ``handle`` is called with each request, in order, and the member that sent it."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         self._connections = 0
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Serve one member's connection; whatever is wrong with it ends this connection alone."""
+        """Serve a connection until it ends; an error closes only this connection."""
         if self._connections >= MAX_CONNECTIONS:
             self.counts["connections_rejected"] += 1
             await trio.aclose_forcefully(stream)
@@ -76,12 +77,17 @@
                 nursery.start_soon(self._respond, self.handle(member, frame), stream, send_lock, capacity)
 
     def _member_of(self, frame: Frame) -> str:
-        """Return the member that a connection's first frame names; raise MalformedMessageError for others."""
+        """Return the member named in a connection's first frame.
+
+        Raise MalformedMessageError if the frame is not a Hello of a member of this cluster.
+        """
         if not isinstance(frame, Hello):
-            raise MalformedMessageError("no greeting")
+            raise MalformedMessageError("first frame is not a Hello")
         if frame.cluster != self.cluster or frame.member not in self.members:
             self.counts["foreign"] += 1
-            raise MalformedMessageError("a stranger")
+            raise MalformedMessageError(
+                f"Hello of unknown member {frame.member!r} in cluster {frame.cluster!r}"
+            )
         return frame.member
 
     async def _respond(
--- a/fordstair/replication/peers.py
+++ b/fordstair/replication/peers.py
@@ -1,4 +1,4 @@
-"""Requests to members by name, this member itself among them."""
+"""Requests to members by name, including this member itself."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Peers:
-    """The ways to all members: a connection to each other one, and the request handler of this one."""
+    """Sends requests to other members over connections, and to this member's own request handler directly."""
 
     def __init__(self, state: ReplicaState, handler: RequestHandler, tasks: BackgroundTasks) -> None:
         settings = state.settings
@@ -36,11 +36,15 @@
 
     @property
     def sent_bytes(self) -> int:
-        """What was sent to other members so far, as requests."""
+        """The size of all requests sent to other members so far."""
         return sum(connection.sent_bytes for connection in self._connections.values())
 
     async def request(self, member: str, build: Callable[[int], Request], response_type: type[T]) -> T:
-        """Send a member a request, built for its id; raise PeerUnreachableError where no response comes."""
+        """Send a member the request that ``build`` returns for its id, and return the response.
+
+        Raise PeerUnreachableError if there is no valid response. If this is cancelled, the request may have
+        been sent.
+        """
         if member == self._member:
             response = await self._handler.handle(member, build(0)).when_written(self._counts)
             assert isinstance(response, response_type)
--- a/fordstair/replication/register_sync.py
+++ b/fordstair/replication/register_sync.py
@@ -1,4 +1,4 @@
-"""Anti-entropy of registers: values are set here, and taken in from others by digest and page."""
+"""Anti-entropy of registers: sets values, and pulls those of other members by digest and page."""
 
 from __future__ import annotations
 
@@ -19,7 +19,11 @@
 
 
 class RegisterSync:
-    """Sets registers and takes in others' ones; ``on_received`` is called when some were taken in."""
+    """Sets registers and pulls those of other members.
+
+    Attributes:
+        on_received: Called after an exchange that has changed registers.
+    """
 
     def __init__(self, state: ReplicaState, peers: Peers) -> None:
         self._state = state
@@ -31,7 +35,10 @@
         return {key: register.value for key, register in self._state.register_map.by_key.items()}
 
     async def set_values(self, values: Iterable[tuple[str, bytes]]) -> None:
-        """Set values here and now; others get them by exchange. What cannot be written stays in memory."""
+        """Set values now; other members pull them in an exchange.
+
+        If the store cannot be written, the values are kept in memory only.
+        """
         now_ms = self._state.now_ms()
         changed = list[tuple[str, Register]]()
         for key, value in values:
@@ -41,7 +48,7 @@
         await self._store(changed)
 
     async def exchange(self, member: str) -> None:
-        """Take in what was set later than what is known here; raise PeerUnreachableError."""
+        """Pull a member's registers that are later than those here; raise PeerUnreachableError."""
         response = await self._peers.request(member, RegisterDigestsRequest, DigestsResponse)
         received = 0
         for range_number in differing_ranges(self._state.register_map.digests, response.digests):
@@ -51,7 +58,7 @@
             self.on_received()
 
     async def _pull_range(self, member: str, range_number: int) -> int:
-        """Take a range in; return how many registers were new here."""
+        """Pull a range and return the number of registers that have changed here."""
         received = 0
         after_key: str | None = ""
         while after_key is not None:
--- a/fordstair/replication/replica_placement.py
+++ b/fordstair/replication/replica_placement.py
@@ -1,4 +1,4 @@
-"""Which members are replicas of a key, and how many of them are a quorum; pure."""
+"""The replicas of a key and the size of a quorum; pure."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 from hashlib import blake2b
 
 DEFAULT_REPLICATION_FACTOR = 3
-CACHED_KEYS = 4_096  # each change of a key looks its replicas up several times in a row
+# The replicas are cached, since each change of a key looks them up several times in succession.
+CACHED_KEYS = 4_096
 
 
 @lru_cache(maxsize=CACHED_KEYS)
@@ -22,5 +23,5 @@
 
 
 def quorum_size(replica_count: int) -> int:
-    """Return how many of a key's replicas are a majority."""
+    """Return the number of a key's replicas that are a majority."""
     return replica_count // 2 + 1
--- a/fordstair/replication/replica_state.py
+++ b/fordstair/replication/replica_state.py
@@ -1,4 +1,4 @@
-"""One member's replicated state and the store that holds it."""
+"""The replicated state of one member and its store."""
 
 from __future__ import annotations
 
@@ -22,17 +22,20 @@
 
 log = EventLog(__name__)
 
-REGISTER_RETENTION_MS = 7 * 86_400_000.0  # since a register was set
-MAX_REGISTERS = 5_000  # a decision module learns some hundred values
-REOPEN_INTERVAL_S = 1.0  # from a store that cannot be opened to the next attempt
+REGISTER_RETENTION_MS = 7 * 86_400_000.0
+# A decision module learns some hundred values.
+MAX_REGISTERS = 5_000
+REOPEN_INTERVAL_S = 1.0
 NOT_LOADED = "the store is not read yet"
 
 
 class ReplicaState:
     """Claims, registers and engines in memory, with the file that they are written to.
 
-    Its clock follows real time: a step of the wall clock lets nothing expire, and retains nothing longer.
-    ``new_store_until_s`` is the time, by trio's clock, until which ``is_new_store`` holds.
+    Its clock follows elapsed time, so that a step of the wall clock makes nothing expire earlier or later.
+
+    Attributes:
+        new_store_until_s: The time by trio's clock until which ``is_new_store`` is true.
     """
 
     def __init__(self, settings: ReplicationSettings, counts: Counter[str]) -> None:
@@ -60,25 +63,25 @@
 
     @property
     def unavailable_reason(self) -> str:
-        """Why this member grants no claim at the moment; empty: it does."""
+        """Why this member grants no claims at the moment; empty if it does."""
         return self.claim_replica.incomplete_reason or self.writer.unavailable_reason
 
     @property
     def is_new_store(self) -> bool:
-        """Whether the store was made by this start, and no member was there that could have known more."""
+        """Whether this start has created the store, and no other member's store is known to be older."""
         return self.new_store_until_s > trio.current_time()
 
     # Writing
 
     def add_records(self, records: Sequence[Record]) -> CommitBatch | None | StoreError:
-        """Queue records; return the commit to wait for, None where nothing is to be written, or the error."""
+        """Queue records; return the commit to wait for, None if there are no records, or the error."""
         try:
             return self.writer.add(records) if records else None
         except StoreError as error:
             return error
 
     async def put_records(self, records: Sequence[Record]) -> bool:
-        """Write records; False where they are not surely on disk."""
+        """Write records; return False if they may not be on disk."""
         try:
             await self.writer.put(records)
         except StoreError:
@@ -89,7 +92,7 @@
     # Loading
 
     async def load(self) -> None:
-        """Read the store, and retry until that can be done: the rest of the program goes on without it."""
+        """Read the store, retrying until that succeeds; the rest of the program runs without it meanwhile."""
         while True:
             try:
                 loaded = await trio.to_thread.run_sync(load_state, self.file, self.now_ms())
@@ -105,7 +108,7 @@
                 return
 
     def merge_loaded(self, loaded: LoadedState) -> None:
-        """Merge what the store held with what was received while it was read."""
+        """Merge the state read from the store with that received while it was read."""
         self.claim_replica.load(loaded.entries)
         for key, register in loaded.registers:
             self.register_map.merge(self.now_ms(), key, register)
--- a/fordstair/replication/request_handler.py
+++ b/fordstair/replication/request_handler.py
@@ -1,4 +1,4 @@
-"""What a member answers to each request, and what must be on disk before it may."""
+"""Handles members' requests; a response is sent only once the change behind it is on disk."""
 
 from __future__ import annotations
 
@@ -35,9 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingResponse:
-    """A response, the one to give where the write fails, and the commit that must be on disk before.
+    """A response that waits for a commit.
 
-    ``commit`` is None where nothing has to be written, and an error where it could not be queued.
+    Attributes:
+        response: The response once the commit is on disk.
+        on_write_failure: The response if the commit fails; None for a request that writes nothing.
+        commit: The commit, None if nothing has to be written, or the error if it could not be queued.
     """
 
     response: Response
@@ -45,7 +48,7 @@
     commit: CommitBatch | None | StoreError = None
 
     async def when_written(self, counts: Counter[str]) -> Response:
-        """Wait for the commit; return the response that may then be given."""
+        """Wait for the commit and return the response for its result."""
         try:
             if isinstance(self.commit, StoreError):
                 raise self.commit
@@ -59,17 +62,17 @@
 
 
 class RequestHandler:
-    """Does in memory what members request.
+    """Applies requests to the state in memory and queues the records to write.
 
-    It is called in the order in which requests come, and queues their records at once: a release may not
-    overtake its claim, in memory or on disk.
+    It must be called in the order in which the requests are received. It queues their records without
+    waiting, so that a release never overtakes its claim, in memory or on disk.
     """
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
 
     def handle(self, member: str, frame: Frame) -> PendingResponse:
-        """Handle a member's request; raise MalformedMessageError for a frame that is none."""
+        """Handle a member's request; raise MalformedMessageError if the frame is not a request."""
         match frame:
             case ClaimRequest():
                 return self._claim(frame)
@@ -87,12 +90,12 @@
                 return self._register_page(frame)
             case EngineSetRequest():
                 return self._engine_set(frame)
-        raise MalformedMessageError("no request")
+        raise MalformedMessageError(f"{type(frame).__name__} frame where a request is expected")
 
     def _claim(self, request: ClaimRequest) -> PendingResponse:
         vote, entry = self._state.claim_replica.claim(self._state.now_ms(), request.key, request.token)
         voted = VoteResponse(request.request_id, vote.status.value, vote.token, vote.outcome)
-        # Where the write fails nobody knows what is on disk: the key stays granted, without a vote for it.
+        # After a failed write the grant may be on disk nevertheless: the key stays granted, without a vote.
         failed = VoteResponse(request.request_id, VoteStatus.UNAVAILABLE.value, "", None)
         return self._when_entry_written(voted, failed, request.key, entry)
 
@@ -150,7 +153,7 @@
     def _engine_set(self, request: EngineSetRequest) -> PendingResponse:
         engines = self._state.engine_set
         state = engines.state if request.digest != engines.digest else None
-        return PendingResponse(EngineSetResponse(request.request_id, state, engines.registry_heard_ms))
+        return PendingResponse(EngineSetResponse(request.request_id, state, engines.registry_contact_ms))
 
     def _when_entry_written(
         self, written: Response, failed: Response, key: str, entry: ClaimEntry | None
--- a/fordstair/replication/service.py
+++ b/fordstair/replication/service.py
@@ -1,4 +1,4 @@
-"""Replication at one member, composed of its parts."""
+"""The replication service of one member."""
 
 from __future__ import annotations
 
@@ -27,9 +27,11 @@
 
 
 class ReplicationService:
-    """One member's replica: its claims, registers and engines, on disk and among the others.
+    """Stores one member's claims, registers and engines, and replicates them with the other members.
 
-    ``loaded`` is set once the store was read. ``port`` is the one that is listened on, 0 before ``run``.
+    Attributes:
+        loaded: Set once the store has been read.
+        port: The port that the service listens on, 0 before ``run`` has opened it.
     """
 
     def __init__(self, settings: ReplicationSettings, seed: int) -> None:
@@ -58,7 +60,7 @@
         )
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; raise OSError where the address cannot be listened on."""
+        """Serve until cancelled; raise OSError if the listening address cannot be bound."""
         try:
             async with trio.open_nursery() as nursery:
                 self._tasks.nursery = nursery
@@ -91,7 +93,7 @@
 
 @asynccontextmanager
 async def running_service(settings: ReplicationSettings, seed: int) -> AsyncIterator[ReplicationService]:
-    """Run a service for the length of a block."""
+    """Run a service for the duration of the context."""
     service = ReplicationService(settings, seed)
     async with trio.open_nursery() as nursery:
         await nursery.start(service.run)
--- a/fordstair/replication/settings.py
+++ b/fordstair/replication/settings.py
@@ -1,4 +1,4 @@
-"""What a member must know to replicate state with others."""
+"""Settings of replication."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationSettings:
-    """Settings of one member; they have to be the same for all, but for ``member``, ``listen`` and the path.
-
-    ``members`` are all that may be replicas, by name with their addresses, and fixed. ``listen`` is a host
-    and a port. ``claim_timeout_ms`` is the time in which a quorum must have voted; ``retention_ms`` how long
-    a claim is remembered; ``exchange_interval_ms`` the time between two exchanges with other members.
+    """Settings of one member. All but ``member``, ``listen`` and ``store_path`` must be equal at all members.
+
+    Attributes:
+        members: The addresses of all members that may be replicas, by name. The set is fixed.
+        listen: The host and port to listen on.
+        claim_timeout_ms: The time within which a quorum must have voted.
+        retention_ms: The time for which a claim is kept.
+        exchange_interval_ms: The mean delay before each exchange with another member.
     """
 
     cluster: str
@@ -31,6 +34,6 @@
 
     @property
     def connect_from_host(self) -> str:
-        """The host that connections go out from: the one that is listened on; empty: any."""
+        """The local host of outgoing connections: the one to listen on, or empty for any."""
         host = self.listen[0]
         return "" if host in ("0.0.0.0", "::", "") else host
--- a/fordstair/replication/stored_records.py
+++ b/fordstair/replication/stored_records.py
@@ -1,4 +1,4 @@
-"""How claims, registers and the engine set are stored as records, and how they are read back."""
+"""Conversion of claims, registers and the engine set to stored records, and back."""
 
 from __future__ import annotations
 
@@ -28,9 +28,13 @@
 
 @dataclass(slots=True)
 class LoadedState:
-    """What a store was found to hold."""
+    """The contents of a store.
 
-    incomplete_reason: str  # why grants may be missing; empty: none is
+    Attributes:
+        incomplete_reason: Why grants may be missing; empty if none is.
+    """
+
+    incomplete_reason: str
     corrupted_records: int = 0
     entries: list[tuple[str, ClaimEntry]] = field(default_factory=list)
     registers: list[tuple[str, Register]] = field(default_factory=list)
@@ -38,9 +42,10 @@
 
 
 def claim_record(key: str, entry: ClaimEntry) -> Record:
-    """Return the record of a claim's entry, which no reading of the wall clock lets expire.
+    """Return the record of a claim's entry, which has no expiry time.
 
-    A claim that is forgotten too early lets its load run twice. Its replica deletes it, by real time.
+    A claim that expired too early would let its load run twice. So it does not expire by the wall clock,
+    which may be stepped; its replica deletes it by elapsed time.
     """
     return Record(CLAIM_KIND, key.encode(), msgspec.msgpack.encode(entry))
 
@@ -52,18 +57,18 @@
 
 
 def engine_set_record(state: EngineSetState) -> Record:
-    """Return the record of the known engines."""
-    expires_ms = int(state.registry_heard_ms + MAX_AGE_MS)
+    """Return the record of the engine set."""
+    expires_ms = int(state.registry_contact_ms + MAX_AGE_MS)
     return Record(ENGINE_SET_KIND, _ENGINE_SET_KEY, msgspec.msgpack.encode(state), expires_ms)
 
 
 def deletion(kind: str, key: str) -> Record:
-    """Return the record that deletes the one of this kind and key."""
+    """Return a record that deletes the stored record of this kind and key."""
     return Record(kind, key.encode(), None)
 
 
 def load_state(file: RecordFile, now_ms: float) -> LoadedState:
-    """Open a store and read all of it; blocks. Raise StoreError where that cannot be done.
+    """Open a store and read all of it, blocking; raise StoreError if it cannot be opened or read.
 
     ``now_ms`` is Unix time.
     """
@@ -82,7 +87,10 @@
 
 
 def _load_corrupted(loaded: LoadedState, record: CorruptedRecord, now_ms: float) -> None:
-    """Keep what may have been a grant as one to an unknown claim; all other state converges again."""
+    """Keep a record that may have been a grant as a grant to an unknown claim.
+
+    Corrupted registers and engine sets are dropped, since that state converges again.
+    """
     loaded.corrupted_records += 1
     if record.kind in (REGISTER_KIND, ENGINE_SET_KIND):
         return
@@ -94,8 +102,8 @@
     try:
         if kind == CLAIM_KIND:
             entry = _entry_decoder.decode(value)
-            # How long the program was down is not known, and the wall clock may have been stepped meanwhile:
-            # each claim is retained for its whole time once more.
+            # It is not known how long the program was down, since the wall clock may have been stepped
+            # meanwhile. So each claim is kept for the full retention time again.
             loaded.entries.append((key.decode(), msgspec.structs.replace(entry, granted_ms=int(now_ms))))
         elif kind == REGISTER_KIND:
             loaded.registers.append((key.decode(), _register_decoder.decode(value)))
--- a/fordstair/store/__init__.py
+++ b/fordstair/store/__init__.py
@@ -1,1 +1,1 @@
-"""Durable records: one SQLite file, a checksum on each record, and group commit."""
+"""Durable storage of records in one SQLite file, with a checksum per record and group commit."""
--- a/fordstair/store/record.py
+++ b/fordstair/store/record.py
@@ -1,4 +1,4 @@
-"""A stored record, and what is left of one that fails its checksum; pure."""
+"""A stored record, and the remains of a record that fails its checksum; pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class Record:
     """One record, identified by kind and key; writing a value of None deletes it.
 
-    ``expires_ms`` is the Unix time in milliseconds after which it may be deleted; 0: never.
+    ``expires_ms`` is the Unix time in milliseconds after which it may be deleted, or 0 if it never expires.
     """
 
     kind: str
@@ -20,14 +20,14 @@
 
     @property
     def checksum(self) -> int:
-        """CRC-32 over all fields."""
+        """The CRC-32 of all fields."""
         header = f"{self.kind}|{self.expires_ms}|{len(self.key)}|".encode()
         return crc32(self.value or b"", crc32(self.key, crc32(header)))
 
 
 @dataclass(frozen=True, slots=True)
 class CorruptedRecord:
-    """A record that fails its checksum: neither its contents nor its key can be relied on."""
+    """A record that fails its checksum; neither its contents nor its key are reliable."""
 
     kind: str
     key: bytes
@@ -36,7 +36,10 @@
 def parse_record(
     kind: object, key: object, value: object, expires_ms: object, checksum: object
 ) -> Record | CorruptedRecord:
-    """Return the record of a row of the file; a flipped bit may have changed the type of any column."""
+    """Return the record in a row of the table, or a CorruptedRecord if its checksum does not match.
+
+    A flipped bit may have changed the type of any column.
+    """
     if (
         isinstance(kind, str)
         and isinstance(key, bytes)
--- a/fordstair/store/record_file.py
+++ b/fordstair/store/record_file.py
@@ -1,7 +1,7 @@
-"""One file of records in SQLite (WAL mode, each commit synced to disk); it starts no task and reads no clock.
+"""A file of records in SQLite, in WAL mode with each commit synced to disk. Starts no task, reads no clock.
 
-SQLite discards a torn tail of its log by itself. It does not notice a bit that flips in the table: each
-record carries a checksum, and one that fails it is reported in place of the record.
+SQLite discards a torn tail of its log, but does not detect a flipped bit in the table. Each record therefore
+has a checksum, and reading yields a CorruptedRecord in place of one whose checksum does not match.
 """
 
 from __future__ import annotations
@@ -21,26 +21,32 @@
 _PRAGMAS = (
     "PRAGMA journal_mode=WAL",
     "PRAGMA synchronous=FULL",
-    "PRAGMA locking_mode=EXCLUSIVE",  # two programs on one file would both grant claims
-    "PRAGMA cache_size=-1024",  # in KiB
+    # Two processes that share a file would both grant claims.
+    "PRAGMA locking_mode=EXCLUSIVE",
+    # A negative size is in KiB.
+    "PRAGMA cache_size=-1024",
 )
 
 
 class RecordFile:
-    """The file. All calls block and are made one at a time, from any thread.
+    """The file. All calls block; they may come from any thread, but only one at a time.
 
-    ``newly_created`` tells whether the last ``open`` made the file: nothing is known of an earlier process.
+    Attributes:
+        newly_created: Whether the last ``open`` created the file, so that nothing of an earlier
+            process is known.
+        commits: The number of successful calls of ``write``.
+        written_bytes: The total size of the keys and values written, those of failed commits included.
     """
 
     def __init__(self, path: str) -> None:
         self.path = path
         self.newly_created = False
         self.commits = 0
-        self.written_bytes = 0  # of keys and values
+        self.written_bytes = 0
         self._database: sqlite3.Connection | None = None
 
     def open(self) -> None:
-        """Open the file, or create it; raise StoreError where it cannot be used."""
+        """Open the file, creating it if it is missing; raise StoreError if it cannot be used."""
         path = Path(self.path)
         self.newly_created = not path.exists() or path.stat().st_size == 0
         try:
@@ -67,14 +73,17 @@
         database.execute("COMMIT")
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the file; do nothing if it is not open."""
         if self._database is not None:
             database = self._database
             self._database = None
             database.close()
 
     def write(self, records: Iterable[Record]) -> None:
-        """Write records in one commit, on disk when this returns; raise StoreError, and write none."""
+        """Write records in one commit, which is on disk when this returns.
+
+        Raise StoreError if the commit fails; none of the records is then written.
+        """
         database = self._require_open()
         try:
             database.execute("BEGIN IMMEDIATE")
@@ -100,13 +109,14 @@
         if database.in_transaction:
             try:
                 database.execute("ROLLBACK")
-            except sqlite3.Error:  # a full disk may refuse this as well
+            except sqlite3.Error:
+                # On a full disk the rollback may fail as well.
                 self.close()
 
     def read(self, now_ms: float) -> Iterator[Record | CorruptedRecord]:
-        """Yield what has not expired by Unix time ``now_ms``, by kind and key.
+        """Yield the records not expired at Unix time ``now_ms``, and all corrupted ones, by kind and key.
 
-        Raise StoreError where a page is unreadable.
+        Raise StoreError if a page is unreadable.
         """
         database = self._require_open()
         try:
@@ -120,7 +130,7 @@
             raise self._store_error(error) from None
 
     def delete_expired(self, now_ms: float) -> int:
-        """Delete what has expired by Unix time ``now_ms``; return how many records."""
+        """Delete the records that are expired at Unix time ``now_ms`` and return their number."""
         database = self._require_open()
         try:
             return database.execute(
@@ -131,12 +141,12 @@
 
     @property
     def size_bytes(self) -> int:
-        """What the file and its log take on disk."""
+        """The size of the file and its write-ahead log on disk."""
         paths = (Path(self.path), Path(self.path + "-wal"))
         return sum(path.stat().st_size for path in paths if path.exists())
 
     def quarantine(self) -> str:
-        """Rename a corrupted file, so that it can be looked into; return its new name."""
+        """Rename a corrupted file, so that it is kept for inspection, and return its new name."""
         self.close()
         quarantined = f"{self.path}.damaged"
         for suffix in ("", "-wal"):
@@ -146,7 +156,7 @@
         return quarantined
 
     def _store_error(self, error: Exception) -> StoreError:
-        # The library raises DatabaseError itself for unreadable contents, and a subclass for all else.
+        # sqlite3 raises DatabaseError itself for unreadable contents, and a subclass for all other errors.
         error_type = StoreCorruptedError if type(error) is sqlite3.DatabaseError else StoreError
         return error_type(f"{self.path}: {error}")
 
--- a/fordstair/store/writer.py
+++ b/fordstair/store/writer.py
@@ -1,4 +1,7 @@
-"""Group commit: tasks share commits, which run one at a time in a thread; no task blocks on the disk."""
+"""Group commit: the writes of several tasks share a commit.
+
+Commits run one at a time in a worker thread, so that no task blocks on the disk.
+"""
 
 from __future__ import annotations
 
@@ -13,36 +16,43 @@
 
 log = EventLog(__name__)
 
-MAX_WAITING_WRITES = 4_096  # more are rejected at once
-REOPEN_INTERVAL_S = 1.0  # from a failed commit to the next attempt to open the file
-PROBE_BYTES = 4_096  # that must be written before the file counts as writable again
+# Further writes are rejected immediately.
+MAX_QUEUED_WRITES = 4_096
+REOPEN_INTERVAL_S = 1.0
+# Size of the record that must be written before the file counts as writable again.
+PROBE_BYTES = 4_096
 
 
 class CommitBatch:
-    """Records that go into one commit."""
+    """The records of one commit.
+
+    Attributes:
+        write_count: The number of calls of ``GroupCommitWriter.add`` that share the commit.
+    """
 
     def __init__(self) -> None:
         self.records: list[Record] = []
-        self.writes = 0  # calls of ``add`` that the batch holds
+        self.write_count = 0
         self._finished = trio.Event()
         self._error = ""
 
     async def written(self) -> None:
-        """Wait for the commit; raise StoreError where it failed, though its records may be on disk."""
+        """Wait for the commit; raise StoreError if it failed, though its records may still be on disk."""
         await self._finished.wait()
         if self._error:
             raise StoreError(self._error)
 
     def finish(self, error: str = "") -> None:
-        """Wake up all who wait; an error is what they get."""
+        """Wake all tasks in ``written``; with an error, they raise StoreError."""
         self._error = error
         self._finished.set()
 
 
 class GroupCommitWriter:
-    """The file as tasks use it: ``put`` returns once its records are on disk.
+    """Queues the writes of tasks and commits them in batches.
 
-    ``unavailable_reason`` says why nothing can be written at the moment; empty: it can.
+    Attributes:
+        unavailable_reason: Why nothing can be written at the moment; empty if the file is writable.
     """
 
     def __init__(self, file: RecordFile) -> None:
@@ -52,27 +62,34 @@
         self._work_added = trio.Event()
 
     def add(self, records: Sequence[Record]) -> CommitBatch:
-        """Queue records, to be written in the order of these calls; raise StoreError if that is pointless."""
-        if self.unavailable_reason or self._next_batch.writes >= MAX_WAITING_WRITES:
-            raise StoreError(self.unavailable_reason or "too many writes wait")
+        """Queue records, which are written in the order of these calls, and return their batch.
+
+        Raise StoreError if the file is not writable or the queue is full.
+        """
+        if self.unavailable_reason or self._next_batch.write_count >= MAX_QUEUED_WRITES:
+            raise StoreError(self.unavailable_reason or "too many writes are queued for the next commit")
         self._next_batch.records += records
-        self._next_batch.writes += 1
+        self._next_batch.write_count += 1
         self._work_added.set()
         return self._next_batch
 
     async def put(self, records: Sequence[Record]) -> None:
-        """Write records; raise StoreError where they are not surely on disk, though they may be."""
+        """Write records and return once they are on disk.
+
+        Raise StoreError if they may not be on disk. If this is cancelled, they may still be written.
+        """
         await self.add(records).written()
 
     async def run(self) -> None:
-        """Commit whatever waits, until cancelled."""
+        """Commit the queued records batch by batch, until cancelled."""
         while True:
             await self._work_added.wait()
             self._work_added = trio.Event()
             batch = self._next_batch
             self._next_batch = CommitBatch()
             try:
-                with trio.CancelScope(shield=True):  # a commit is not abandoned half-way
+                # Cancellation waits for a commit that is in progress.
+                with trio.CancelScope(shield=True):
                     await trio.to_thread.run_sync(self.file.write, batch.records)
             except StoreError as error:
                 await self._recover(batch, str(error))
@@ -80,7 +97,7 @@
                 batch.finish()
 
     async def _recover(self, failed_batch: CommitBatch, reason: str) -> None:
-        """Fail all who wait, and reject writes until the file can be written again."""
+        """Finish both batches with the error, and reject writes until the file is writable again."""
         self.unavailable_reason = reason
         log.error("store.cannot_write", why=reason)
         for batch in (failed_batch, self._next_batch):
@@ -97,9 +114,10 @@
                 log.info("store.writes_again", path=self.file.path)
 
     def _reopen(self) -> None:
-        """Open the file again, and prove that it can be written; raise StoreError where it cannot."""
+        """Reopen the file and write a probe record to it; raise StoreError if that fails."""
         self.file.close()
         self.file.open()
-        if self.file.newly_created:  # which claims were granted is forgotten: only a restart recovers them
+        # A new file has lost the granted claims, which only a restart recovers.
+        if self.file.newly_created:
             raise StoreError(f"{self.file.path}: was taken away")
         self.file.write([Record("store", b"probe", b"x" * PROBE_BYTES, 1)])
--- a/tests/replication/test_registers.py
+++ b/tests/replication/test_registers.py
@@ -45,7 +45,7 @@
         member.expire(1e6 + 2e9)
         assert not member.by_key
         assert not any(member.digests)
-        assert member.forgotten_keys
+        assert member.expired_keys
 
 
 def test_a_hybrid_clock_goes_above_what_it_hears_and_believes_no_far_future() -> None:
