--- a/tests/replication/__init__.py
+++ b/tests/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replication of claims, registers and engines, and the store that holds them."""
+"""Tests of the replication of claims, registers and engines, and of the store."""
--- a/tests/replication/test_claims.py
+++ b/tests/replication/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: the merge of copies, verdicts and replicas under any order of events."""
+"""Tests of claims: the merge of entries, verdicts, and replicas under any order of events."""
 
 from __future__ import annotations
 
@@ -32,19 +32,24 @@
     assert merge_entries(merge_entries(a, b), b) == merge_entries(a, b)
 
 
-def replica(own: str = "h0", members: tuple[str, ...] = ("h0", "h1", "h2"), most: int = 100) -> ClaimReplica:
-    return ClaimReplica(own, members, 3, 600_000.0, most)
+def replica(
+    own: str = "h0", members: tuple[str, ...] = ("h0", "h1", "h2"), max_entries: int = 100
+) -> ClaimReplica:
+    return ClaimReplica(own, members, 3, 600_000.0, max_entries)
 
 
 @FIXED
 @given(st.integers(0, 2**32), st.integers(2, 4), st.sampled_from([3, 5]))
-def test_no_key_runs_for_two_claims_whatever_is_lost_late_doubled_or_forgotten(
+def test_at_most_one_claim_is_granted_with_lost_delayed_duplicated_messages_and_crashes(
     seed: int, claimants: int, count: int
 ) -> None:
-    """Messages arrive in any order, some never, some twice; replicas crash to what they had written."""
+    """Guards against two quorums for one key.
+
+    Messages are reordered, lost and duplicated, and replicas restart with only what is on their disks.
+    """
     rng = random.Random(seed)
     names = tuple(f"h{number}" for number in range(count))
-    memory = {name: ClaimReplica(name, names, count, 600_000.0, 100) for name in names}
+    replicas = {name: ClaimReplica(name, names, count, 600_000.0, 100) for name in names}
     disk: dict[str, dict[str, ClaimEntry]] = {name: {} for name in names}
     claims = [ClaimQuorum("k", f"c{number}", names) for number in range(claimants)]
     verdicts: dict[str, ClaimVerdict] = {}
@@ -54,16 +59,18 @@
     while messages:
         kind, number, name, vote = messages.pop(rng.randrange(len(messages)))
         claim = claims[number]
-        replica_there = memory[name]
+        target = replicas[name]
         if rng.random() < 0.15:
-            continue  # lost
-        if rng.random() < 0.1:  # a crash: only what is on disk comes back
-            memory[name] = replica_there = ClaimReplica(name, names, count, 600_000.0, 100)
-            replica_there.load(disk[name].items())
+            continue
+        if rng.random() < 0.1:
+            # The replica crashes and loads only what is on its disk.
+            replicas[name] = target = ClaimReplica(name, names, count, 600_000.0, 100)
+            target.load(disk[name].items())
         if kind == "claim":
-            answer, entry = replica_there.claim(1.0, "k", claim.token)
+            answer, entry = target.claim(1.0, "k", claim.token)
             if entry is not None:
-                if rng.random() < 0.1:  # the write fails: granted in memory, without a vote for it
+                if rng.random() < 0.1:
+                    # The write fails: the key stays granted in memory, without a vote for the claim.
                     answer = Vote(VoteStatus.UNAVAILABLE)
                 else:
                     disk[name]["k"] = entry
@@ -79,11 +86,9 @@
                 elif rng.random() < 0.5:
                     messages += [("settle", number, each, None) for each in names]
         elif kind == "release":
-            if replica_there.release("k", claim.token):
+            if target.release("k", claim.token):
                 disk[name].pop("k", None)
-        elif (
-            kind == "settle" and (written := replica_there.settle(1.0, "k", claim.token, b"done")) is not None
-        ):
+        elif kind == "settle" and (written := target.settle(1.0, "k", claim.token, b"done")) is not None:
             disk[name]["k"] = written
     assert sum(verdict is ClaimVerdict.GRANTED for verdict in verdicts.values()) <= 1, verdicts
 
@@ -104,8 +109,10 @@
         ((), True, ClaimVerdict.REJECTED),
         ((UNAVAILABLE, UNAVAILABLE), False, ClaimVerdict.REJECTED),
         ((taken("b"), taken("b")), False, ClaimVerdict.UNKNOWN),
-        ((taken("b"), taken("c")), False, ClaimVerdict.UNKNOWN),  # the third may have granted either
-        ((taken("b"), taken("c"), taken("d")), False, ClaimVerdict.REJECTED),  # a split is nobody's
+        # The third replica may have granted either.
+        ((taken("b"), taken("c")), False, ClaimVerdict.UNKNOWN),
+        # No claim has a quorum if the votes are split.
+        ((taken("b"), taken("c"), taken("d")), False, ClaimVerdict.REJECTED),
         ((taken("b"), taken("c"), GRANTED), False, ClaimVerdict.REJECTED),
         ((taken("b"), GRANTED), True, ClaimVerdict.UNKNOWN),
         ((taken("b"), UNAVAILABLE, UNAVAILABLE), False, ClaimVerdict.UNKNOWN),
@@ -113,18 +120,19 @@
         ((taken("b", b"done"),), False, ClaimVerdict.ALREADY_RUN),
     ],
 )
-def test_a_claims_verdict_is_what_its_replicas_votes_allow(
+def test_verdict_follows_from_the_votes(
     votes: tuple[Vote, ...], final: bool, verdict: ClaimVerdict | None
 ) -> None:
     for order in permutations(range(3), len(votes)):
         claim = ClaimQuorum("k", "a", ("h0", "h1", "h2"))
-        for place, vote in zip(order, votes, strict=True):
-            claim.record_vote(f"h{place}", vote)
-            claim.record_vote(f"h{place}", GRANTED)  # a second vote of the same replica counts for nothing
+        for number, vote in zip(order, votes, strict=True):
+            claim.record_vote(f"h{number}", vote)
+            # A second vote of the same replica is ignored.
+            claim.record_vote(f"h{number}", GRANTED)
         assert claim.verdict(final=final) is verdict
 
 
-def test_replicas_are_spread_and_their_digests_show_whether_what_they_share_is_equal() -> None:
+def test_replicas_are_balanced_and_digests_compare_their_shared_entries() -> None:
     members = tuple(f"h{number}" for number in range(5))
     counts = Counter(name for number in range(1_000) for name in replicas_of(f"k{number}", members))
     assert set(counts) == set(members)
@@ -147,8 +155,8 @@
     assert not len(one.ranges)
 
 
-def test_a_full_or_incomplete_replica_grants_nothing_and_still_says_what_it_knows() -> None:
-    one = replica(most=2)
+def test_a_full_or_incomplete_replica_grants_nothing_and_still_reports_known_entries() -> None:
+    one = replica(max_entries=2)
     for key in ("a", "b"):
         assert one.claim(1.0, key, "t")[0].status is VoteStatus.GRANTED
     assert one.claim(1.0, "c", "t")[0].status is VoteStatus.UNAVAILABLE
@@ -160,19 +168,19 @@
     assert two.claim(2.0, "a", "u")[0] == taken("t", b"x")
 
 
-def test_pages_of_a_range_are_bounded_and_leave_nothing_out() -> None:
-    one = replica(most=5_000)
+def test_pages_of_a_range_are_bounded_and_complete() -> None:
+    one = replica(max_entries=5_000)
     for number in range(800):
         one.claim(1.0, f"k{number}", "t")
         if number % 2:
             one.settle(1.0, f"k{number}", "t", b"x" * 100)
-    for grants in (False, True):
+    for include_unsettled in (False, True):
         seen = list[str]()
-        for which in range(RANGE_COUNT):
-            after, more = "", True
+        for range_number in range(RANGE_COUNT):
+            after_key, more = "", True
             while more:
-                page, more = one.page(which, after, 500, include_unsettled=grants)
+                page, more = one.page(range_number, after_key, 500, include_unsettled=include_unsettled)
                 assert sum(len(entry.outcome or b"") for _, entry in page) <= 700
                 seen += [key for key, _ in page]
-                after = page[-1][0] if page else ""
-        assert sorted(seen) == sorted(f"k{n}" for n in range(800) if grants or n % 2)
+                after_key = page[-1][0] if page else ""
+        assert sorted(seen) == sorted(f"k{n}" for n in range(800) if include_unsettled or n % 2)
--- a/tests/replication/test_engine_set.py
+++ b/tests/replication/test_engine_set.py
@@ -1,4 +1,4 @@
-"""The set of known engines: it converges, removals stay, and restored engines count as cold."""
+"""Tests of the engine set: convergence, removals, and restored engines that count as cold."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def random_sets(rng: random.Random) -> list[EngineSet]:
-    """Three members whose registers tell them this and that, with merges in between."""
+    """Return the sets of three members after random updates from their registries and random merges."""
     members = [EngineSet(name) for name in "abc"]
     for now in range(1_000, 1_030):
         member = rng.choice(members)
@@ -33,15 +33,15 @@
 
 
 def joined(*sets: EngineSet) -> EngineSet:
-    whole = EngineSet("z")
-    for each in sets:
-        whole.merge(2_000.0, each.state)
-    return whole
+    merged = EngineSet("z")
+    for engine_set in sets:
+        merged.merge(2_000.0, engine_set.state)
+    return merged
 
 
 @FIXED
 @given(st.integers(0, 2**32))
-def test_the_engine_set_is_a_join_that_all_members_reach(seed: int) -> None:
+def test_merging_engine_sets_is_a_join_and_converges(seed: int) -> None:
     a, b, c = random_sets(random.Random(seed))
     assert joined(a, b).dots == joined(b, a).dots
     assert joined(joined(a, b), c).dots == joined(a, joined(b, c)).dots == joined(c, b, a, a, c).dots
@@ -53,22 +53,20 @@
     assert a.engines == b.engines == c.engines
 
 
-def test_an_engine_that_was_removed_stays_so_and_one_added_meanwhile_stays() -> None:
+def test_removed_engines_stay_removed_and_concurrent_additions_are_kept() -> None:
     a, b = EngineSet("a"), EngineSet("b")
     a.update_from_registry(1_000, 1_000, [listed("x"), listed("y")])
     b.merge(1_000, a.state)
     b.update_from_registry(1_001, 1_001, [listed("x"), listed("y")])
     a.update_from_registry(1_002, 1_002, [listed("y")])
     b.merge(1_002, a.state)
-    b.update_from_registry(
-        1_003, 1_003, [listed("x"), listed("y")]
-    )  # its register lags: that brings nothing back
+    # The registry of b lags, which does not add x again.
+    b.update_from_registry(1_003, 1_003, [listed("x"), listed("y")])
     assert set(b.engines) == {"y"}
     b.update_from_registry(1_004, 1_004, [listed("y"), listed("z")])
     a.update_from_registry(1_004, 1_004, [listed("y"), listed("y2")])
-    b.update_from_registry(
-        1_005, 1_005, [listed("z"), listed("x", 900)]
-    )  # y goes, and x is back under another start
+    # y is removed, and x is listed again with another start time.
+    b.update_from_registry(1_005, 1_005, [listed("z"), listed("x", 900)])
     a.merge(1_006, b.state)
     b.merge(1_006, a.state)
     assert set(a.engines) == set(b.engines) == {"z", "x", "y2"}
@@ -82,19 +80,19 @@
     new = EngineSet("n")
     new.update_from_registry(1_007, 1_007, [])
     new.merge(1_007, a.state)
-    new.update_from_registry(
-        1_008, 1_008, [listed("z")]
-    )  # what others add is not taken out by who never listed it
+    # A member whose registry never listed an engine does not remove what others have added.
+    new.update_from_registry(1_008, 1_008, [listed("z")])
     assert set(new.engines) == {"z", "x", "y2"}
 
 
-def test_engines_from_the_set_count_as_cold_where_nobody_heard_the_registry_lately() -> None:
-    known, restored = EngineSet("a"), EngineRestorer(slow_start_ms=5_000.0)
+def test_restored_engines_are_cold_if_the_last_registry_contact_is_old() -> None:
+    known, restorer = EngineSet("a"), EngineRestorer(slow_start_ms=5_000.0)
     known.update_from_registry(1_000, 1_000, [listed("x", 500.0)])
-    assert [each.started_at for each in restored.engines(2_000.0, known)] == [UnixMs(500.0)]
+    assert [engine.started_at for engine in restorer.engines(2_000.0, known)] == [UnixMs(500.0)]
     known.update_from_registry(1_000, 1_000, [listed("x", 500.0), listed("y", 500.0)])
-    later = {each.entry.engine: each.started_at for each in restored.engines(9_000.0, known)}
+    later = {engine.entry.engine: engine.started_at for engine in restorer.engines(9_000.0, known)}
     assert later == {"x": UnixMs(500.0), "y": UnixMs(9_000.0)}
-    again = {each.entry.engine: each.started_at for each in restored.engines(9_500.0, known)}
-    assert again == later  # what was said once stays
-    assert restored.engines(1_000.0 + MAX_AGE_MS, known) == []
+    again = {engine.entry.engine: engine.started_at for engine in restorer.engines(9_500.0, known)}
+    # A start time returned once does not change.
+    assert again == later
+    assert restorer.engines(1_000.0 + MAX_AGE_MS, known) == []
--- a/tests/replication/test_learned_costs.py
+++ b/tests/replication/test_learned_costs.py
@@ -1,4 +1,4 @@
-"""Learned costs are taken over where too little was learned."""
+"""Tests of learned costs, which are restored where too little was learned."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.helpers import settings as settings_of
 
 
-def test_costs_learned_by_one_module_serve_another_that_has_seen_nothing() -> None:
+def test_costs_learned_by_one_module_are_restored_in_a_new_one() -> None:
     rig = Rig(settings_of(instances=2))
     for _ in range(20):
         request = rig.ask(0, 0.0, table_group=7.0)
@@ -28,10 +28,12 @@
         },
     ) == len(values)
     assert new.gateway.cost_model.predict(0, 7.0, 0.0) == pytest.approx(340.0, rel=0.02)
-    assert restore_values(new.gateway, values) == 0  # what it has goes first
+    # Means with enough outcomes are not replaced.
+    assert restore_values(new.gateway, values) == 0
     request = new.ask(0, 0.0, table_group=7.0)
     new.end(request, work_ms=3_400.0, latency=400.0)
-    assert new.gateway.cost_model.class_mean(0) > 400.0  # and what it sees counts at once
+    # New outcomes take effect immediately.
+    assert new.gateway.cost_model.class_mean(0) > 400.0
     old, other = values["class|quick|mean"], values["class|quick|memory"]
     assert not differs_enough(old, old)
     assert differs_enough(old, other)
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -1,4 +1,4 @@
-"""Replication among running programs: SIGKILL, partitions, a lost store; every history is checked."""
+"""Tests of replication among real processes: SIGKILL, partitions, a lost store. Each history is checked."""
 
 from __future__ import annotations
 
@@ -14,69 +14,70 @@
 from fordstair.lab.replication_faults import kill_members, partition_members
 from fordstair.lab.replication_trial import ReplicationTrial, running_trial, stored_entries
 from fordstair.replication.claim_coordinator import SETTLE_TIMEOUT_S
-from tests.scenes import play as bounded
+from tests.scenes import play as run_with_timeout
 from tests.standins import config, engine, program
 
 
-def play(scene: Callable[[Path], Awaitable[None]]) -> None:
-    """Run a scene in a folder of its own."""
+def run_scenario(scenario: Callable[[Path], Awaitable[None]]) -> None:
+    """Run a scenario in a temporary folder, for at most 110 s."""
 
-    async def in_a_folder() -> None:
+    async def run_in_folder() -> None:
         with tempfile.TemporaryDirectory(prefix="led") as folder:
-            await scene(Path(folder))
+            await scenario(Path(folder))
 
-    bounded(in_a_folder, 110.0)
+    run_with_timeout(run_in_folder, 110.0)
 
 
-def address_of_a_free_port() -> str:
+def free_address() -> str:
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-async def assert_promises_kept(trial: ReplicationTrial, ids: list[str]) -> None:
-    """All promises were kept, and something was put to the test."""
+async def assert_history_is_valid(trial: ReplicationTrial, ids: list[str]) -> None:
+    """Assert that the history has no violation, that a load has run, and that an outcome is replicated."""
     outcomes = await trial.settle_and_stop(ids)
     assert find_violations(trial.operations, trial.run_counts, outcomes) == []
-    assert any(trial.run_counts[id] for id in ids)  # how many is no promise: what is lost stays unknown
-    assert any(len(told) > 1 for told in outcomes.values())
+    # How many loads run is not guaranteed, since the result of a lost load stays unknown.
+    assert any(trial.run_counts[id] for id in ids)
+    assert any(len(copies) > 1 for copies in outcomes.values())
 
 
-def test_a_load_sent_through_all_members_at_once_runs_once_and_all_tell_its_answer() -> None:
-    async def scene(folder: Path) -> None:
+def test_a_load_sent_through_all_members_at_once_runs_once_and_all_return_its_answer() -> None:
+    async def scenario(folder: Path) -> None:
         async with running_trial(folder, seed=11) as trial:
             ids = [trial.new_load_id() for _ in range(20)]
             async with trio.open_nursery() as nursery:
                 for id in ids:
                     for name in trial.names:
                         nursery.start_soon(trial.send_load, name, id)
-            await assert_promises_kept(trial, ids)
-            final = [each for each in trial.operations if each.after_faults]
-            assert len(final) == 60
-            assert all(each.result == "ok" for each in final)
+            await assert_history_is_valid(trial, ids)
+            after_faults = [operation for operation in trial.operations if operation.after_faults]
+            assert len(after_faults) == 60
+            assert all(operation.result == "ok" for operation in after_faults)
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", [21, 22])
-def test_members_killed_at_random_moments_run_no_load_twice_and_lose_no_claim(seed: int) -> None:
-    async def scene(folder: Path) -> None:
+def test_members_killed_at_random_times_run_no_load_twice_and_lose_no_claim(seed: int) -> None:
+    async def scenario(folder: Path) -> None:
         async with running_trial(folder, seed=seed) as trial:
-            await assert_promises_kept(trial, await kill_members(trial, 8))
+            await assert_history_is_valid(trial, await kill_members(trial, 8))
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_partitions_with_the_same_ids_on_both_sides_run_no_load_twice() -> None:
-    async def scene(folder: Path) -> None:
+    async def scenario(folder: Path) -> None:
         async with running_trial(folder, member_count=5, seed=31) as trial:
-            await assert_promises_kept(trial, await partition_members(trial, 6))
+            await assert_history_is_valid(trial, await partition_members(trial, 6))
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_member_that_lost_its_store_grants_nothing_until_it_has_heard_all_others() -> None:
-    async def scene(folder: Path) -> None:
+def test_a_member_that_lost_its_store_grants_nothing_until_all_others_have_responded() -> None:
+    async def scenario(folder: Path) -> None:
         async with running_trial(folder, seed=41) as trial:
             ids = [trial.new_load_id() for _ in range(10)]
             for id in ids:
@@ -86,60 +87,65 @@
                 path.unlink()
             trial.relay.part({"m1"}, {"m2"})
             await trial.start("m1")
-            trial.relay.part({"m0"}, {"m1", "m2"})  # with m2 alone it would be a majority without m0's memory
-            fresh = [trial.new_load_id() for _ in range(3)]
+            # With m2 alone, m1 would form a majority that lacks the grants of m0.
+            trial.relay.part({"m0"}, {"m1", "m2"})
+            new_ids = [trial.new_load_id() for _ in range(3)]
             trial.relay.heal()
             trial.relay.part({"m0"}, {"m1", "m2"})
-            for id in fresh:
+            for id in new_ids:
                 assert await trial.send_load("m1", id) != "ok"
             trial.relay.heal()
             await trial.wait_until_granting()
-            await assert_promises_kept(trial, ids + fresh)
+            await assert_history_is_valid(trial, ids + new_ids)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_member_back_after_a_while_catches_up_on_what_it_missed() -> None:
-    async def scene(folder: Path) -> None:
+def test_a_restarted_member_catches_up_on_missed_claims() -> None:
+    async def scenario(folder: Path) -> None:
         async with running_trial(folder, seed=51) as trial:
             trial.kill("m2")
             ids = [trial.new_load_id() for _ in range(60)]
             for id in ids:
                 assert await trial.send_load("m0", id) == "ok"
-            await trio.sleep(SETTLE_TIMEOUT_S + 0.5)  # so that nobody tells it any more of its own accord
+            # After the timeout, the other members no longer send the outcomes on their own.
+            await trio.sleep(SETTLE_TIMEOUT_S + 0.5)
             await trial.start("m2")
             with trio.fail_after(20.0):
                 while not any("ledger.caught_up" in path.read_text() for path in folder.glob("m2.*.log")):
                     await trio.sleep(0.1)
-            await assert_promises_kept(trial, ids)
+            await assert_history_is_valid(trial, ids)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_member_whose_disk_is_full_grants_nothing_and_the_others_go_on() -> None:
-    async def scene(folder: Path) -> None:
+def test_a_member_whose_disk_is_full_grants_nothing_and_the_others_continue() -> None:
+    async def scenario(folder: Path) -> None:
         async with running_trial(folder, seed=71) as trial:
             ids = [trial.new_load_id() for _ in range(5)]
             for id in ids:
                 assert await trial.send_load("m0", id) == "ok"
             trial.fill_disk("m1")
-            with trio.fail_after(20.0):  # until a write has met the end of the disk
+            # Loads are sent until a write fails on the full disk.
+            with trio.fail_after(20.0):
                 while "store.cannot_write" not in (folder / "m1.1.log").read_text():
                     ids.append(trial.new_load_id())
-                    assert await trial.send_load("m1", ids[-1]) == "ok"  # by the two that can write
+                    # The two members that can write are a quorum.
+                    assert await trial.send_load("m1", ids[-1]) == "ok"
             for name in trial.names:
                 ids.append(trial.new_load_id())
                 assert await trial.send_load(name, ids[-1]) == "ok"
             trial.fill_disk("m2")
-            stuck = list[str]()
+            ungranted_ids = list[str]()
             with trio.fail_after(20.0):
                 while "store.cannot_write" not in (folder / "m2.1.log").read_text():
-                    stuck.append(trial.new_load_id())
-                    await trial.send_load("m0", stuck[-1])
+                    ungranted_ids.append(trial.new_load_id())
+                    await trial.send_load("m0", ungranted_ids[-1])
             before = trial.run_counts.total()
-            for name in trial.names:  # one of three is no majority
-                stuck.append(trial.new_load_id())
-                assert await trial.send_load(name, stuck[-1]) != "ok"
+            # One of three members is no majority.
+            for name in trial.names:
+                ungranted_ids.append(trial.new_load_id())
+                assert await trial.send_load(name, ungranted_ids[-1]) != "ok"
             assert trial.run_counts.total() == before
             trial.clear_disk("m1")
             trial.clear_disk("m2")
@@ -148,36 +154,37 @@
             for name in trial.names:
                 ids.append(trial.new_load_id())
                 assert await trial.send_load(name, ids[-1]) == "ok"
-            await assert_promises_kept(trial, ids + stuck)
+            await assert_history_is_valid(trial, ids + ungranted_ids)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_member_with_a_flipped_bit_grants_nothing_until_it_has_heard_all_others() -> None:
-    async def scene(folder: Path) -> None:
+def test_a_member_with_a_flipped_bit_grants_nothing_until_all_others_have_responded() -> None:
+    async def scenario(folder: Path) -> None:
         async with running_trial(folder, seed=81) as trial:
             ids = [trial.new_load_id() for _ in range(10)]
             for id in ids:
                 assert await trial.send_load("m0", id) == "ok"
             trial.kill("m2")
             trial.flip_bit("m2", ids[4])
-            trial.relay.part({"m0"}, {"m1", "m2"})  # m1 alone could not tell it all that it may have granted
+            # m1 alone may not know all grants that m2 has lost.
+            trial.relay.part({"m0"}, {"m1", "m2"})
             await trial.start("m2")
-            # Its fronts are told before its store is read: what it found there comes with "ledger.loaded".
+            # The member logs its fronts before it has read its store; "ledger.loaded" is logged afterwards.
             assert "store.record_corrupted" in await trial.logged("m2", "ledger.loaded")
-            fresh = trial.new_load_id()
-            assert await trial.send_load("m2", fresh) != "ok"
+            new_id = trial.new_load_id()
+            assert await trial.send_load("m2", new_id) != "ok"
             assert await trial.send_load("m1", ids[4]) != "fail"
             trial.relay.heal()
             await trial.logged("m2", "ledger.recovered")
-            await assert_promises_kept(trial, [*ids, fresh])
+            await assert_history_is_valid(trial, [*ids, new_id])
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_member_without_a_store_or_a_register_takes_the_engines_that_others_know() -> None:
-    async def scene(folder: Path) -> None:
-        listens = [address_of_a_free_port() for _ in range(2)]
+def test_a_member_without_a_store_or_a_registry_uses_the_engines_that_others_know() -> None:
+    async def scenario(folder: Path) -> None:
+        listens = [free_address() for _ in range(2)]
         holders = ", ".join(f'n{number} = "{listen}"' for number, listen in enumerate(listens))
         files = [folder / f"n{number}.toml" for number in range(2)]
         for number, file in enumerate(files):
@@ -186,21 +193,25 @@
                 f'listen = "127.0.0.1:0"\n[fleet.ledger]\nlisten = "{listens[number]}"\n'
                 f'store = "{folder}/store{number}"\nexchange_ms = 300\nholders = {{ {holders} }}\n'
             )
-        async with engine() as stand_in, program(config(), "--operator", str(files[1]), fronts=4) as blind:
-            client = await blind.client()
-            assert (await client.answer(await client.ask()))[0] is not None  # it knows of no engine
-            async with program(config(stand_in.address), "--operator", str(files[0]), fronts=4):
+        async with (
+            engine() as fake_engine,
+            program(config(), "--operator", str(files[1]), fronts=4) as member,
+        ):
+            client = await member.client()
+            # The member does not know any engine yet.
+            assert (await client.answer(await client.ask()))[0] is not None
+            async with program(config(fake_engine.address), "--operator", str(files[0]), fronts=4):
                 with trio.fail_after(15.0):
                     while (await client.answer(await client.ask()))[0] is not None:
                         await trio.sleep(0.1)
-            assert stand_in.calls["POST"] == 1
-            assert any("engines.restored" in line for line in blind.log)
+            assert fake_engine.calls["POST"] == 1
+            assert any("engines.restored" in line for line in member.log)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_member_behind_by_twenty_thousand_loads_catches_up_while_loads_go_on() -> None:
-    async def scene(folder: Path) -> None:
+def test_a_member_behind_by_twenty_thousand_loads_catches_up_under_traffic() -> None:
+    async def scenario(folder: Path) -> None:
         async with running_trial(folder, seed=91, more_settings="kilobytes_per_s = 20000") as trial:
             for name in trial.names:
                 trial.kill(name)
@@ -208,68 +219,71 @@
                 trial.preload(name, 20_000)
             for name in trial.names:
                 await trial.start(name)
-            ids, took = list[str](), list[float]()
+            ids, latencies_s = list[str](), list[float]()
             async with trio.open_nursery() as nursery:
 
-                async def go_on() -> None:
+                async def send_loads() -> None:
                     while True:
                         ids.append(trial.new_load_id())
-                        began = trio.current_time()
+                        started_s = trio.current_time()
                         assert await trial.send_load(trial.names[len(ids) % 3], ids[-1]) == "ok"
-                        took.append(trio.current_time() - began)
+                        latencies_s.append(trio.current_time() - started_s)
 
-                nursery.start_soon(go_on)
+                nursery.start_soon(send_loads)
                 with trio.fail_after(40.0):
                     await trial.wait_until_caught_up("m2", 20_000)
                 nursery.cancel_scope.cancel()
-            assert took
-            assert max(took) < 2.0
-            await assert_promises_kept(trial, ids[:-1])
+            assert latencies_s
+            assert max(latencies_s) < 2.0
+            await assert_history_is_valid(trial, ids[:-1])
             assert len(stored_entries(folder / "m2.ledger")) >= 20_000
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_what_one_member_learned_of_costs_serves_the_others_and_its_own_next_life() -> None:
-    async def scene(folder: Path) -> None:
+def test_costs_learned_by_one_member_are_restored_at_the_others_and_after_its_restart() -> None:
+    async def scenario(folder: Path) -> None:
         async with running_trial(folder, seed=61) as trial:
             for _ in range(12):
                 assert await trial.send_load("m0", trial.new_load_id()) == "ok"
 
-            async def taken_over(*logs: str) -> None:
+            async def wait_restored(*logs: str) -> None:
                 with trio.fail_after(25.0):
                     while not all("costs.restored" in (folder / log).read_text() for log in logs):
                         await trio.sleep(0.1)
 
-            await taken_over("m1.1.log", "m2.1.log")
+            await wait_restored("m1.1.log", "m2.1.log")
             trial.kill("m0")
-            trial.relay.part({"m0"}, {"m1", "m2"})  # it has its own store alone
+            # The restarted member has only its own store.
+            trial.relay.part({"m0"}, {"m1", "m2"})
             await trial.start("m0")
-            await taken_over("m0.2.log")
+            await wait_restored("m0.2.log")
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_coordinator_started_with_its_register_down_serves_from_its_store() -> None:
-    async def scene(folder: Path) -> None:
-        operator, listen = folder / "operator.toml", address_of_a_free_port()
+def test_a_coordinator_started_without_its_registry_serves_from_its_store() -> None:
+    async def scenario(folder: Path) -> None:
+        operator, listen = folder / "operator.toml", free_address()
         operator.write_text(
             f'[odata]\nlisten = "127.0.0.1:0"\n'
             f'[fleet]\ncluster = "c"\nmember = "n0"\nlisten = "127.0.0.1:0"\n'
             f'[fleet.ledger]\nlisten = "{listen}"\nstore = "{folder}/store"\n'
             f'holders = {{ n0 = "{listen}" }}\n'
         )
-        async with engine() as stand_in:
-            for told in (config(stand_in.address), config()):  # the second start hears of no engine
-                async with program(told, "--operator", str(operator), fronts=4) as node:
+        async with engine() as fake_engine:
+            # No engine is listed at the second start.
+            for configuration in (config(fake_engine.address), config()):
+                async with program(configuration, "--operator", str(operator), fronts=4) as node:
                     client = await node.client()
                     with trio.fail_after(10.0):
                         while (await client.answer(await client.ask()))[0] is not None:
                             await trio.sleep(0.1)
-                    if told["known"]["cmds"][0]["nodes"]["servers"]:
-                        await trio.sleep(0.5)  # until it is on disk
+                    if configuration["known"]["cmds"][0]["nodes"]["servers"]:
+                        # Time to write the engine to disk.
+                        await trio.sleep(0.5)
                     node.process.kill()
-            assert stand_in.calls["POST"] >= 2
+            assert fake_engine.calls["POST"] >= 2
             assert any("engines.restored" in line for line in node.log)
 
-    play(scene)
+    run_scenario(scenario)
--- a/tests/replication/test_registers.py
+++ b/tests/replication/test_registers.py
@@ -1,4 +1,4 @@
-"""Registers: they converge, and their clock grows with all that it observes."""
+"""Tests of registers: their convergence, and the clock that advances with each observed timestamp."""
 
 from __future__ import annotations
 
@@ -11,8 +11,10 @@
 from fordstair.replication.register_map import Register, RegisterMap, merge_registers
 
 FIXED = settings(max_examples=150, deadline=None, derandomize=True, database=None)
-stamps = st.builds(HybridTimestamp, st.integers(1_000, 1_003), st.integers(0, 2), st.sampled_from(["a", "b"]))
-registers = st.one_of(st.none(), st.builds(Register, st.sampled_from([b"x", b"y"]), stamps))
+timestamps = st.builds(
+    HybridTimestamp, st.integers(1_000, 1_003), st.integers(0, 2), st.sampled_from(["a", "b"])
+)
+registers = st.one_of(st.none(), st.builds(Register, st.sampled_from([b"x", b"y"]), timestamps))
 
 
 @FIXED
@@ -25,20 +27,22 @@
 
 @FIXED
 @given(st.integers(0, 2**32))
-def test_members_that_heard_the_same_hold_the_same_in_whatever_order(seed: int) -> None:
+def test_members_that_merge_the_same_registers_in_any_order_converge(seed: int) -> None:
     rng = random.Random(seed)
     members = [RegisterMap(name, 1e9, 100) for name in "abc"]
     written = [
-        (key, done)
+        (key, register)
         for n in range(30)
         if (
-            done := rng.choice(members).set(1e6 + rng.randrange(50), key := f"k{rng.randrange(5)}", b"%d" % n)
+            register := rng.choice(members).set(
+                1e6 + rng.randrange(50), key := f"k{rng.randrange(5)}", b"%d" % n
+            )
         )
         is not None
     ]
     for member in members:
-        for key, value in rng.sample(written * 2, 2 * len(written)):
-            member.merge(1e6 + 100, key, value)
+        for key, register in rng.sample(written * 2, 2 * len(written)):
+            member.merge(1e6 + 100, key, register)
     assert members[0].by_key == members[1].by_key == members[2].by_key
     assert members[0].digests == members[1].digests == members[2].digests
     for member in members:
@@ -48,7 +52,7 @@
         assert member.expired_keys
 
 
-def test_a_hybrid_clock_goes_above_what_it_hears_and_believes_no_far_future() -> None:
+def test_hybrid_clock_advances_past_observed_timestamps_and_rejects_those_too_far_ahead() -> None:
     clock = HybridLogicalClock("a")
     first = clock.now(1_000.0)
     assert clock.now(1_000.0) > first
--- a/tests/replication/test_service.py
+++ b/tests/replication/test_service.py
@@ -1,4 +1,4 @@
-"""One member alone: a store that cannot be written, and messages that are none."""
+"""Tests of a single member: a store that cannot be written, and malformed frames."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 FIXED = hypothesis_settings(max_examples=150, deadline=None, derandomize=True, database=None)
 
 
-def test_a_member_that_cannot_write_grants_nothing_and_says_so(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_a_member_that_cannot_write_grants_nothing(tmp_path: Path) -> None:
+    async def scenario() -> None:
         settings = ReplicationSettings(
             "c", "m", {"m": "127.0.0.1:1"}, ("127.0.0.1", 0), str(tmp_path / "store")
         )
@@ -43,20 +43,20 @@
             assert repeated.verdict is ClaimVerdict.ALREADY_RUN
             assert repeated.outcome == b"done"
 
-            def fails(records: object) -> None:
+            def failing_write(records: object) -> None:
                 raise StoreError("no space left on device")
 
-            service.state.file.write = fails  # type: ignore[method-assign]
+            service.state.file.write = failing_write  # type: ignore[method-assign]
             assert (await coordinator.begin("t|b")).verdict is ClaimVerdict.REJECTED
             assert service.counts["writes_failed"] >= 1
-            # What is known is still answered.
+            # A settled claim is still answered.
             assert (await coordinator.begin("t|a")).verdict is ClaimVerdict.ALREADY_RUN
 
-    trio.run(scene)
+    trio.run(scenario)
 
 
-def test_strangers_and_noise_end_their_connection_alone(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_foreign_and_malformed_input_ends_only_its_connection(tmp_path: Path) -> None:
+    async def scenario() -> None:
         settings = ReplicationSettings(
             "c", "m", {"m": "127.0.0.1:1", "n": "127.0.0.1:2"}, ("127.0.0.1", 0), str(tmp_path / "store")
         )
@@ -85,18 +85,18 @@
                 assert isinstance(response, VoteResponse)
                 assert response.request_id == 7
 
-    trio.run(scene)
+    trio.run(scenario)
 
 
 @FIXED
 @given(st.binary(max_size=100), st.integers(1, 30))
-def test_a_decoder_of_noise_returns_frames_or_raises_malformed(noise: bytes, step: int) -> None:
-    decoder, good = FrameDecoder(), encode_frame(ClaimRequest(1, "k", "t"))
-    data = good + noise
-    got = []
+def test_decoder_returns_frames_or_raises_malformed(noise: bytes, chunk_size: int) -> None:
+    decoder, valid = FrameDecoder(), encode_frame(ClaimRequest(1, "k", "t"))
+    data = valid + noise
+    frames = []
     try:
-        for start in range(0, len(data), step):
-            got += decoder.feed(data[start : start + step])
+        for start in range(0, len(data), chunk_size):
+            frames += decoder.feed(data[start : start + chunk_size])
     except MalformedMessageError:
         pass
-    assert not got or got[0] == ClaimRequest(1, "k", "t")
+    assert not frames or frames[0] == ClaimRequest(1, "k", "t")
--- a/tests/wires/test_replication.py
+++ b/tests/wires/test_replication.py
@@ -1,4 +1,4 @@
-"""Frames between the holders of the ledger: what a member answers, what it asks, and how digests are made."""
+"""Tests of the frames between replicas: a member's responses, its requests, and the digests."""
 
 from __future__ import annotations
 
@@ -25,12 +25,13 @@
 from tests.wires.recordings import recorded
 
 ENGINE: list[Any] = ["s-00000001", "10.0.0.1:80", "rest", 1, 2, 3, 5.0, 0.5]
-ROSTER = [[[[7, "m1"], ENGINE]], {"m1": 7}, 9]
+ENGINE_SET = [[[[7, "m1"], ENGINE]], {"m1": 7}, 9]
 VALUE = ("class|lookup|mean", msgpack.packb([12.5, 7]))
-KEY_RANGE = 22  # of the key "team|load"
-VALUE_RANGE = 36  # of VALUE's key
+# The ranges of the key "team|load" and of the key of VALUE.
+CLAIM_RANGE_NUMBER = 22
+VALUE_RANGE_NUMBER = 36
 
-QUESTIONS: list[list[Any]] = [
+REQUESTS: list[list[Any]] = [
     [1, 1, "team|load", "m1:1:a:1"],  # granted
     [1, 2, "team|load", "m1:1:a:2"],  # taken
     [2, 3, "team|load", "m1:1:a:1"],  # released
@@ -38,12 +39,12 @@
     [3, 5, "team|load", "m1:1:a:3", b"outcome"],  # settled
     [1, 6, "team|load", "m1:1:a:4"],  # taken, with the outcome
     [4, 7],
-    [5, 8, KEY_RANGE, "", False],
+    [5, 8, CLAIM_RANGE_NUMBER, "", False],
     [6, 9],
-    [7, 10, VALUE_RANGE, ""],
+    [7, 10, VALUE_RANGE_NUMBER, ""],
     [8, 11, 0],
 ]
-ANSWERS: dict[int, list[Any]] = {
+RESPONSES: dict[int, list[Any]] = {
     1: [16, 0, 0, "", None],
     2: [17, 0, True],
     3: [17, 0, True],
@@ -51,7 +52,7 @@
     5: [19, 0, [], False, False, True],
     6: [18, 0, [2] + [0] * 63],
     7: [20, 0, [], False],
-    8: [21, 0, ROSTER, 9],
+    8: [21, 0, ENGINE_SET, 9],
 }
 
 
@@ -70,13 +71,13 @@
             buffer = buffer[end:]
 
 
-def steady(item: Any) -> Any:
-    """Return a frame with its times of day, and what is made from them, set to fixed ones."""
+def normalized(item: Any) -> Any:
+    """Return a frame with all wall-clock times, also those in tokens, replaced by fixed values."""
     match item:
         case list():
-            return [steady(each) for each in item]
+            return [normalized(part) for part in item]
         case dict():
-            return {key: steady(value) for key, value in item.items()}
+            return {key: normalized(value) for key, value in item.items()}
         case str() if item.startswith("m0:"):
             return "m0:<ms>:" + item.split(":", 2)[2]
         case bool():
@@ -88,59 +89,62 @@
 
 @asynccontextmanager
 async def member(folder: str, peer: str) -> AsyncIterator[Any]:
-    holders = {"m0": "127.0.0.1:1", "m1": peer}
-    told = ReplicationSettings(
-        "c", "m0", holders, ("127.0.0.1", 0), f"{folder}/store", exchange_interval_ms=100.0
+    members = {"m0": "127.0.0.1:1", "m1": peer}
+    settings = ReplicationSettings(
+        "c", "m0", members, ("127.0.0.1", 0), f"{folder}/store", exchange_interval_ms=100.0
     )
-    async with running_service(told, 11) as service:
+    async with running_service(settings, 11) as service:
         yield service
 
 
-async def conversation(folder: str) -> dict[str, str]:
-    """Ask a member, and answer what it asks."""
-    asked = dict[tuple[Any, ...], list[Any]]()
-    answered = list[list[Any]]()
+async def exchanged_frames(folder: str) -> dict[str, str]:
+    """Return the frames that a member sends as requests and as responses, by name."""
+    sent_requests = dict[tuple[Any, ...], list[Any]]()
+    received_responses = list[list[Any]]()
 
     async def answer(stream: trio.SocketStream) -> None:
         async for item in frames(stream):
             kind = (item[0], *(item[4:] if item[0] == 5 else ()))
-            asked.setdefault(kind, [item[0], 0, *item[2:]])
-            if item[0] in ANSWERS:
-                reply = ANSWERS[item[0]]
-                await stream.send_all(frame([reply[0], item[1], *reply[2:]]))
+            sent_requests.setdefault(kind, [item[0], 0, *item[2:]])
+            if item[0] in RESPONSES:
+                response = RESPONSES[item[0]]
+                await stream.send_all(frame([response[0], item[1], *response[2:]]))
 
     async with trio.open_nursery() as nursery:
         listeners = await nursery.start(trio.serve_tcp, answer, 0)
         peer = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
         async with member(folder, peer) as service:
-            while len(asked) < 7:  # the greeting, and each question of an exchange
+            # The Hello and each kind of request of a recovery and an exchange.
+            while len(sent_requests) < 7:
                 await trio.sleep(0.01)
             await service.register_sync.set_values([VALUE])
-            for number, done in enumerate(
+            for number, finish in enumerate(
                 (service.claim_coordinator.settle, service.claim_coordinator.release)
             ):
-                _, begun, _ = await service.claim_coordinator.begin(f"key {number}")
-                await done(begun, *([b"outcome"] if number == 0 else []))
+                _, claim, _ = await service.claim_coordinator.begin(f"key {number}")
+                await finish(claim, *([b"outcome"] if number == 0 else []))
             stream = await trio.open_tcp_stream("127.0.0.1", service.port)
             await stream.send_all(frame([0, 0, "c", "m1"]))
-            coming = frames(stream)
-            for question in QUESTIONS:
-                await stream.send_all(frame(question))
-                answered.append(await anext(coming))
+            responses = frames(stream)
+            for request in REQUESTS:
+                await stream.send_all(frame(request))
+                received_responses.append(await anext(responses))
             await stream.aclose()
         nursery.cancel_scope.cancel()
-    for item in answered:
-        if item[0] == 18:  # most are made from the time of day: see ``digests``
+    for item in received_responses:
+        if item[0] == 18:
+            # Most digests depend on the time of day; ``digests`` checks fixed ones.
             item[2] = [
-                each if each and which == KEY_RANGE else int(each > 0) for which, each in enumerate(item[2])
+                digest if digest and range_number == CLAIM_RANGE_NUMBER else int(digest > 0)
+                for range_number, digest in enumerate(item[2])
             ]
-    told = {f"asked {kind}": item for kind, item in sorted(asked.items())}
-    told |= {f"answer {item[1]}": item for item in answered}
-    return {name: frame(steady(item)).hex() for name, item in told.items()}
+    frames_by_name = {f"asked {kind}": item for kind, item in sorted(sent_requests.items())}
+    frames_by_name |= {f"answer {item[1]}": item for item in received_responses}
+    return {name: frame(normalized(item)).hex() for name, item in frames_by_name.items()}
 
 
 def digests() -> dict[str, str]:
-    """The digests that members compare, over fixed contents."""
+    """Return the digests that members compare, over fixed contents."""
     values = RegisterMap("m0", 1e9, 10)
     values.merge(1_000.0, VALUE[0], Register(VALUE[1], HybridTimestamp(900, 1, "m1")))
     replica = ClaimReplica("m0", ("m0", "m1"), 3, 600_000.0, 10)
@@ -155,32 +159,34 @@
 
 
 def messages() -> dict[str, str]:
-    told = dict[str, str]()
+    frames_by_name = dict[str, str]()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         with tempfile.TemporaryDirectory() as folder:
-            told.update(await conversation(folder))
+            frames_by_name.update(await exchanged_frames(folder))
 
-    play(scene)
-    return told | digests()
+    play(scenario)
+    return frames_by_name | digests()
 
 
-def test_a_known_engine_keeps_each_field_in_its_place() -> None:
-    """A field that is read from another's place leaves the bytes as they are, and means something else."""
+def test_a_replicated_engine_keeps_each_field() -> None:
+    """Guards against swapped fields, which leave the encoding of a frame unchanged but alter its meaning."""
     known = EngineSet("m0")
     known.merge(1_000.0, EngineSetState([(Dot(7, "m1"), ReplicatedEngine(*ENGINE))], {"m1": 7}, 900))
     (engine,) = EngineRestorer(1e9).engines(1_000.0, known)
     assert replicated_engines([engine]) == [ReplicatedEngine(*ENGINE)]
 
 
-SENT = [frame(item) for item in [[0, 0, "c", "m1"], *QUESTIONS, *ANSWERS.values()]]
-FRAMES = [bytes.fromhex(text) for name, text in recorded("replication").items() if "digest" not in name]
+SAMPLE_FRAMES = [frame(item) for item in [[0, 0, "c", "m1"], *REQUESTS, *RESPONSES.values()]]
+RECORDED_FRAMES = [
+    bytes.fromhex(text) for name, text in recorded("replication").items() if "digest" not in name
+]
 
 
-@pytest.mark.parametrize("data", [*SENT, *FRAMES], ids=lambda data: data[:12].hex())
+@pytest.mark.parametrize("data", [*SAMPLE_FRAMES, *RECORDED_FRAMES], ids=lambda data: data[:12].hex())
 def test_a_frame_is_read_and_written_again(data: bytes) -> None:
-    assert [encode_frame(each) for each in FrameDecoder().feed(data)] == [data]
+    assert [encode_frame(decoded) for decoded in FrameDecoder().feed(data)] == [data]
 
 
-def test_a_member_says_the_recorded_bytes() -> None:
+def test_a_member_sends_the_recorded_bytes() -> None:
     assert messages() == recorded("replication")
--- a/tests/wires/test_store.py
+++ b/tests/wires/test_store.py
@@ -1,4 +1,4 @@
-"""The store's file: one written before the names were changed is opened, read, and written again."""
+"""Tests of the format of the store's file against a recorded file and recorded values."""
 
 from __future__ import annotations
 
@@ -22,42 +22,42 @@
 from tests.wires.recordings import FOLDER, recorded
 
 FILE = FOLDER / "store.sqlite"
-ANSWER = Response(201, b'{"meter":"m"}', {"Repeatability-Result": "accepted", "Location": "/x"})
+RESPONSE = Response(201, b'{"meter":"m"}', {"Repeatability-Result": "accepted", "Location": "/x"})
 ENTRIES = [
     ("team|granted", ClaimEntry("m0:1:a:1", 1_000)),
-    ("team|settled", ClaimEntry("m1:2:b:2", 1_000, msgspec.msgpack.encode(ANSWER))),
+    ("team|settled", ClaimEntry("m1:2:b:2", 1_000, msgspec.msgpack.encode(RESPONSE))),
     ("team|too large", ClaimEntry("m1:2:b:3", 1_000, b"")),
 ]
 VALUES = [
     ("class|lookup|mean", Register(b"\x92\xcb@)\x00\x00\x00\x00\x00\x00\x07", HybridTimestamp(900, 1, "m1")))
 ]
-ROSTER = EngineSetState(
+ENGINE_SET = EngineSetState(
     [(Dot(7, "m1"), ReplicatedEngine("s-00000001", "10.0.0.1:80", "rest", 1, 2, 3, 5.0, 0.5))], {"m1": 7}, 900
 )
 NOW_MS = 1_000.0
 
 
-def write(path: Path) -> None:
+def write_store(path: Path) -> None:
     """Write a store with every kind of record."""
-    disk = RecordFile(str(path))
-    disk.open()
-    disk.write(claim_record(key, entry) for key, entry in ENTRIES)
-    disk.write(register_record(key, value, 1_000.0) for key, value in VALUES)
-    disk.write([engine_set_record(ROSTER), Record("store", b"probe", b"x", 2_000)])
-    disk.close()
+    file = RecordFile(str(path))
+    file.open()
+    file.write(claim_record(key, entry) for key, entry in ENTRIES)
+    file.write(register_record(key, value, 1_000.0) for key, value in VALUES)
+    file.write([engine_set_record(ENGINE_SET), Record("store", b"probe", b"x", 2_000)])
+    file.close()
 
 
-def contents(path: Path) -> list[object]:
-    """Return what stands in a file, as SQLite sees it."""
+def database_contents(path: Path) -> list[object]:
+    """Return the tables, the version, the journal mode and the rows of a file, as SQLite reads them."""
     with sqlite3.connect(path) as database:
         tables = database.execute("SELECT name, sql FROM sqlite_master").fetchall()
         version = database.execute("PRAGMA user_version").fetchall()
-        journal = database.execute("PRAGMA journal_mode").fetchall()
-        return [tables, version, journal, database.execute("SELECT * FROM record").fetchall()]
+        journal_mode = database.execute("PRAGMA journal_mode").fetchall()
+        return [tables, version, journal_mode, database.execute("SELECT * FROM record").fetchall()]
 
 
 def messages() -> dict[str, str]:
-    """What a member has learned of costs, as the store and the other members get it."""
+    """Return the learned costs of a module, as they are stored and sent to other members."""
     rig = Rig(settings(instances=2))
     for _ in range(20):
         request = rig.ask(0, 0.0, table_group=7.0)
@@ -65,40 +65,40 @@
     return {key: value.hex() for key, value in sorted(learned_values(rig.gateway))}
 
 
-def test_a_store_of_before_is_read(tmp_path: Path) -> None:
+def test_recorded_store_is_read(tmp_path: Path) -> None:
     shutil.copy(FILE, tmp_path / "store")
-    disk = RecordFile(str(tmp_path / "store"))
-    told = load_state(disk, NOW_MS)
-    disk.close()
-    assert (told.incomplete_reason, told.corrupted_records) == ("", 0)
-    assert (told.entries, told.registers, told.engine_set) == (ENTRIES, VALUES, ROSTER)
-    outcome = told.entries[1][1].outcome
+    file = RecordFile(str(tmp_path / "store"))
+    loaded = load_state(file, NOW_MS)
+    file.close()
+    assert (loaded.incomplete_reason, loaded.corrupted_records) == ("", 0)
+    assert (loaded.entries, loaded.registers, loaded.engine_set) == (ENTRIES, VALUES, ENGINE_SET)
+    outcome = loaded.entries[1][1].outcome
     assert outcome is not None
-    assert decode_response(outcome) == ANSWER
+    assert decode_response(outcome) == RESPONSE
 
 
-def test_the_answer_of_a_load_is_kept_as_before() -> None:
-    kept = list[bytes]()
+def test_load_outcome_is_encoded_as_recorded() -> None:
+    stored = list[bytes]()
 
-    class Holders:
-        def settle_in_background(self, begun: object, outcome: bytes) -> None:
-            kept.append(outcome)
+    class FakeClaimCoordinator:
+        def settle_in_background(self, claim: object, outcome: bytes) -> None:
+            stored.append(outcome)
 
-    ReplicatedIdempotencyStore(Holders()).end(None, ANSWER)  # type: ignore[arg-type]  # stand-ins for claims and a claim
-    assert kept == [ENTRIES[1][1].outcome]
+    ReplicatedIdempotencyStore(FakeClaimCoordinator()).end(None, RESPONSE)  # type: ignore[arg-type]  # fakes of a claim coordinator and a claim
+    assert stored == [ENTRIES[1][1].outcome]
 
 
-def test_a_store_is_written_as_before(tmp_path: Path) -> None:
-    write(tmp_path / "store")
+def test_store_is_written_as_recorded(tmp_path: Path) -> None:
+    write_store(tmp_path / "store")
     shutil.copy(FILE, tmp_path / "before")
-    assert contents(tmp_path / "store") == contents(tmp_path / "before")
+    assert database_contents(tmp_path / "store") == database_contents(tmp_path / "before")
 
 
-def test_what_was_learned_has_the_recorded_keys_and_values() -> None:
-    known = recorded("store")
-    assert messages() == known
+def test_learned_costs_have_the_recorded_keys_and_values() -> None:
+    expected = recorded("store")
+    assert messages() == expected
     rig = Rig()
-    assert restore_values(rig.gateway, {key: bytes.fromhex(text) for key, text in known.items()}) == len(
-        known
+    assert restore_values(rig.gateway, {key: bytes.fromhex(text) for key, text in expected.items()}) == len(
+        expected
     )
-    assert {key: value.hex() for key, value in learned_values(rig.gateway)} == known
+    assert {key: value.hex() for key, value in learned_values(rig.gateway)} == expected
