--- a/fordstair/replication/claim_coordinator.py
+++ b/fordstair/replication/claim_coordinator.py
@@ -79,7 +79,7 @@
         try:
             verdict = await self._collect_votes(quorum)
         except BaseException:
-            # The caller has gone, so the load has not run and never will by this claim.
+            # The caller no longer waits, so the load has not run and never will by this claim.
             self.release_in_background(handle)
             raise
         self._state.counts[f"claims_{verdict.value}"] += 1
--- a/fordstair/replication/engine_set.py
+++ b/fordstair/replication/engine_set.py
@@ -55,7 +55,7 @@
 
     Attributes:
         version_vector: The highest count seen of each member.
-        registry_contact_ms: The Unix time at which any member last received from its registry.
+        registry_contact_ms: The Unix time at which any member last received a message of its registry.
     """
 
     engines: Annotated[list[tuple[Dot, ReplicatedEngine]], Meta(max_length=MAX_ENGINES)]
@@ -67,7 +67,7 @@
     """One member's copy of the set.
 
     Attributes:
-        registry_contact_ms: The Unix time at which any member last received from its registry.
+        registry_contact_ms: The Unix time at which any member last received a message of its registry.
         rejected: The number of sets of other members that ``merge`` has rejected.
         dots: The additions in the set.
         version_vector: The highest count seen of each member.
--- a/fordstair/replication/messages.py
+++ b/fordstair/replication/messages.py
@@ -146,7 +146,7 @@
 
     Attributes:
         state: The set, or None if the digests of both sets are equal.
-        registry_contact_ms: The Unix time at which any member last received from its registry.
+        registry_contact_ms: The Unix time at which any member last received a message of its registry.
     """
 
     state: EngineSetState | None
--- a/fordstair/store/errors.py
+++ b/fordstair/store/errors.py
@@ -4,9 +4,9 @@
 
 
 class StoreError(Exception):
-    """The file cannot be opened, read or written, for the reason in the text.
+    """The file cannot be opened, read or written; the text gives the reason.
 
-    A write that raises it has stored none of its records, unless the method that raises it says otherwise.
+    ``RecordFile.write`` has written none of its records when it raises this.
     """
 
 
--- a/tests/replication/test_engine_set.py
+++ b/tests/replication/test_engine_set.py
@@ -60,7 +60,7 @@
     b.update_from_registry(1_001, 1_001, [listed("x"), listed("y")])
     a.update_from_registry(1_002, 1_002, [listed("y")])
     b.merge(1_002, a.state)
-    # The registry of b lags, which does not add x again.
+    # The registry of b lags and still lists x, which must not add x again.
     b.update_from_registry(1_003, 1_003, [listed("x"), listed("y")])
     assert set(b.engines) == {"y"}
     b.update_from_registry(1_004, 1_004, [listed("y"), listed("z")])
