--- a/fordstair/snapshots/delta.py
+++ b/fordstair/snapshots/delta.py
@@ -1,4 +1,4 @@
-"""The step between two snapshots, as it is sent to a console. No I/O and no clock."""
+"""The delta between two snapshots, as it is sent to a console. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     TeamView,
 )
 
-MAX_LOG_LINES = 200  # that a follower keeps
+MAX_FOLLOWER_LOG_LINES = 200
 
 
 class SnapshotDelta(
@@ -32,9 +32,13 @@
     forbid_unknown_fields=True,
     rename={"removed": "gone", "log_lines": "notes"},
 ):
-    """The step from snapshot ``base`` to snapshot ``number``; from base 0 it is the full snapshot.
+    """The changes from snapshot ``base`` to snapshot ``number``; with base 0, the full snapshot.
 
-    The fields between ``site`` and ``removed`` are named as the tables are.
+    Attributes:
+        site: The program's row, if it changed.
+        engines: Changed and new rows, by key. Each of the tables up to ``shares`` has a field of its name.
+        removed: The keys of removed rows, by table.
+        log_lines: The lines logged since the base.
     """
 
     number: int
@@ -49,16 +53,16 @@
     adjustments: dict[str, OverrideView] = {}
     members: dict[str, MemberView] = {}
     shares: dict[str, QuotaView] = {}
-    removed: dict[str, list[str]] = {}  # keys, by table
-    log_lines: list[LogLineView] = []  # those that are new
+    removed: dict[str, list[str]] = {}
+    log_lines: list[LogLineView] = []
 
 
 class SnapshotDeltaError(Exception):
-    """A frame that cannot be read, or does not continue the snapshot at hand."""
+    """A frame cannot be decoded, or its base is not the snapshot that it is applied to."""
 
 
 def delta_between(old: Snapshot, new: Snapshot) -> SnapshotDelta:
-    """Return the delta that leads from one snapshot to a later one."""
+    """Return the delta from a snapshot to a later one."""
     changed: dict[str, dict[str, Any]] = {}
     removed: dict[str, list[str]] = {}
     for name in TABLES:
@@ -82,7 +86,7 @@
 
 
 def apply_delta(snapshot: Snapshot, delta: SnapshotDelta) -> Snapshot:
-    """Return the snapshot after a delta; raise SnapshotDeltaError where it continues another one."""
+    """Return the snapshot after a delta; raise SnapshotDeltaError if the delta has another base."""
     if delta.base == 0:
         snapshot = Snapshot()
     elif delta.base != snapshot.number or delta.number <= snapshot.number:
@@ -93,13 +97,13 @@
     for name in TABLES:
         rows, removed = getattr(delta, name), delta.removed.get(name, [])
         if rows or removed:
-            tables = tables.set(name, _changed(tables[name], rows, removed))
+            tables = tables.set(name, _apply_rows(tables[name], rows, removed))
     site = snapshot.site if delta.site is None else delta.site
-    log_lines = (*snapshot.log_lines, *delta.log_lines)[-MAX_LOG_LINES:]
+    log_lines = (*snapshot.log_lines, *delta.log_lines)[-MAX_FOLLOWER_LOG_LINES:]
     return Snapshot(delta.number, delta.at_ms, site, tables, log_lines)
 
 
-def _changed(table: Table, rows: dict[str, Any], removed: list[str]) -> Table:
+def _apply_rows(table: Table, rows: dict[str, Any], removed: list[str]) -> Table:
     mutation = table.mutate()
     for key in removed:
         mutation.pop(key, None)
@@ -112,7 +116,7 @@
 
 
 def decode(line: bytes | bytearray | memoryview) -> SnapshotDelta:
-    """Read a delta; raise SnapshotDeltaError for what is none."""
+    """Decode a delta; raise SnapshotDeltaError if the line is not a valid one."""
     try:
         return _decoder.decode(line)
     except (msgspec.MsgspecError, RecursionError) as error:
--- a/fordstair/snapshots/engine_states.py
+++ b/fordstair/snapshots/engine_states.py
@@ -1,4 +1,4 @@
-"""The state of an engine as operators are shown it."""
+"""The state of an engine as shown to operators."""
 
 from __future__ import annotations
 
@@ -7,8 +7,10 @@
 from fordstair.decisions.outlier_detection import CREDIBLE_RELIABILITY
 from fordstair.snapshots.views import EngineDisplayState
 
-RECENT_WORK_MS = 1_000.0  # an engine that worked within that time is not called silent
-MIN_SILENCE_SCORE = 0.5  # below it an unreliable engine fails rather than keeps silent
+# An engine with a sign of work within this time is not shown as silent.
+RECENT_ACTIVITY_MS = 1_000.0
+# An unreliable engine with a lower silence score is shown as failing, not as silent.
+MIN_SILENCE_SCORE = 0.5
 
 
 def engine_state(
@@ -16,17 +18,18 @@
     reliability: float,
     warm_up_factor: float,
     silence_score: float,
-    since_response_ms: float,
+    since_activity_ms: float,
 ) -> EngineDisplayState:
-    """Name an engine's state so that nothing is called ready that the decision module avoids."""
+    """Return the state to show; an engine that the decision module avoids is never shown as ready."""
     if engine.cordoned:
         return "aside"
     if engine.zone_ejected:
         return "avoided"
     if engine.entry.state is not EngineState.READY:
         return "draining"
-    if reliability < CREDIBLE_RELIABILITY:  # below it the decision module takes low load there for a fault
+    # Below this reliability the decision module takes a low load of the engine for a fault.
+    if reliability < CREDIBLE_RELIABILITY:
         if silence_score < MIN_SILENCE_SCORE:
             return "failing"
-        return "silent" if since_response_ms > RECENT_WORK_MS else "doubted"
+        return "silent" if since_activity_ms > RECENT_ACTIVITY_MS else "doubted"
     return "warming" if warm_up_factor < 1.0 else "ready"
--- a/fordstair/snapshots/fleet_views.py
+++ b/fordstair/snapshots/fleet_views.py
@@ -1,4 +1,4 @@
-"""The rows on the fleet: its members, and their quotas of its budgets."""
+"""Builds the rows about the fleet: its members, and their quotas of its budgets."""
 
 from __future__ import annotations
 
@@ -13,21 +13,25 @@
     from fordstair.membership.transport import Membership
     from fordstair.replication.service import ReplicationService
 
-ToUnix = Callable[[float], float]  # from a moment of the monotonic clock; 0 stays 0
+# Converts a monotonic time to Unix time, both in milliseconds; 0 stays 0.
+ToUnixMs = Callable[[float], float]
 
 
 def member_views(
-    membership: Membership | None, ledger: ReplicationService | None, started_unix_ms: float, to_unix: ToUnix
+    membership: Membership | None,
+    ledger: ReplicationService | None,
+    started_unix_ms: float,
+    to_unix_ms: ToUnixMs,
 ) -> dict[str, MemberView]:
-    """Return the members by name, this one first; none where there is no fleet."""
+    """Return the members by name, this one first; empty without a fleet."""
     if membership is None or (swim := membership.swim) is None:
         return {}
-    views = [_own_view(swim, ledger, started_unix_ms), *_other_views(swim, ledger, to_unix)]
+    views = [_own_view(swim, ledger, started_unix_ms), *_other_views(swim, ledger, to_unix_ms)]
     return {view.name: view for view in views}
 
 
 def quota_views(budgets: FleetBudgets | None, now_unix_ms: float) -> dict[str, QuotaView]:
-    """Return the quotas by member and budget; none where there are no fleet budgets."""
+    """Return the quotas, keyed ``member|budget``; empty without fleet budgets."""
     if budgets is None:
         return {}
     return {f"{row.member}|{row.limit_name}": QuotaView(*row) for row in budgets.rows(now_unix_ms)}
@@ -49,7 +53,9 @@
     )
 
 
-def _other_views(swim: SwimMember, ledger: ReplicationService | None, to_unix: ToUnix) -> list[MemberView]:
+def _other_views(
+    swim: SwimMember, ledger: ReplicationService | None, to_unix_ms: ToUnixMs
+) -> list[MemberView]:
     differing_ranges = ledger.claim_sync.differing_ranges if ledger is not None else {}
     views = []
     for member in swim.members.values():
@@ -60,10 +66,10 @@
                 member.address,
                 member.state.label,
                 member.incarnation,
-                to_unix(member.changed_ms),
+                to_unix_ms(member.changed_ms),
                 member.reporter,
                 len(suspicion.accusers) if suspicion is not None else 0,
-                to_unix(suspicion.expires_ms) if suspicion is not None else 0.0,
+                to_unix_ms(suspicion.expires_ms) if suspicion is not None else 0.0,
                 member.link_cut,
                 ranges_behind=differing_ranges.get(member.name),
             )
--- a/fordstair/snapshots/views.py
+++ b/fordstair/snapshots/views.py
@@ -1,4 +1,4 @@
-"""The rows that a console is sent. Names on its socket are mapped here; times are Unix milliseconds."""
+"""The rows sent to consoles. Fields are renamed to their names on the socket here; times are Unix ms."""
 
 from __future__ import annotations
 
@@ -15,14 +15,21 @@
 class SiteView(
     Struct, frozen=True, rename={"open_requests": "open", "in_flight": "out", "followers": "watchers"}
 ):
-    """The program as a whole."""
+    """The program as a whole.
+
+    Attributes:
+        open_requests: Number of requests without a final answer.
+        in_flight: Number of attempts in flight.
+        revision: Revision of the override register.
+        followers: Number of consoles that follow.
+    """
 
     name: str = ""
     started_ms: float = 0.0
     draining: bool = False
-    open_requests: int = 0  # requests that wait for their answer
-    in_flight: int = 0  # attempts at engines
-    revision: int = 0  # of the register of overrides
+    open_requests: int = 0
+    in_flight: int = 0
+    revision: int = 0
     followers: int = 0
 
 
@@ -43,7 +50,20 @@
         "zone": "hall",
     },
 ):
-    """One engine as the decision module assesses it."""
+    """One engine as the decision module assesses it.
+
+    Attributes:
+        in_flight: Number of this coordinator's attempts in flight.
+        threads_in_flight: The threads that these attempts hold.
+        threads_per_core: Threads in flight per core; those of other coordinators are taken from load reports.
+        reliability: 1 without faults and silence; falls towards 0 with them.
+        warm_up_factor: The share of its capacity that it can be relied on to have.
+        silence_score: Grows with each silence and decays.
+        last_response_ms: Time of the last sign of work; 0 means never.
+        last_report_ms: Time of the last load report; 0 means never.
+        state_since_ms: When it entered its state.
+        supports_priorities: Whether its protocol can change the priority of running work.
+    """
 
     id: str
     state: EngineDisplayState
@@ -51,16 +71,16 @@
     protocol: str
     zone: int
     cores: float
-    in_flight: int = 0  # own attempts
-    threads_in_flight: int = 0  # of these attempts
-    threads_per_core: float = 0.0  # in flight, those of other coordinators by report
-    reliability: float = 1.0  # 1 without faults and silence, towards 0 with them
-    warm_up_factor: float = 1.0  # the share of its capacity that it surely has
-    silence_score: float = 0.0  # grows with each silence, and fades
-    last_response_ms: float = 0.0  # 0: never
-    last_report_ms: float = 0.0  # 0: never
-    state_since_ms: float = 0.0  # since when it is in this state
-    supports_priorities: bool = True  # whether its protocol can change the priority of running work
+    in_flight: int = 0
+    threads_in_flight: int = 0
+    threads_per_core: float = 0.0
+    reliability: float = 1.0
+    warm_up_factor: float = 1.0
+    silence_score: float = 0.0
+    last_response_ms: float = 0.0
+    last_report_ms: float = 0.0
+    state_since_ms: float = 0.0
+    supports_priorities: bool = True
 
 
 class ClassView(
@@ -77,19 +97,27 @@
         "oldest_received_ms": "oldest_ms",
     },
 ):
-    """One class of requests."""
+    """One class of requests.
+
+    Attributes:
+        position: Its position in the settings.
+        in_flight: Number of attempts in flight.
+        threads_in_flight: The threads that these attempts hold.
+        concurrency_limit: The limit on its threads that an operator has set, if any.
+        oldest_received_ms: When the oldest open request was received; 0 without open requests.
+    """
 
     name: str
-    position: int = 0  # in the order of the settings
+    position: int = 0
     open_requests: int = 0
     in_flight: int = 0
-    threads_in_flight: int = 0  # held by attempts in flight
-    concurrency_limit: int | None = None  # threads, as an operator has set
+    threads_in_flight: int = 0
+    concurrency_limit: int | None = None
     received: int = 0
     served: int = 0
     rejected: int = 0
     failed: int = 0
-    oldest_received_ms: float = 0.0  # of the requests that are open; 0: none is
+    oldest_received_ms: float = 0.0
 
 
 class TeamView(
@@ -104,16 +132,23 @@
         "expected_wait_ms": "wait_ms",
     },
 ):
-    """One team."""
+    """One team.
+
+    Attributes:
+        position: Its position in the settings.
+        oldest_received_ms: When the oldest open request was received; 0 without open requests.
+        queued: Number of requests that wait for admission; 0 without quotas.
+        expected_wait_ms: Expected wait of a request of the first class; None without quotas.
+    """
 
     name: str
-    position: int = 0  # in the order of the settings
+    position: int = 0
     open_requests: int = 0
     in_flight: int = 0
     threads_in_flight: int = 0
     oldest_received_ms: float = 0.0
-    queued: int = 0  # that wait for admission, where there are quotas
-    expected_wait_ms: float | None = None  # of a request of the first class
+    queued: int = 0
+    expected_wait_ms: float | None = None
 
 
 class RequestView(
@@ -126,7 +161,11 @@
         "class_name": "lane",
     },
 ):
-    """One open request."""
+    """One open request.
+
+    Attributes:
+        engine: The engine of its attempt in flight; empty while it waits.
+    """
 
     id: int
     transaction_id: str
@@ -135,11 +174,11 @@
     received_ms: float
     deadline_ms: float
     attempt_count: int
-    engine: str  # where it runs; empty while it waits
+    engine: str
 
 
 class RejectionView(Struct, frozen=True, rename={"class_name": "lane"}):
-    """How often requests of a class were rejected for one reason."""
+    """The number of rejected requests of one class, for one reason."""
 
     class_name: str
     reason: str
@@ -147,9 +186,13 @@
 
 
 class OverrideView(Struct, frozen=True, rename={"effect": "what", "author": "who", "applied_ms": "at_ms"}):
-    """An operator's override, active until the program starts again."""
+    """An operator's override; active until the program restarts.
 
-    target: str  # "engine:s-1", "class:lookup", "site"
+    Attributes:
+        target: ``engine:s-1``, ``class:lookup`` or ``site``, for instance.
+    """
+
+    target: str
     effect: str
     author: str
     applied_ms: float
@@ -170,25 +213,38 @@
         "ledger_fault": "doubted",
     },
 ):
-    """One coordinator of the fleet as this one believes it to be; itself among them."""
+    """One coordinator of the fleet as this one believes it to be; this one has a row too.
+
+    Attributes:
+        state: ``alive``, ``suspect``, ``dead`` or ``left``; for this one also ``mute``, if it receives from
+            others but its own messages do not reach them.
+        since_ms: When it entered its state; for this one, when the program started.
+        reported_by: The member that reported the state.
+        accusers: Number of members that suspect it.
+        suspicion_ends_ms: When a suspect is declared dead; 0 if it is not suspected.
+        awareness_score: Local health, of this one only: 0 is healthy; timeouts stretch by a factor of one
+            more than this.
+        ranges_behind: Number of ledger ranges that differed when last compared; None if never compared.
+        ledger_entries: Number of loads that the ledger of this one remembers.
+        store_bytes: Size of that ledger on disk.
+        ledger_fault: Why the ledger of this one grants nothing at present; empty if it does.
+    """
 
     name: str
     address: str
-    state: str  # alive, suspect, dead, left; of itself also "mute": it hears others and is not heard
+    state: str
     incarnation: int
-    since_ms: float = 0.0  # since when it is in this state
-    reported_by: str = ""  # the member that said so
-    accusers: int = 0  # of a suspect
-    suspicion_ends_ms: float = 0.0  # when a suspect counts as dead; 0: no suspect
+    since_ms: float = 0.0
+    reported_by: str = ""
+    accusers: int = 0
+    suspicion_ends_ms: float = 0.0
     reachable_only_indirectly: bool = False
     is_self: bool = False
-    awareness_score: int = 0  # of itself: 0 is healthy, timeouts stretch by one more than this
-    ranges_behind: int | None = (
-        None  # ranges of the ledger in which it differed when last compared; None: never was
-    )
-    ledger_entries: int = 0  # of itself: loads that its ledger remembers ...
-    store_bytes: int = 0  # ... and what they take on disk
-    ledger_fault: str = ""  # of itself: why its ledger grants nothing just now
+    awareness_score: int = 0
+    ranges_behind: int | None = None
+    ledger_entries: int = 0
+    store_bytes: int = 0
+    ledger_fault: str = ""
 
 
 class QuotaView(
@@ -205,22 +261,30 @@
         "is_leader": "leads",
     },
 ):
-    """One member's quota of one budget of the fleet: this one's own, and all members' where this one leads.
+    """One member's quota of one budget of the fleet.
+
+    There are rows for this member and, if it leads, for all others. Amounts are threads or requests a second.
+    The ``in_use`` of other members is not known; it is 0.
 
-    Amounts are threads or requests a second. Of others, ``in_use`` and ``guaranteed_quota`` are not known.
+    Attributes:
+        budget: Its kind, team and class, as ``threads:karri-energy:*``.
+        quota: The quota in force, with the guaranteed part.
+        lease_expires_ms: When the part beyond the guaranteed quota expires; 0 if there is none.
+        leader: The member that grants quotas, as far as known.
+        is_leader: Whether the row is of this member and it is certain to grant quotas now.
     """
 
     member: str
-    budget: str  # "threads:karri-energy:*": its kind, team and class
+    budget: str
     total: float
-    quota: float  # in force, with the guaranteed part
+    quota: float
     guaranteed_quota: float = 0.0
     in_use: float = 0.0
     demand: float = 0.0
-    lease_expires_ms: float = 0.0  # of what goes beyond the guaranteed quota; 0: nothing does
-    leader: str = ""  # who grants quotas, as far as is known
+    lease_expires_ms: float = 0.0
+    leader: str = ""
     is_self: bool = False
-    is_leader: bool = False  # of itself: it surely grants quotas now
+    is_leader: bool = False
 
 
 class LogLineView(Struct, frozen=True):
@@ -244,7 +308,7 @@
 }
 
 
-# The order in which a table is shown: a persistent map has none of its own.
+# The display order of each table: persistent maps are unordered.
 SORT_KEYS: dict[str, Callable[[Any], Any]] = {
     "engines": lambda row: row.id,
     "classes": lambda row: row.position,
