--- a/fordstair/cli/tables.py
+++ b/fordstair/cli/tables.py
@@ -19,7 +19,7 @@
     table = Table(title=pane.title, title_justify="left", box=None, pad_edge=False)
     for name in pane.columns:
         table.add_column(
-            name, justify="right" if name in pane.right else "left", no_wrap=name != pane.columns[-1]
+            name, justify="right" if name in pane.right_aligned else "left", no_wrap=name != pane.columns[-1]
         )
     for _, cells in rows:
         table.add_row(*cells)
--- a/fordstair/console/__init__.py
+++ b/fordstair/console/__init__.py
@@ -1,1 +1,1 @@
-"""The terminal console: what the feed tells, shown with its age, and adjustments that ask first."""
+"""The terminal console: shows snapshots of a program with their age, and sends operators' overrides to it."""
--- a/fordstair/console/app.py
+++ b/fordstair/console/app.py
@@ -1,4 +1,4 @@
-"""The console on textual: what it follows, its keys, and questions before what disturbs service."""
+"""The console application, built with Textual: follows one program and sends it overrides."""
 
 from __future__ import annotations
 
@@ -12,20 +12,28 @@
 from textual.screen import Screen
 
 from fordstair.console.connection import ConsoleConnectionError, follow_snapshots, read_clocks, send_command
-from fordstair.console.dialogs import Help, LimitBox, Question
-from fordstair.console.main_screen import LOWER_PANES, MainScreen, Table, View
+from fordstair.console.dialogs import ConfirmationDialog, HelpDialog, LimitDialog
+from fordstair.console.main_screen import LOWER_PANES, MainScreen, PaneTable, ScreenContent
 from fordstair.console.panes import CLASSES, ENGINES, headline
 from fordstair.snapshots.freshness import Freshness
 from fordstair.snapshots.snapshot import Snapshot
 
-__all__ = ["ConsoleApp", "Question", "Table"]
+__all__ = ["ConfirmationDialog", "ConsoleApp", "PaneTable"]
 
-RECONNECT_S = 0.5  # between attempts to reach the program
-REFRESH_S = 0.25  # ages grow, and a lost feed is noticed, without a frame
+RECONNECT_INTERVAL_S = 0.5
+# Without new frames the panes are refreshed too: ages grow, and a snapshot becomes stale.
+REFRESH_INTERVAL_S = 0.25
 
 
 class ConsoleApp(App[int]):
-    """Follows one program."""
+    """Shows the snapshots of one program, and sends it an operator's overrides.
+
+    Attributes:
+        path: Path of the program's Unix socket.
+        clock: Returns monotonic and Unix time (ms).
+        headline_text: The headline as it is shown.
+        message: The result of the last key.
+    """
 
     CSS = """
     Screen { layout: vertical; overflow: hidden; }
@@ -39,10 +47,10 @@
     #teams { width: 2fr; height: auto; max-height: 9; }
     #lower { height: 1fr; min-height: 3; }
     #message { height: 1; }
-    Help, Question, LimitBox { align: center middle; }
+    HelpDialog, ConfirmationDialog, LimitDialog { align: center middle; }
     #help, #question { width: auto; max-width: 100%; height: auto; border: round $primary; padding: 0 1;
                        background: $surface; }
-    LimitBox #question { width: 66; }
+    LimitDialog #question { width: 66; }
     """
     BINDINGS: ClassVar[list[BindingType]] = [
         Binding("question_mark", "help", "help", key_display="?"),
@@ -64,8 +72,8 @@
         self.clock = clock
         self.snapshot = Snapshot()
         self.freshness = Freshness()
-        self.shown = ""  # the headline as it stands
-        self.message = ""  # what came of the last key
+        self.headline_text = ""
+        self.message = ""
         self.main_screen = MainScreen()
 
     def get_default_screen(self) -> Screen[None]:
@@ -73,14 +81,14 @@
         return self.main_screen
 
     def on_mount(self) -> None:
-        """Follow the feed, and let ages grow."""
-        self.set_interval(REFRESH_S, self.refresh_panes)
+        """Start following the program, and refreshing the panes at an interval."""
+        self.set_interval(REFRESH_INTERVAL_S, self.refresh_panes)
         self.follow()
         self.refresh_panes()
 
     @work(exclusive=True, group="feed")
     async def follow(self) -> None:
-        """Take picture after picture; reach for the program again when it is lost."""
+        """Take each snapshot; reconnect whenever the connection fails or ends."""
         while True:
             try:
                 async for snapshot in follow_snapshots(self.path):
@@ -90,70 +98,74 @@
             except ConsoleConnectionError as error:
                 self.freshness.disconnected(str(error))
             self.refresh_panes()
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_INTERVAL_S)
 
     def refresh_panes(self) -> None:
-        """Show the picture as it stands now."""
-        mono, wall = self.clock()
-        stale = self.freshness.staleness(mono, wall)
-        self.shown = headline(self.snapshot, wall, stale)
-        self.main_screen.show(View(self.shown, self.snapshot, wall, bool(stale), self.message))
+        """Show the latest snapshot, with its ages as of now."""
+        monotonic_ms, unix_ms = self.clock()
+        stale = self.freshness.staleness(monotonic_ms, unix_ms)
+        self.headline_text = headline(self.snapshot, unix_ms, stale)
+        self.main_screen.show_content(
+            ScreenContent(self.headline_text, self.snapshot, unix_ms, bool(stale), self.message)
+        )
 
     def action_lower(self, name: str) -> None:
         """Show another lower pane."""
-        self.main_screen.show_lower(name)
+        self.main_screen.show_lower_pane(name)
         self.refresh_panes()
 
     def action_help(self) -> None:
         """Show the help."""
-        self.push_screen(Help())
+        self.push_screen(HelpDialog())
 
     def action_set_aside(self) -> None:
-        """Set the marked engine aside."""
-        if engine := self.main_screen.marked(ENGINES):
-            self.adjust(f"Set {engine} aside", "set-aside", engine=engine)
+        """Ask the program to set the selected engine aside."""
+        if engine := self.main_screen.selected_key(ENGINES):
+            self.request_override(f"Set {engine} aside", "set-aside", engine=engine)
 
     def action_bring_back(self) -> None:
-        """Bring the marked engine back."""
-        if engine := self.main_screen.marked(ENGINES):
-            self.adjust(f"Bring {engine} back", "bring-back", engine=engine)
+        """Ask the program to bring the selected engine back."""
+        if engine := self.main_screen.selected_key(ENGINES):
+            self.request_override(f"Bring {engine} back", "bring-back", engine=engine)
 
     def action_drain(self) -> None:
-        """Drain the program."""
-        self.adjust("Drain and end the program", "drain")
+        """Ask the program to drain and end."""
+        self.request_override("Drain and end the program", "drain")
 
     @work
     async def action_limit(self) -> None:
-        """Limit the marked class."""
-        if not (class_name := self.main_screen.marked(CLASSES)):
+        """Ask the operator for a limit on the threads of the selected class, and the program to set it."""
+        if not (class_name := self.main_screen.selected_key(CLASSES)):
             return
         limit = self.snapshot.table("classes")[class_name].concurrency_limit
-        text = await self.push_screen_wait(LimitBox(class_name, "no limit" if limit is None else str(limit)))
+        text = await self.push_screen_wait(
+            LimitDialog(class_name, "no limit" if limit is None else str(limit))
+        )
         if text is not None:
             threads = int(text) if text else None
-            self.adjust(f"Limit {class_name}", "limit", **{"class": class_name, "threads": threads})
+            self.request_override(f"Limit {class_name}", "limit", **{"class": class_name, "threads": threads})
 
-    def adjust(self, what: str, command: str, **fields: Any) -> None:
-        """Ask the program for an adjustment, beside what is shown."""
-        self.run_worker(self._adjust(what, command, fields), group="adjust")
+    def request_override(self, description: str, command: str, **fields: Any) -> None:
+        """Ask the program for an override, in a worker; the answer is shown as the message."""
+        self.run_worker(self._request_override(description, command, fields), group="adjust")
 
-    async def _adjust(self, what: str, command: str, fields: dict[str, Any]) -> None:
-        """Ask the program; ask the operator first where it disturbs service."""
+    async def _request_override(self, description: str, command: str, fields: dict[str, Any]) -> None:
+        """Ask the program; if it wants a confirmation, ask the operator and repeat the command."""
         seen = self.snapshot.site.revision
         try:
             answer = await asyncio.to_thread(send_command, self.path, command, seen=seen, **fields)
             if answer.get("verdict") == "confirm":
-                if not await self.push_screen_wait(Question(what, str(answer["why"]))):
-                    return self.say(f"{what}: left as it was")
+                if not await self.push_screen_wait(ConfirmationDialog(description, str(answer["why"]))):
+                    return self.show_message(f"{description}: left as it was")
                 answer = await asyncio.to_thread(
                     send_command, self.path, command, seen=seen, confirmed=True, **fields
                 )
         except ConsoleConnectionError as error:
-            return self.say(f"{what}: {error}")
+            return self.show_message(f"{description}: {error}")
         why = f": {answer['why']}" if answer.get("why") else ""
-        self.say(f"{what}: {answer.get('verdict')}{why}")
+        self.show_message(f"{description}: {answer.get('verdict')}{why}")
 
-    def say(self, text: str) -> None:
-        """Show one line of what came of a key."""
+    def show_message(self, text: str) -> None:
+        """Show a line of text as the message."""
         self.message = text
         self.refresh_panes()
--- a/fordstair/console/connection.py
+++ b/fordstair/console/connection.py
@@ -1,4 +1,4 @@
-"""The console's end of its Unix socket: one command and its answer, or the feed of snapshots."""
+"""The client side of the console's Unix socket: sends commands, or follows the snapshots."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 
 ANSWER_TIMEOUT_S = 5.0
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-FOLLOW = b'{"command":"follow"}\n'
-ACKNOWLEDGEMENT = b"\n"  # of a frame: the next one comes after it
+FOLLOW_COMMAND = b'{"command":"follow"}\n'
+# Acknowledges a frame; the program sends the next frame only after it.
+ACKNOWLEDGEMENT = b"\n"
 
 
 class ConsoleConnectionError(Exception):
-    """The program cannot be reached, or has answered what cannot be read; one line."""
+    """The program cannot be reached, or answered with an error or unreadably. The text is one line."""
 
 
 class ConsoleConnection:
-    """A connection for commands."""
+    """A blocking connection, for commands or one snapshot. Raises ConsoleConnectionError if it fails."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -38,7 +39,7 @@
         self._file = self._sock.makefile("rb")
 
     def send_command(self, command: str, **fields: Any) -> dict[str, Any]:
-        """Send one command; return the answer. An error in the answer is a ConsoleConnectionError."""
+        """Send one command and return the answer; raise ConsoleConnectionError if that is an error."""
         try:
             self._sock.sendall(ujson.dumps({"command": command, **fields}).encode() + b"\n")
             line = self._file.readline(MAX_FRAME_BYTES)
@@ -57,15 +58,15 @@
         return answer
 
     def first_snapshot(self) -> Snapshot:
-        """Return the first snapshot, which is a full one, and read no further."""
+        """Follow, and return the first snapshot, which is a full one; read no further."""
         try:
-            self._sock.sendall(FOLLOW)
-            return apply_delta(Snapshot(), _frame(self._file.readline(MAX_FRAME_BYTES)))
+            self._sock.sendall(FOLLOW_COMMAND)
+            return apply_delta(Snapshot(), _decode_frame(self._file.readline(MAX_FRAME_BYTES)))
         except (OSError, SnapshotDeltaError) as error:
             raise ConsoleConnectionError(f"{self.path}: {error}") from None
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         self._file.close()
         self._sock.close()
 
@@ -77,22 +78,22 @@
 
 
 def send_command(path: str, command: str, **fields: Any) -> dict[str, Any]:
-    """Send one command on a connection of its own; return the answer. Raise ConsoleConnectionError."""
+    """Send one command on its own connection; return the answer or raise ConsoleConnectionError."""
     with ConsoleConnection(path) as connection:
         return connection.send_command(command, **fields)
 
 
 async def follow_snapshots(path: str) -> AsyncIterator[Snapshot]:
-    """Yield snapshot after snapshot; raise ConsoleConnectionError once the feed has ended."""
+    """Yield each snapshot as it arrives; raise ConsoleConnectionError when the connection fails or ends."""
     try:
         reader, writer = await asyncio.open_unix_connection(path, limit=MAX_FRAME_BYTES)
     except (OSError, ValueError) as error:
         raise ConsoleConnectionError(f"{path}: {getattr(error, 'strerror', None) or error}") from None
     try:
-        writer.write(FOLLOW)
+        writer.write(FOLLOW_COMMAND)
         snapshot = Snapshot()
         while line := await reader.readline():
-            snapshot = apply_delta(snapshot, _frame(line))
+            snapshot = apply_delta(snapshot, _decode_frame(line))
             writer.write(ACKNOWLEDGEMENT)
             yield snapshot
     except (OSError, ValueError, SnapshotDeltaError) as error:
@@ -102,12 +103,12 @@
     raise ConsoleConnectionError(f"{path}: the feed has ended")
 
 
-def _frame(line: bytes) -> SnapshotDelta:
+def _decode_frame(line: bytes) -> SnapshotDelta:
     if line.startswith(b'{"error"'):
         raise SnapshotDeltaError(str(ujson.loads(line)["error"]))
     return decode(line)
 
 
 def read_clocks() -> tuple[float, float]:
-    """Return monotonic and Unix time, in milliseconds."""
+    """Return monotonic and Unix time (ms)."""
     return time.monotonic() * 1000.0, time.time() * 1000.0
--- a/fordstair/console/dialogs.py
+++ b/fordstair/console/dialogs.py
@@ -1,4 +1,4 @@
-"""What lies over the panes for a while: the help, a question, and a field for a number."""
+"""Modal dialogs over the panes: the help, a confirmation, and the entry of a limit."""
 
 from __future__ import annotations
 
@@ -32,64 +32,69 @@
 Press any key to go back."""
 
 
-class Help(ModalScreen[None]):
-    """What is shown, and every key."""
+class HelpDialog(ModalScreen[None]):
+    """Explains the panes and the keys."""
 
     def compose(self) -> ComposeResult:
-        """Show the text."""
+        """Show the help text."""
         yield Static(HELP, id="help", markup=False)
 
     def on_key(self) -> None:
-        """Any key closes it."""
+        """Close on any key."""
         self.dismiss()
 
 
-class Question(ModalScreen[bool]):
-    """Asks before what disturbs service; only ``y`` is a yes."""
+class ConfirmationDialog(ModalScreen[bool]):
+    """Asks to confirm an override that disturbs service; the result is True only after ``y``."""
 
     BINDINGS: ClassVar[list[BindingType]] = [
         Binding("y", "answer(True)", "yes"),
         Binding("n,escape,enter,q", "answer(False)", "no"),
     ]
 
-    def __init__(self, what: str, why: str) -> None:
+    def __init__(self, description: str, consequence: str) -> None:
         super().__init__()
-        self.what = what
-        self.why = why
+        self.description = description
+        self.consequence = consequence
 
     def compose(self) -> ComposeResult:
-        """Show what is about to be done, and what it does."""
+        """Show the override and its consequence."""
         yield Static(
-            f"{self.what}\n\n{self.why}\n\ny: do it    n: leave it as it is", id="question", markup=False
+            f"{self.description}\n\n{self.consequence}\n\ny: do it    n: leave it as it is",
+            id="question",
+            markup=False,
         )
 
-    def action_answer(self, yes: bool) -> None:
+    def action_answer(self, confirmed: bool) -> None:
         """Close with the answer."""
-        self.dismiss(yes)
+        self.dismiss(confirmed)
 
 
-class LimitBox(ModalScreen[str | None]):
-    """Asks for a number of threads."""
+class LimitDialog(ModalScreen[str | None]):
+    """Asks for a limit on threads.
+
+    The result is the text entered, which is empty to lift the limit, or None if cancelled.
+    """
 
     BINDINGS: ClassVar[list[BindingType]] = [Binding("escape", "leave", "leave")]
 
-    def __init__(self, class_name: str, now: str) -> None:
+    def __init__(self, class_name: str, current_limit: str) -> None:
         super().__init__()
         self.class_name = class_name
-        self.limit_now = now
+        self.current_limit = current_limit
 
     def compose(self) -> ComposeResult:
-        """Show the field."""
+        """Show the input field."""
         with Vertical(id="question"):
             yield Label(
-                f"Threads that {self.class_name} may hold (now {self.limit_now}); empty lifts the limit"
+                f"Threads that {self.class_name} may hold (now {self.current_limit}); empty lifts the limit"
             )
             yield Input(type="integer", id="threads")
 
     def on_input_submitted(self, event: Input.Submitted) -> None:
-        """Close with the text."""
+        """Close with the text entered."""
         self.dismiss(event.value.strip())
 
     def action_leave(self) -> None:
-        """Close without an answer."""
+        """Close without a limit."""
         self.dismiss(None)
--- a/fordstair/console/main_screen.py
+++ b/fordstair/console/main_screen.py
@@ -1,7 +1,7 @@
-"""The screen with the panes: the one owner of whether there is a screen to show anything on.
+"""The screen with the panes. It alone decides whether its widgets can be updated.
 
-A timer, a worker or an answer may come before the screen is composed, or while it is taken down. Whatever
-they bring is kept by the app, and shown by ``MainScreen.show`` where the screen is there.
+A timer, a worker or an answer may call before the screen is composed, or while it is being removed. The app
+keeps their results; ``MainScreen.show_content`` shows them only while the widgets exist.
 """
 
 from __future__ import annotations
@@ -14,35 +14,40 @@
 from textual.widgets import ContentSwitcher, DataTable, Footer, Static
 
 from fordstair.console.panes import (
-    ADJUSTMENTS,
     CLASSES,
     ENGINES,
     LOG,
     MEMBERS,
-    REFUSALS,
+    OVERRIDES,
+    QUOTAS,
+    REJECTIONS,
     REQUESTS,
-    SHARES,
     TEAMS,
     Pane,
 )
 from fordstair.snapshots.snapshot import Snapshot
 
-LOWER_PANES = (REQUESTS, REFUSALS, ADJUSTMENTS, LOG, MEMBERS, SHARES)
+LOWER_PANES = (REQUESTS, REJECTIONS, OVERRIDES, LOG, MEMBERS, QUOTAS)
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """What the screen is to show."""
+class ScreenContent:
+    """Everything that the screen shows.
+
+    Attributes:
+        now_ms: Unix time to which ages refer.
+        message: The result of the last key.
+    """
 
     headline: str
     snapshot: Snapshot
-    now_ms: float  # Unix time
+    now_ms: float
     stale: bool
-    message: str  # what came of the last key
+    message: str
 
 
-class Table(DataTable[str]):
-    """A pane's table: rows are kept by key, so that the mark stays where it is."""
+class PaneTable(DataTable[str]):
+    """A pane's table. Rows have keys, so that the selected row stays selected in an update."""
 
     def __init__(self, pane: Pane) -> None:
         super().__init__(id=pane.name, cursor_type="row", zebra_stripes=False, cell_padding=1)
@@ -50,21 +55,21 @@
         self.border_title = pane.title
 
     def on_mount(self) -> None:
-        """Set the columns up."""
+        """Add the columns."""
         for name in self.pane.columns:
             self.add_column(name, key=name)
 
-    def show(self, snapshot: Snapshot, now_ms: float, stale: bool) -> None:
-        """Bring the rows up to date; only cells that differ are touched."""
+    def show_rows(self, snapshot: Snapshot, now_ms: float, stale: bool) -> None:
+        """Show the snapshot's rows; if the row keys are unchanged, update only cells that differ."""
         rows = self.pane.rows(snapshot, now_ms, stale)
         keys = [key for key, _ in rows]
         if keys != [str(row.value) for row in self.rows]:
-            marked = self.marked
+            selected_key = self.selected_key
             self.clear()
             for key, cells in rows:
                 self.add_row(*cells, key=key)
-            if marked in keys:
-                self.move_cursor(row=keys.index(marked))
+            if selected_key in keys:
+                self.move_cursor(row=keys.index(selected_key))
         else:
             for key, cells in rows:
                 for name, cell in zip(self.pane.columns, cells, strict=True):
@@ -73,65 +78,65 @@
         self.border_title = f"{self.pane.title} ({len(rows)})" if rows else f"{self.pane.title} (none)"
 
     @property
-    def marked(self) -> str:
-        """The key of the marked row; empty without one."""
+    def selected_key(self) -> str:
+        """The key of the row under the cursor; empty without rows."""
         keys = [str(row.value) for row in self.rows]
         return keys[self.cursor_row] if 0 <= self.cursor_row < len(keys) else ""
 
 
 class MainScreen(Screen[None]):
-    """The headline, the panes, and a line for what came of a key."""
+    """The headline, the panes, and a line for the result of the last key."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._composed = False
-        self._view: View | None = None  # the latest
+        self._widgets_mounted = False
+        self._latest_content: ScreenContent | None = None
 
     @property
-    def is_there(self) -> bool:
-        """Whether the widgets are there: from when they are mounted until the screen is taken down."""
-        return self._composed and self.is_running
+    def has_widgets(self) -> bool:
+        """True from the mounting of the widgets until the screen is being removed."""
+        return self._widgets_mounted and self.is_running
 
     def compose(self) -> ComposeResult:
         """Lay the panes out."""
         yield Static("", id="headline", markup=False)
-        yield Table(ENGINES)
+        yield PaneTable(ENGINES)
         with Horizontal(id="middle"):
-            yield Table(CLASSES)
-            yield Table(TEAMS)
+            yield PaneTable(CLASSES)
+            yield PaneTable(TEAMS)
         with ContentSwitcher(initial=REQUESTS.name, id="lower"):
             for pane in LOWER_PANES:
-                yield Table(pane)
+                yield PaneTable(pane)
         yield Static("", id="message", markup=False)
         yield Footer()
 
     def on_mount(self) -> None:
-        """Begin at the engines, with what has come by now."""
-        self._composed = True
+        """Focus the engines, and show the content that came before the screen was composed."""
+        self._widgets_mounted = True
         self.query_one("#engines").focus()
-        if self._view is not None:
-            self.show(self._view)
+        if self._latest_content is not None:
+            self.show_content(self._latest_content)
 
-    def show(self, view: View) -> None:
-        """Show the view; once the screen is composed, where it is not there yet, and never after its end."""
-        self._view = view
-        if not self.is_there:
+    def show_content(self, content: ScreenContent) -> None:
+        """Show the content: once the widgets are mounted if they are not yet, and never after their end."""
+        self._latest_content = content
+        if not self.has_widgets:
             return
-        line = self.query_one("#headline", Static)
-        line.update(view.headline)
-        line.set_class(view.stale, "stale")
-        self.query_one("#message", Static).update(view.message)
+        headline = self.query_one("#headline", Static)
+        headline.update(content.headline)
+        headline.set_class(content.stale, "stale")
+        self.query_one("#message", Static).update(content.message)
         visible = self.query_one("#lower", ContentSwitcher).current
-        for table in self.query(Table):
+        for table in self.query(PaneTable):
             if table.pane not in LOWER_PANES or table.pane.name == visible:
-                table.show(view.snapshot, view.now_ms, view.stale)
+                table.show_rows(content.snapshot, content.now_ms, content.stale)
 
-    def show_lower(self, name: str) -> None:
-        """Show another lower pane."""
-        if self.is_there:
+    def show_lower_pane(self, name: str) -> None:
+        """Show and focus another lower pane."""
+        if self.has_widgets:
             self.query_one("#lower", ContentSwitcher).current = name
             self.query_one(f"#{name}").focus()
 
-    def marked(self, pane: Pane) -> str:
-        """Return the key of a pane's marked row; empty without one."""
-        return self.query_one(f"#{pane.name}", Table).marked if self.is_there else ""
+    def selected_key(self, pane: Pane) -> str:
+        """Return the key of the row under a pane's cursor; empty without rows or widgets."""
+        return self.query_one(f"#{pane.name}", PaneTable).selected_key if self.has_widgets else ""
--- a/fordstair/console/panes.py
+++ b/fordstair/console/panes.py
@@ -1,7 +1,7 @@
-"""What the console shows, as rows of text made from a picture, the time, and whether the picture is stale.
+"""The panes of the console, as rows of text made from a snapshot, the time, and whether it is stale.
 
-Nothing here knows a terminal. Every figure that can grow old stands beside its age, and in a stale picture
-no engine is called by its state alone: it was so when last heard, which is marked with a question mark.
+It is independent of the terminal. A figure that can be outdated is shown with its age, and in a stale
+snapshot the state of an engine is marked with a question mark: it is the last state known.
 """
 
 from __future__ import annotations
@@ -12,22 +12,28 @@
 from fordstair.snapshots.snapshot import Snapshot
 from fordstair.snapshots.views import EngineView, MemberView
 
-Rows = list[tuple[str, tuple[str, ...]]]  # key and cells
+# Each row is its key and its cells.
+Rows = list[tuple[str, tuple[str, ...]]]
 
 
 @dataclass(frozen=True, slots=True)
 class Pane:
-    """One table: its title, its columns, which of them hold numbers, and how its rows are made."""
+    """One table.
+
+    Attributes:
+        rows: Builds the rows from a snapshot, the Unix time now (ms) and whether the snapshot is stale.
+        right_aligned: The columns that are aligned right.
+    """
 
     name: str
     title: str
     columns: tuple[str, ...]
     rows: Callable[[Snapshot, float, bool], Rows]
-    right: frozenset[str] = frozenset()
+    right_aligned: frozenset[str] = frozenset()
 
 
-def age(since_ms: float, now_ms: float) -> str:
-    """Return how long ago that was, in at most five characters."""
+def format_age(since_ms: float, now_ms: float) -> str:
+    """Format the age of a Unix time (ms), in at most five characters; 0 or below means "never"."""
     if since_ms <= 0.0:
         return "never"
     seconds = max(0.0, (now_ms - since_ms) / 1000.0)
@@ -40,36 +46,36 @@
     return f"{seconds / 3_600.0:.0f}h"
 
 
-def span(ms: float) -> str:
-    """Return a time to go; what has passed is 0."""
-    return age(1.0, 1.0 + max(0.0, ms))
+def format_time_left(ms: float) -> str:
+    """Format a remaining time (ms); a negative one is formatted as 0."""
+    return format_age(1.0, 1.0 + max(0.0, ms))
 
 
-def state_of(view: EngineView, now_ms: float, stale: bool) -> str:
-    """Name an engine's state, with what belongs to it."""
+def format_engine_state(view: EngineView, now_ms: float, stale: bool) -> str:
+    """Format an engine's state with its detail; a question mark marks the state of a stale snapshot."""
     text = {
-        "silent": f"silent {age(view.last_response_ms, now_ms)}",
+        "silent": f"silent {format_age(view.last_response_ms, now_ms)}",
         "warming": f"warming {view.warm_up_factor:.0%}",
         "aside": "set aside",
     }.get(view.state, view.state)
     return f"{text}?" if stale else text
 
 
-def _engines(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _engine_rows(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     views: list[EngineView] = snapshot.rows("engines")
     return [
         (
             view.id,
             (
                 view.id,
-                state_of(view, now_ms, stale),
-                age(view.state_since_ms, now_ms),
+                format_engine_state(view, now_ms, stale),
+                format_age(view.state_since_ms, now_ms),
                 str(view.in_flight),
                 f"{view.threads_in_flight}/{view.cores:g}",
                 f"{view.threads_per_core:.2f}",
-                age(view.last_report_ms, now_ms),
+                format_age(view.last_report_ms, now_ms),
                 f"{view.reliability:.0%}",
-                age(view.last_response_ms, now_ms),
+                format_age(view.last_response_ms, now_ms),
                 "" if view.supports_priorities else "no priorities",
             ),
         )
@@ -77,7 +83,7 @@
     ]
 
 
-def _classes(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _class_rows(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             view.name,
@@ -87,7 +93,7 @@
                 str(view.in_flight),
                 str(view.threads_in_flight),
                 "-" if view.concurrency_limit is None else str(view.concurrency_limit),
-                age(view.oldest_received_ms, now_ms) if view.open_requests else "-",
+                format_age(view.oldest_received_ms, now_ms) if view.open_requests else "-",
                 str(view.served),
                 str(view.rejected),
                 str(view.failed),
@@ -97,7 +103,7 @@
     ]
 
 
-def _teams(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _team_rows(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             view.name,
@@ -106,15 +112,15 @@
                 str(view.open_requests),
                 str(view.in_flight),
                 str(view.threads_in_flight),
-                age(view.oldest_received_ms, now_ms) if view.open_requests else "-",
-                "-" if view.expected_wait_ms is None else span(view.expected_wait_ms),
+                format_age(view.oldest_received_ms, now_ms) if view.open_requests else "-",
+                "-" if view.expected_wait_ms is None else format_time_left(view.expected_wait_ms),
             ),
         )
         for view in snapshot.rows("teams")
     ]
 
 
-def _requests(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _request_rows(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     views = snapshot.rows("requests")
     return [
         (
@@ -123,8 +129,8 @@
                 view.transaction_id,
                 view.class_name,
                 view.team,
-                age(view.received_ms, now_ms),
-                span(view.deadline_ms - now_ms),
+                format_age(view.received_ms, now_ms),
+                format_time_left(view.deadline_ms - now_ms),
                 str(view.attempt_count),
                 view.engine or "waits",
             ),
@@ -133,7 +139,7 @@
     ]
 
 
-def _refusals(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _rejection_rows(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     views = snapshot.rows("refusals")
     return [
         (
@@ -144,24 +150,27 @@
     ]
 
 
-def _adjustments(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _override_rows(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     views = snapshot.rows("adjustments")
     return [
-        (view.target, (view.target, view.effect, view.author, age(view.applied_ms, now_ms), "until restart"))
+        (
+            view.target,
+            (view.target, view.effect, view.author, format_age(view.applied_ms, now_ms), "until restart"),
+        )
         for view in views
     ]
 
 
-def _members(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _member_rows(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             view.name,
             (
                 f"{view.name} (here)" if view.is_self else view.name,
                 f"{view.state}?" if stale else view.state,
-                age(view.since_ms, now_ms),
+                format_age(view.since_ms, now_ms),
                 str(view.incarnation),
-                f"{view.accusers} for {span(view.suspicion_ends_ms - now_ms)}"
+                f"{view.accusers} for {format_time_left(view.suspicion_ends_ms - now_ms)}"
                 if view.suspicion_ends_ms
                 else "-",
                 view.reported_by if not view.is_self else "-",
@@ -185,7 +194,7 @@
     return ", ".join(notes + ([f"grants nothing: {view.ledger_fault}"] if view.ledger_fault else []))
 
 
-def _shares(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _quota_rows(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
         (
             f"{view.member}|{view.budget}",
@@ -197,7 +206,9 @@
                 f"{view.demand:g}",
                 f"{view.guaranteed_quota:g}" if view.is_self else "-",
                 f"{view.total:g}",
-                span(view.lease_expires_ms - now_ms) if view.lease_expires_ms > now_ms else "floor alone",
+                format_time_left(view.lease_expires_ms - now_ms)
+                if view.lease_expires_ms > now_ms
+                else "floor alone",
                 view.leader or "nobody known",
             ),
         )
@@ -205,14 +216,14 @@
     ]
 
 
-def _notes(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
+def _log_rows(snapshot: Snapshot, now_ms: float, stale: bool) -> Rows:
     return [
-        (str(note.number), (age(note.at_ms, now_ms), note.level, note.text))
-        for note in reversed(snapshot.log_lines)
+        (str(line.number), (format_age(line.at_ms, now_ms), line.level, line.text))
+        for line in reversed(snapshot.log_lines)
     ]
 
 
-def _numbers(*names: str) -> frozenset[str]:
+def _column_set(*names: str) -> frozenset[str]:
     return frozenset(names)
 
 
@@ -220,61 +231,61 @@
     "engines",
     "Engines",
     ("engine", "state", "for", "out", "thr/cores", "load", "told", "trust", "heard", "note"),
-    _engines,
-    _numbers("for", "out", "thr/cores", "load", "told", "trust", "heard"),
+    _engine_rows,
+    _column_set("for", "out", "thr/cores", "load", "told", "trust", "heard"),
 )
 CLASSES = Pane(
     "classes",
     "Classes",
     ("class", "open", "out", "threads", "limit", "oldest", "served", "refused", "failed"),
-    _classes,
-    _numbers("open", "out", "threads", "limit", "oldest", "served", "refused", "failed"),
+    _class_rows,
+    _column_set("open", "out", "threads", "limit", "oldest", "served", "refused", "failed"),
 )
 TEAMS = Pane(
     "teams",
     "Teams",
     ("team", "open", "out", "threads", "oldest", "wait"),
-    _teams,
-    _numbers("open", "out", "threads", "oldest", "wait"),
+    _team_rows,
+    _column_set("open", "out", "threads", "oldest", "wait"),
 )
 REQUESTS = Pane(
     "requests",
     "Waiting",
     ("request", "class", "team", "age", "left", "tries", "engine"),
-    _requests,
-    _numbers("age", "left", "tries"),
+    _request_rows,
+    _column_set("age", "left", "tries"),
 )
-REFUSALS = Pane("refusals", "Refusals", ("class", "reason", "count"), _refusals, _numbers("count"))
-ADJUSTMENTS = Pane(
-    "adjustments", "In force", ("what", "is", "by", "ago", "lasts"), _adjustments, _numbers("ago")
+REJECTIONS = Pane("refusals", "Refusals", ("class", "reason", "count"), _rejection_rows, _column_set("count"))
+OVERRIDES = Pane(
+    "adjustments", "In force", ("what", "is", "by", "ago", "lasts"), _override_rows, _column_set("ago")
 )
 MEMBERS = Pane(
     "members",
     "Fleet",
     ("member", "state", "for", "incarnation", "accusers", "by", "address", "note"),
-    _members,
-    _numbers("for", "incarnation"),
+    _member_rows,
+    _column_set("for", "incarnation"),
 )
-SHARES = Pane(
+QUOTAS = Pane(
     "shares",
     "Shares",
     ("budget", "member", "share", "out", "wants", "floor", "whole", "lease", "granted by"),
-    _shares,
-    _numbers("share", "out", "wants", "floor", "whole", "lease"),
+    _quota_rows,
+    _column_set("share", "out", "wants", "floor", "whole", "lease"),
 )
-LOG = Pane("log", "Log", ("ago", "level", "event"), _notes, _numbers("ago"))
-PANES = (ENGINES, CLASSES, TEAMS, REQUESTS, REFUSALS, ADJUSTMENTS, MEMBERS, SHARES, LOG)
+LOG = Pane("log", "Log", ("ago", "level", "event"), _log_rows, _column_set("ago"))
+PANES = (ENGINES, CLASSES, TEAMS, REQUESTS, REJECTIONS, OVERRIDES, MEMBERS, QUOTAS, LOG)
 
 
 def headline(snapshot: Snapshot, now_ms: float, stale: str) -> str:
-    """Return the line at the top; STALE comes first, so that it is seen on the narrowest terminal."""
+    """Return the headline; STALE comes first, to be visible on the narrowest terminal."""
     site = snapshot.site
     if not snapshot.number:
         return f"STALE {stale}"
-    waits = site.open_requests - site.in_flight
+    waiting = site.open_requests - site.in_flight
     text = (
-        f"{site.name}  up {age(site.started_ms, now_ms)}  open {site.open_requests}  waiting {waits}"
-        f"  picture {snapshot.number}, {age(snapshot.at_ms, now_ms)} old"
+        f"{site.name}  up {format_age(site.started_ms, now_ms)}  open {site.open_requests}  waiting {waiting}"
+        f"  picture {snapshot.number}, {format_age(snapshot.at_ms, now_ms)} old"
     )
     if site.draining:
         text = f"DRAINING  {text}"
--- a/fordstair/console/print_once.py
+++ b/fordstair/console/print_once.py
@@ -1,4 +1,4 @@
-"""The console's panes printed once, for scripts, or saved as a picture, for the documentation."""
+"""Prints the console's panes once, for scripts, or saves its screen as SVG, for the documentation."""
 
 from __future__ import annotations
 
@@ -12,31 +12,32 @@
 from fordstair.console.connection import ConsoleConnection, read_clocks
 from fordstair.console.panes import PANES, headline
 
-SETTLE_S = 2.0
+# Lets the console connect and show its first snapshots.
+SVG_DELAY_S = 2.0
 
 
 def print_once(path: str) -> None:
-    """Print every pane once; raise ConsoleConnectionError where the program cannot be reached."""
+    """Print the headline and all panes with rows; raise ConsoleConnectionError if there is no connection."""
     with ConsoleConnection(path) as connection:
         snapshot = connection.first_snapshot()
-    _, wall = read_clocks()
+    _, unix_ms = read_clocks()
     console = Console()
-    console.print(headline(snapshot, wall, ""), markup=False, highlight=False)
+    console.print(headline(snapshot, unix_ms, ""), markup=False, highlight=False)
     for pane in PANES:
-        rows = pane.rows(snapshot, wall, False)
+        rows = pane.rows(snapshot, unix_ms, False)
         if rows:
             console.print()
             console.print(as_table(pane, rows))
 
 
-def save_svg(path: str, to: str, size: tuple[int, int] = (100, 30)) -> None:
-    """Save a picture of the console as it looks after a moment."""
+def save_svg(path: str, svg_path: str, size: tuple[int, int] = (100, 30)) -> None:
+    """Run the console for ``SVG_DELAY_S`` in a terminal of ``size`` and save its screen as SVG."""
 
-    async def scene() -> None:
+    async def capture() -> None:
         app = ConsoleApp(path)
         async with app.run_test(size=size) as pilot:
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(SVG_DELAY_S)
             await pilot.pause()
-            Path(to).write_text(app.export_screenshot(title="fordstair console"))
+            Path(svg_path).write_text(app.export_screenshot(title="fordstair console"))
 
-    asyncio.run(scene())
+    asyncio.run(capture())
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -20,7 +20,7 @@
 import ujson
 
 from fordstair.configuration.errors import ConfigError
-from fordstair.console.app import ConsoleApp, Question, Table
+from fordstair.console.app import ConfirmationDialog, ConsoleApp, PaneTable
 from fordstair.console.connection import ConsoleConnectionError, send_command
 from fordstair.lab.appliance import Appliance, appliance, operator_file
 from fordstair.lab.coordinator_process import stop_process
@@ -172,23 +172,26 @@
             async def until(wanted: Callable[[], object], within_s: float = 5.0) -> float:
                 start = time.monotonic()
                 while not wanted():
-                    assert time.monotonic() - start < within_s, (app.shown, str(app.query("#message")))
+                    assert time.monotonic() - start < within_s, (
+                        app.headline_text,
+                        str(app.query("#message")),
+                    )
                     await pilot.pause(0.02)
                 return time.monotonic() - start
 
-            await until(lambda: app.shown.startswith("LIVE"))
-            await until(lambda: app.query_one("#engines", Table).row_count == 2)
+            await until(lambda: app.headline_text.startswith("LIVE"))
+            await until(lambda: app.query_one("#engines", PaneTable).row_count == 2)
             for size in ((80, 24), (60, 16), (132, 50)):
                 await pilot.resize_terminal(*size)
                 await pilot.pause()
                 assert app.query_one("#headline").region.width == size[0]
             await pilot.press("a")  # of two engines: it asks first
-            await until(lambda: isinstance(app.screen, Question))
+            await until(lambda: isinstance(app.screen, ConfirmationDialog))
             await pilot.press("n")
             await pilot.pause(0.1)
             assert not app.snapshot.table("adjustments")
             await pilot.press("a")
-            await until(lambda: isinstance(app.screen, Question))
+            await until(lambda: isinstance(app.screen, ConfirmationDialog))
             await pilot.press("y")
             await until(lambda: "engine:engine-0" in app.snapshot.table("adjustments"))
             # Another operator is first: this console acts on what it has seen, and is told so.
@@ -203,16 +206,16 @@
             await pilot.press("x")
             os.kill(one.process.pid, signal.SIGSTOP)
             try:
-                took = await until(lambda: app.shown.startswith("STALE"), 3.0)
+                took = await until(lambda: app.headline_text.startswith("STALE"), 3.0)
                 assert took < 1.8  # a second, and what was on its way
                 states = [
-                    app.query_one("#engines", Table).get_cell(name, "state")
+                    app.query_one("#engines", PaneTable).get_cell(name, "state")
                     for name in ("engine-0", "engine-1")
                 ]
                 assert all(state.endswith("?") for state in states)
             finally:
                 os.kill(one.process.pid, signal.SIGCONT)
-            await until(lambda: app.shown.startswith("LIVE"))
+            await until(lambda: app.headline_text.startswith("LIVE"))
 
     async def scene() -> None:
         async with site(tmp_path, engines=2) as one:
--- a/tests/test_console_screen.py
+++ b/tests/test_console_screen.py
@@ -10,7 +10,7 @@
 import pytest
 
 from fordstair.console import app as console_app
-from fordstair.console.app import ConsoleApp, Table
+from fordstair.console.app import ConsoleApp, PaneTable
 from fordstair.snapshots.snapshot import Snapshot
 
 
@@ -20,11 +20,11 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.begun, self.gate = asyncio.Event(), asyncio.Event()
 
-        async def held(_: Table) -> None:
+        async def held(_: PaneTable) -> None:
             self.begun.set()
             await self.gate.wait()
 
-        monkeypatch.setattr(Table, "on_unmount", held, raising=False)
+        monkeypatch.setattr(PaneTable, "on_unmount", held, raising=False)
 
 
 class CountedClock:
@@ -51,7 +51,7 @@
 
 LATE: dict[str, Callable[[ConsoleApp], object]] = {
     "picture": take_picture,
-    "message": lambda app: app.say("done"),
+    "message": lambda app: app.show_message("done"),
     "pane": lambda app: app.action_lower("log"),
     "engine": lambda app: app.action_set_aside(),
     "limit": lambda app: app.action_limit(),
@@ -94,7 +94,7 @@
             async with app.run_test() as pilot:
                 await pilot.pause()
                 if late in ("answer", "confirmation"):
-                    app.adjust("Drain", "drain")
+                    app.request_override("Drain", "drain")
                     await until(asked.is_set)
             await coming
 
