--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The appliance on one machine: its command line, its door and its console, over real sockets."""
+"""End-to-end tests of an appliance: its command line, its client port and its console, over real sockets."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 LOOKUPS = Kind("lookup", "karri-energy", 60.0, 5.0, 4_000.0)
 
 
-async def command(*arguments: str) -> subprocess.CompletedProcess[bytes]:
+async def run_cli(*arguments: str) -> subprocess.CompletedProcess[bytes]:
     return await trio.run_process(
         [sys.executable, "-m", "fordstair.cli", *arguments],
         cwd=ROOT,
@@ -48,88 +48,96 @@
 
 
 class Site:
-    """An appliance with stand-in engines."""
+    """A running appliance with stand-in engines."""
 
     def __init__(self, running: Appliance, engines: list[StandIn]) -> None:
         self.engines, self.console_socket = engines, running.console_socket
         self.process, self.ports = running.process, running.ports
 
-    def told(self, table: str) -> dict[str, dict[str, Any]]:
+    def rows(self, table: str) -> dict[str, dict[str, Any]]:
+        """Return the console's rows of a table, by id, name or target."""
         rows = send_command(self.console_socket, table)[table]
         return {row.get("id", row.get("name", row.get("target"))): row for row in rows}
 
-    async def until(self, wanted: Callable[[], object], within_s: float = 10.0) -> None:
+    async def wait_until(self, condition: Callable[[], object], within_s: float = 10.0) -> None:
         with trio.fail_after(within_s):
-            while not await trio.to_thread.run_sync(wanted):
+            while not await trio.to_thread.run_sync(condition):
                 await trio.sleep(0.02)
 
 
 @asynccontextmanager
 async def site(folder: Path, engines: int = 3) -> AsyncIterator[Site]:
-    """Start engines and appliance, and end them."""
+    """Run an appliance with its stand-in engines, and stop them at the end."""
     stand_ins = [StandIn(f"engine-{n}", Machine(8.0, warm_ms=3_000.0)) for n in range(engines)]
     async with appliance(folder, stand_ins, "[cold]\nwarm_ms = 3000\n") as running:
         yield Site(running, stand_ins)
 
 
-def test_a_day_at_the_console_every_request_answered_once_and_the_view_truthful(tmp_path: Path) -> None:
-    """Start, watch, set aside, silence, cold return, limit, drain: under traffic all the while."""
+def test_overrides_and_engine_faults_under_traffic_are_shown_and_each_request_is_answered_once(
+    tmp_path: Path,
+) -> None:
+    """Under traffic: set an engine aside, silence another and restart it cold, limit a class, and drain."""
 
     async def scene() -> None:
-        async with site(tmp_path) as one, trio.open_nursery() as nursery:
-            traffic = Traffic("127.0.0.1", one.ports["listens"], [LOOKUPS], seed=3)
-            done = trio.Event()
+        async with site(tmp_path) as running, trio.open_nursery() as nursery:
+            traffic = Traffic("127.0.0.1", running.ports["listens"], [LOOKUPS], seed=3)
+            traffic_ended = trio.Event()
 
-            async def runs() -> None:
+            async def run_traffic() -> None:
                 await traffic.run(9.0)
-                done.set()
+                traffic_ended.set()
 
-            nursery.start_soon(runs)
-            first, second, _ = one.engines
-            await one.until(lambda: all(row["state"] == "ready" for row in one.told("engines").values()))
+            nursery.start_soon(run_traffic)
+            first, second, _ = running.engines
+            await running.wait_until(
+                lambda: all(row["state"] == "ready" for row in running.rows("engines").values())
+            )
 
-            # Set aside: nothing new from 500 ms on, and the view says who did it.
-            answer = await command("set-aside", first.name, "--socket", one.console_socket, "--json")
+            # An engine gets nothing new from 500 ms after it was set aside, and the console shows who did it.
+            answer = await run_cli("set-aside", first.name, "--socket", running.console_socket, "--json")
             assert ujson.loads(answer.stdout)["verdict"] == "done"
             await trio.sleep(0.5)
             before = first.counts["POST"]
             await trio.sleep(0.7)
             assert first.counts["POST"] == before
-            assert one.told("engines")[first.name]["state"] == "aside"
-            (row,) = one.told("adjustments").values()
+            assert running.rows("engines")[first.name]["state"] == "aside"
+            (row,) = running.rows("adjustments").values()
             assert row["what"] == "set aside"
             assert "(process " in row["who"]
 
-            # Silence: while the module avoids it, it is never called ready; what it holds is what is shown.
+            # A silent engine, which the decision module avoids, is shown as silent.
             second.go_silent()
-            await one.until(lambda: one.told("engines")[second.name]["state"] == "silent")
-            # Back cold under the same id and address, once the module has been refused a connection there.
+            await running.wait_until(lambda: running.rows("engines")[second.name]["state"] == "silent")
+            # It restarts cold with the same id and address, once the decision module has had a connection
+            # refused there.
             second.come_back_cold()
-            await one.until(lambda: one.told("engines")[second.name]["state"] in ("ready", "warming"), 20.0)
+            await running.wait_until(
+                lambda: running.rows("engines")[second.name]["state"] in ("ready", "warming"), 20.0
+            )
 
-            answer = await command("bring-back", first.name, "--socket", one.console_socket)
+            answer = await run_cli("bring-back", first.name, "--socket", running.console_socket)
             assert answer.returncode == 0
             posts = first.counts["POST"]
-            await one.until(lambda: first.counts["POST"] > posts)
-            answer = await command("limit", "settlement", "8", "--socket", one.console_socket)
+            await running.wait_until(lambda: first.counts["POST"] > posts)
+            answer = await run_cli("limit", "settlement", "8", "--socket", running.console_socket)
             assert answer.returncode == 0
-            assert one.told("classes")["settlement"]["limit"] == 8
-            await done.wait()
-            # Drain, by a console that is killed in the middle of it, while requests still come.
+            assert running.rows("classes")["settlement"]["limit"] == 8
+            await traffic_ended.wait()
+            # A console asks for a drain and disconnects before its end, while requests still arrive.
             nursery.start_soon(traffic.run, 0.4)
-            with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as door:
-                door.connect(one.console_socket)
-                door.sendall(b'{"command":"drain","confirmed":true}\n')
+            with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as console:
+                console.connect(running.console_socket)
+                console.sendall(b'{"command":"drain","confirmed":true}\n')
             with trio.fail_after(15.0):
-                while one.process.returncode is None:
+                while running.process.returncode is None:
                     await trio.sleep(0.02)
-            assert one.process.returncode == 0
-            assert not Path(one.console_socket).exists()
+            assert running.process.returncode == 0
+            assert not Path(running.console_socket).exists()
             counts = traffic.tally.counts
             answered = counts["served"] + counts["refused"] + counts["failed"]
             assert answered == counts["asked"]
             assert not counts["lost"] + counts["answered_twice"]
-            assert sum(each.counts["second_attempts"] for each in one.engines) == 0
+            assert sum(each.counts["second_attempts"] for each in running.engines) == 0
             log = (tmp_path / "log").read_text()
             assert "override.decided" in log
             assert "Cordon" in log
@@ -138,40 +146,40 @@
     play(scene)
 
 
-def test_the_view_holds_what_the_engines_hold(tmp_path: Path) -> None:
+def test_the_console_shows_the_attempts_that_each_engine_runs(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with site(tmp_path, engines=2) as one:
+        async with site(tmp_path, engines=2) as running:
             long = Kind("settlement", "karri-energy", 0.0, 0.0, 20_000.0)
-            traffic = Traffic("127.0.0.1", one.ports["listens"], [long], seed=1)
+            traffic = Traffic("127.0.0.1", running.ports["listens"], [long], seed=1)
             async with trio.open_nursery() as nursery:
                 for _ in range(3):
                     traffic.random.expovariate = lambda _: 60_000.0  # type: ignore[method-assign,assignment]
                     traffic.kinds = [Kind("settlement", "karri-energy", 0.0, 60_000.0, 20_000.0)]
                     await traffic.send(traffic.kinds[0], trio.current_time(), nursery)
-                await one.until(lambda: sum(len(each.held()) for each in one.engines) == 3)
-                rows = one.told("engines")
+                await running.wait_until(lambda: sum(len(each.held()) for each in running.engines) == 3)
+                rows = running.rows("engines")
                 assert {name: row["out"] for name, row in rows.items()} == {
-                    each.name: len(each.held()) for each in one.engines
+                    each.name: len(each.held()) for each in running.engines
                 }
-                held = {txn: each.name for each in one.engines for txn in each.held()}
-                told = send_command(one.console_socket, "requests")["requests"]
-                assert {row["txn"]: row["engine"] for row in told} == held
-                assert one.told("teams")["karri-energy"]["threads"] == 12
+                held = {txn: each.name for each in running.engines for txn in each.held()}
+                shown = send_command(running.console_socket, "requests")["requests"]
+                assert {row["txn"]: row["engine"] for row in shown} == held
+                assert running.rows("teams")["karri-energy"]["threads"] == 12
                 nursery.cancel_scope.cancel()
 
     play(scene)
 
 
-def test_the_consoles_keys_and_its_truthfulness_when_the_program_stops(tmp_path: Path) -> None:
-    """Textual's pilot against the real program: adjust, confirm, be told of a conflict, see STALE in time."""
+def test_the_consoles_keys_and_its_staleness_when_the_program_stops(tmp_path: Path) -> None:
+    """Drives the console against a real program: overrides, a confirmation, a conflict, and STALE in time."""
 
-    async def watched(one: Site) -> None:
-        app = ConsoleApp(one.console_socket)
+    async def drive_console(running: Site) -> None:
+        app = ConsoleApp(running.console_socket)
         async with app.run_test(size=(80, 24)) as pilot:
 
-            async def until(wanted: Callable[[], object], within_s: float = 5.0) -> float:
+            async def wait_until(condition: Callable[[], object], within_s: float = 5.0) -> float:
                 start = time.monotonic()
-                while not wanted():
+                while not condition():
                     assert time.monotonic() - start < within_s, (
                         app.headline_text,
                         str(app.query("#message")),
@@ -179,111 +187,117 @@
                     await pilot.pause(0.02)
                 return time.monotonic() - start
 
-            await until(lambda: app.headline_text.startswith("LIVE"))
-            await until(lambda: app.query_one("#engines", PaneTable).row_count == 2)
+            await wait_until(lambda: app.headline_text.startswith("LIVE"))
+            await wait_until(lambda: app.query_one("#engines", PaneTable).row_count == 2)
             for size in ((80, 24), (60, 16), (132, 50)):
                 await pilot.resize_terminal(*size)
                 await pilot.pause()
                 assert app.query_one("#headline").region.width == size[0]
-            await pilot.press("a")  # of two engines: it asks first
-            await until(lambda: isinstance(app.screen, ConfirmationDialog))
+            await pilot.press("a")  # The console asks for confirmation, because only two engines are ready.
+            await wait_until(lambda: isinstance(app.screen, ConfirmationDialog))
             await pilot.press("n")
             await pilot.pause(0.1)
             assert not app.snapshot.table("adjustments")
             await pilot.press("a")
-            await until(lambda: isinstance(app.screen, ConfirmationDialog))
+            await wait_until(lambda: isinstance(app.screen, ConfirmationDialog))
             await pilot.press("y")
-            await until(lambda: "engine:engine-0" in app.snapshot.table("adjustments"))
-            # Another operator is first: this console acts on what it has seen, and is told so.
+            await wait_until(lambda: "engine:engine-0" in app.snapshot.table("adjustments"))
+            # Another operator acts first: a command that is based on the older revision is a conflict.
             stale_revision = app.snapshot.site.revision
-            send_command(one.console_socket, "bring-back", engine="engine-0")
+            send_command(running.console_socket, "bring-back", engine="engine-0")
             answer = send_command(
-                one.console_socket, "set-aside", engine="engine-0", seen=stale_revision, confirmed=True
+                running.console_socket, "set-aside", engine="engine-0", seen=stale_revision, confirmed=True
             )
             assert answer["verdict"] == "conflict"
             await pilot.press("question_mark")
             await pilot.pause()
             await pilot.press("x")
-            os.kill(one.process.pid, signal.SIGSTOP)
+            os.kill(running.process.pid, signal.SIGSTOP)
             try:
-                took = await until(lambda: app.headline_text.startswith("STALE"), 3.0)
-                assert took < 1.8  # a second, and what was on its way
+                stale_after_s = await wait_until(lambda: app.headline_text.startswith("STALE"), 3.0)
+                assert stale_after_s < 1.8  # One second without a frame, after frames still in transit.
                 states = [
                     app.query_one("#engines", PaneTable).get_cell(name, "state")
                     for name in ("engine-0", "engine-1")
                 ]
                 assert all(state.endswith("?") for state in states)
             finally:
-                os.kill(one.process.pid, signal.SIGCONT)
-            await until(lambda: app.headline_text.startswith("LIVE"))
+                os.kill(running.process.pid, signal.SIGCONT)
+            await wait_until(lambda: app.headline_text.startswith("LIVE"))
 
     async def scene() -> None:
-        async with site(tmp_path, engines=2) as one:
-            await trio.to_thread.run_sync(lambda: asyncio.run(watched(one)))
+        async with site(tmp_path, engines=2) as running:
+            await trio.to_thread.run_sync(lambda: asyncio.run(drive_console(running)))
 
     play(scene)
 
 
-def test_eight_consoles_one_of_them_stopped_cost_one_frame_and_it_is_cut(tmp_path: Path) -> None:
+def test_of_eight_consoles_a_stopped_one_costs_one_frame_and_is_disconnected(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with site(tmp_path, engines=2) as one, trio.open_nursery() as nursery:
-            traffic = Traffic("127.0.0.1", one.ports["listens"], [LOOKUPS], seed=5)
+        async with site(tmp_path, engines=2) as running, trio.open_nursery() as nursery:
+            traffic = Traffic("127.0.0.1", running.ports["listens"], [LOOKUPS], seed=5)
             nursery.start_soon(traffic.run, 8.0)
-            pictures, told = [Snapshot()] * 7, [0] * 7
+            snapshots, frame_counts = [Snapshot()] * 7, [0] * 7
 
-            async def reads(number: int) -> None:
-                stream, buffer = await trio.open_unix_socket(one.console_socket), b""
+            async def follow_feed(number: int) -> None:
+                stream, buffer = await trio.open_unix_socket(running.console_socket), b""
                 await stream.send_all(b'{"command":"follow"}\n')
                 async for chunk in stream:
                     *lines, buffer = (buffer + chunk).split(b"\n")
-                    for line in lines:  # each frame continues the one before, or apply_delta raises
-                        pictures[number] = apply_delta(pictures[number], decode(line))
-                        told[number] += 1
+                    for line in lines:
+                        # Raises if the frame does not continue the previous one.
+                        snapshots[number] = apply_delta(snapshots[number], decode(line))
+                        frame_counts[number] += 1
                         await stream.send_all(b"\n")
 
-            stopped = await trio.open_unix_socket(one.console_socket)
+            stopped = await trio.open_unix_socket(running.console_socket)
             await stopped.send_all(b'{"command":"follow"}\n')
             for number in range(7):
-                nursery.start_soon(reads, number)
-            await one.until(lambda: send_command(one.console_socket, "status")["status"]["watchers"] == 8)
+                nursery.start_soon(follow_feed, number)
+            await running.wait_until(
+                lambda: send_command(running.console_socket, "status")["status"]["watchers"] == 8
+            )
             with pytest.raises(ConsoleConnectionError, match="8 consoles follow"):
-                send_command(one.console_socket, "follow")
-            await one.until(
-                lambda: send_command(one.console_socket, "counters")["counters"].get("console.write_stalled"),
+                send_command(running.console_socket, "follow")
+            await running.wait_until(
+                lambda: send_command(running.console_socket, "counters")["counters"].get(
+                    "console.write_stalled"
+                ),
                 30.0,
             )
-            assert send_command(one.console_socket, "status")["status"]["watchers"] == 7
-            # Each is told on its own, five times a second: the one that makes a picture keeps it from nobody.
-            assert all(15 <= frames <= 28 for frames in told), told
-            held = send_command(one.console_socket, "classes")["classes"][0]
-            assert pictures[0].table("classes")["lookup"].served <= held["served"]
-            await one.until(lambda: traffic.tally.counts["asked"] and not traffic.connections, 30.0)
+            assert send_command(running.console_socket, "status")["status"]["watchers"] == 7
+            # Each console gets up to five frames a second, whichever console caused the collection.
+            assert all(15 <= frames <= 28 for frames in frame_counts), frame_counts
+            row = send_command(running.console_socket, "classes")["classes"][0]
+            assert snapshots[0].table("classes")["lookup"].served <= row["served"]
+            await running.wait_until(lambda: traffic.tally.counts["asked"] and not traffic.connections, 30.0)
             assert traffic.tally.counts["served"] == traffic.tally.counts["asked"]
             nursery.cancel_scope.cancel()
 
     play(scene)
 
 
-def test_where_the_sockets_path_is_left_behind_in_use_or_not_ours(tmp_path: Path) -> None:
-    door = tmp_path / "console.sock"
+def test_a_stale_socket_is_replaced_but_no_socket_in_use_and_no_other_file(tmp_path: Path) -> None:
+    socket_path = tmp_path / "console.sock"
 
     async def scene() -> None:
-        left = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        left.bind(str(door))
-        left.close()  # left behind: taken over
-        async with site(tmp_path, engines=1) as one:
-            assert stat.S_IMODE(door.stat().st_mode) == 0o600
+        stale = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        stale.bind(str(socket_path))
+        stale.close()  # The program replaces a socket that nothing listens on.
+        async with site(tmp_path, engines=1) as running:
+            assert stat.S_IMODE(socket_path.stat().st_mode) == 0o600
             file = str(tmp_path / "appliance.toml")
-            done = await command("serve", file)  # in use: not taken
-            assert done.returncode == 2
-            assert b"another program listens there" in done.stderr
-            assert send_command(one.console_socket, "status")["status"]["name"] == "demo"
-        door.write_text("mine")
-        done = await command("serve", str(tmp_path / "appliance.toml"))
-        assert done.returncode == 2
-        assert b"is no socket" in done.stderr
-        assert door.read_text() == "mine"
-        assert (await command("status", "--socket", str(tmp_path / "none"))).returncode == 1
+            # A socket in use is not replaced.
+            process = await run_cli("serve", file)
+            assert process.returncode == 2
+            assert b"another program listens there" in process.stderr
+            assert send_command(running.console_socket, "status")["status"]["name"] == "demo"
+        socket_path.write_text("mine")
+        process = await run_cli("serve", str(tmp_path / "appliance.toml"))
+        assert process.returncode == 2
+        assert b"is no socket" in process.stderr
+        assert socket_path.read_text() == "mine"
+        assert (await run_cli("status", "--socket", str(tmp_path / "none"))).returncode == 1
 
     play(scene)
 
@@ -291,7 +305,8 @@
 def test_the_consoles_path_appears_once_its_socket_listens(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a console that finds the path and is refused, and a second program that removes it.
+    # Guards against a path that exists before its socket listens: a console would be refused, and a second
+    # program would remove the path.
     path = str(tmp_path / "console.sock")
     found: list[bool] = []
 
@@ -300,11 +315,11 @@
             socket_type = type(sock)
         listen = socket_type.listen
 
-        def looked_at(sock: trio.socket.SocketType, backlog: int) -> None:
+        def listen_and_record(sock: trio.socket.SocketType, backlog: int) -> None:
             found.append(os.path.exists(path))
             listen(sock, backlog)
 
-        monkeypatch.setattr(socket_type, "listen", looked_at)
+        monkeypatch.setattr(socket_type, "listen", listen_and_record)
         listener = await console_socket.listen(path)
         assert found == [False]
         assert [each.name for each in tmp_path.iterdir()] == ["console.sock"]
@@ -319,11 +334,13 @@
 
 def test_a_blocked_log_stalls_no_request(tmp_path: Path) -> None:
     async def scene() -> None:
-        one = StandIn("engine-0", Machine(8.0))
+        stand_in = StandIn("engine-0", Machine(8.0))
         async with trio.open_nursery() as nursery:
-            await nursery.start(one.serve)
+            await nursery.start(stand_in.serve)
             file = tmp_path / "appliance.toml"
-            text = operator_file([one], tmp_path / "console.sock").replace('"127.0.0.1:0"', '"127.0.0.1:{}"')
+            text = operator_file([stand_in], tmp_path / "console.sock").replace(
+                '"127.0.0.1:0"', '"127.0.0.1:{}"'
+            )
             ports = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
             text = text.format(*(each.getsockname()[1] for each in ports))
             file.write_text(text + '[log]\nlevel = "debug"\n')
@@ -335,7 +352,7 @@
             with pytest.raises(BlockingIOError):
                 while True:
                     os.write(write, b"x" * 65_536)
-            os.set_blocking(write, True)  # full, and nobody reads
+            os.set_blocking(write, True)  # The pipe is full, and nothing reads it.
             process = subprocess.Popen(
                 [sys.executable, "-m", "fordstair.cli", "serve", str(file)], cwd=ROOT, stderr=write
             )
@@ -343,7 +360,7 @@
                 with trio.fail_after(15.0):
                     while not (tmp_path / "console.sock").exists():
                         await trio.sleep(0.02)
-                for number in range(50):  # each is an event, and none leaves
+                for number in range(50):  # Each command logs an event, which cannot be written.
                     send_command(str(tmp_path / "console.sock"), "set-aside", engine=f"none-{number}")
                 tally: Tally = await Traffic("127.0.0.1", port, [LOOKUPS], seed=2).run(1.5)
                 assert tally.counts["served"] == tally.counts["asked"] > 40
@@ -371,27 +388,30 @@
         b'{"command":"limit","class":3,"threads":1}',
     ],
 )
-def test_a_line_that_cannot_be_read_is_told_so(tmp_path: Path, line: bytes) -> None:
-    door, operator = tmp_path / "door", tmp_path / "appliance.toml"
-    operator.write_text(OPERATOR + f'[console]\nsocket = "{door}"\n')
+def test_an_invalid_command_is_answered_with_an_error(tmp_path: Path, line: bytes) -> None:
+    socket_path, operator_path = tmp_path / "door", tmp_path / "appliance.toml"
+    operator_path.write_text(OPERATOR + f'[console]\nsocket = "{socket_path}"\n')
 
     async def scene() -> None:
-        async with engine() as one, program(config(one.address), "--operator", str(operator)):
-            stream = await trio.open_unix_socket(str(door))
+        async with (
+            engine() as stand_in,
+            program(config(stand_in.address), "--operator", str(operator_path)),
+        ):
+            stream = await trio.open_unix_socket(str(socket_path))
             await stream.send_all(line + b"\n")
             assert "error" in ujson.loads(await stream.receive_some(4096))
 
     play(scene)
 
 
-def test_the_demo_says_what_became_of_every_request() -> None:
+def test_the_demo_accounts_for_every_request() -> None:
     async def scene() -> None:
-        done = await command("demo", "--headless", "--seconds", "3", "--json")
-        told = ujson.loads(done.stdout.splitlines()[-1])
-        assert done.returncode == 0
-        assert told["asked"] > 60
-        assert told["served"] > 0
-        assert told["asked"] == told["served"] + told["refused"] + told["failed"]
-        assert not told["lost"] + told["answered_twice"] + told["loads_run_twice"]
+        process = await run_cli("demo", "--headless", "--seconds", "3", "--json")
+        figures = ujson.loads(process.stdout.splitlines()[-1])
+        assert process.returncode == 0
+        assert figures["asked"] > 60
+        assert figures["served"] > 0
+        assert figures["asked"] == figures["served"] + figures["refused"] + figures["failed"]
+        assert not figures["lost"] + figures["answered_twice"] + figures["loads_run_twice"]
 
     play(scene)
--- a/tests/test_console_screen.py
+++ b/tests/test_console_screen.py
@@ -1,4 +1,4 @@
-"""The console while its screen is composed and taken down; barriers hold each order open."""
+"""Tests of the console while its screen is composed and removed; barriers force each order of events."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 from fordstair.snapshots.snapshot import Snapshot
 
 
-class TakenDown:
-    """Holds the console in the moment in which its screen is taken down, until the gate opens."""
+class RemovalBarrier:
+    """Holds up the removal of the console's screen until ``gate`` is set."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.begun, self.gate = asyncio.Event(), asyncio.Event()
+        self.started, self.gate = asyncio.Event(), asyncio.Event()
 
         async def held(_: PaneTable) -> None:
-            self.begun.set()
+            self.started.set()
             await self.gate.wait()
 
         monkeypatch.setattr(PaneTable, "on_unmount", held, raising=False)
 
 
 class CountedClock:
-    """The console's clock; each look at it is one attempt to show the panes."""
+    """A clock for the console that counts its readings; each reading is one attempt to refresh the panes."""
 
     def __init__(self) -> None:
-        self.looks = 0
+        self.readings = 0
 
     def __call__(self) -> tuple[float, float]:
-        self.looks += 1
+        self.readings += 1
         return 1.0, 1.0
 
 
-async def until(true: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     async with asyncio.timeout(5.0):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.005)
 
 
-def take_picture(app: ConsoleApp) -> None:
+def refresh_with_snapshot(app: ConsoleApp) -> None:
     app.snapshot = Snapshot()
     app.refresh_panes()
 
 
-LATE: dict[str, Callable[[ConsoleApp], object]] = {
-    "picture": take_picture,
+LATE_CALLS: dict[str, Callable[[ConsoleApp], object]] = {
+    "picture": refresh_with_snapshot,
     "message": lambda app: app.show_message("done"),
     "pane": lambda app: app.action_lower("log"),
     "engine": lambda app: app.action_set_aside(),
@@ -58,63 +58,63 @@
 }
 
 
-@pytest.mark.parametrize("late", ["timer", "answer", "confirmation", *LATE])
-def test_what_comes_while_the_screen_is_taken_down_ends_nothing(
+@pytest.mark.parametrize("late", ["timer", "answer", "confirmation", *LATE_CALLS])
+def test_calls_while_the_screen_is_removed_do_not_end_the_console(
     monkeypatch: pytest.MonkeyPatch, late: str
 ) -> None:
-    # Guards against NoMatches for #headline: a timer, a worker or an answer after the panes have gone.
+    # Guards against NoMatches for #headline, when a timer, a worker or an answer updates removed panes.
     answered, asked = threading.Event(), threading.Event()
     verdict = {"verdict": "confirm", "why": "one of two"} if late == "confirmation" else {"verdict": "done"}
 
-    def answers_late(*_: Any, **__: Any) -> dict[str, Any]:
+    def answer_late(*_: Any, **__: Any) -> dict[str, Any]:
         asked.set()
         answered.wait(5.0)
         return verdict
 
-    monkeypatch.setattr(console_app, "send_command", answers_late)
+    monkeypatch.setattr(console_app, "send_command", answer_late)
 
     async def scene() -> None:
-        taken_down, clock = TakenDown(monkeypatch), CountedClock()
+        removal, clock = RemovalBarrier(monkeypatch), CountedClock()
         app = ConsoleApp("/nowhere", clock)
 
-        async def comes_late() -> None:
-            await taken_down.begun.wait()
-            looks = clock.looks
-            if late in LATE:
-                LATE[late](app)
+        async def call_late() -> None:
+            await removal.started.wait()
+            readings = clock.readings
+            if late in LATE_CALLS:
+                LATE_CALLS[late](app)
             answered.set()
             if late == "answer":
-                await until(lambda: app.message)
+                await wait_until(lambda: app.message)
             elif late != "confirmation":
-                await until(lambda: clock.looks > looks)
-            taken_down.gate.set()
+                await wait_until(lambda: clock.readings > readings)
+            removal.gate.set()
 
         async with asyncio.timeout(15.0):
-            coming = asyncio.create_task(comes_late())
+            late_call = asyncio.create_task(call_late())
             async with app.run_test() as pilot:
                 await pilot.pause()
                 if late in ("answer", "confirmation"):
                     app.request_override("Drain", "drain")
-                    await until(asked.is_set)
-            await coming
+                    await wait_until(asked.is_set)
+            await late_call
 
     asyncio.run(scene())
 
 
 @pytest.mark.parametrize("when", ["before", "after"])
-@pytest.mark.parametrize("early", list(LATE)[:4])
-def test_what_comes_before_the_screen_is_composed_or_after_its_end_is_kept(when: str, early: str) -> None:
-    # Guards against ScreenStackError and NoMatches where there is no screen yet, or none any more.
+@pytest.mark.parametrize("call", list(LATE_CALLS)[:4])
+def test_calls_before_the_screen_is_composed_or_after_its_end_are_kept(when: str, call: str) -> None:
+    # Guards against ScreenStackError and NoMatches, when a call updates a screen before or after it exists.
     async def scene() -> None:
         app = ConsoleApp("/nowhere")
         if when == "before":
-            LATE[early](app)
+            LATE_CALLS[call](app)
         async with app.run_test() as pilot:
             await pilot.pause()
             shown = str(app.query_one("#message").render())
         if when == "after":
-            LATE[early](app)
-        elif early == "message":
+            LATE_CALLS[call](app)
+        elif call == "message":
             assert "done" in shown
 
     asyncio.run(scene())
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -45,7 +45,7 @@
 from fordstair.scheduling.shedding import CostShedding
 from fordstair.scheduling.wait_estimation import ForecastCalibration, ReleaseRate, fluid_work
 from tests.scenes import play as run_scene
-from tests.test_console import command
+from tests.test_console import run_cli
 
 FIXED_EXAMPLES = settings(max_examples=120, derandomize=True, deadline=None)
 steps = st.lists(
@@ -343,8 +343,8 @@
 def test_replay_plays_traffic_and_names_the_line_it_cannot_use(tmp_path: Path) -> None:
     async def scene() -> None:
         traffic_file = str(tmp_path / "close.jsonl")
-        assert (await command("traffic", traffic_file, "--seconds", "4", "--rate", "60")).returncode == 0
-        process = await command("replay", traffic_file, "--against", "deploy/appliance.toml", "--json")
+        assert (await run_cli("traffic", traffic_file, "--seconds", "4", "--rate", "60")).returncode == 0
+        process = await run_cli("replay", traffic_file, "--against", "deploy/appliance.toml", "--json")
         result = ujson.loads(process.stdout)
         for variant in ("without", "with"):
             figures = result[f"{variant} all"]
@@ -355,7 +355,7 @@
             )
             + "\n"
         )
-        process = await command("replay", traffic_file, "--against", "deploy/appliance.toml")
+        process = await run_cli("replay", traffic_file, "--against", "deploy/appliance.toml")
         assert process.returncode == 2
         assert b"line 1" in process.stderr
         assert b"Traceback" not in process.stderr
--- a/tests/wires/test_console.py
+++ b/tests/wires/test_console.py
@@ -1,4 +1,4 @@
-"""The console's socket: frames with every kind of row, and the answer to each command, as JSON."""
+"""The console's wire format: frames with every kind of row, and the answer to each command, as JSON."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     '{"command":"drain"}',
     '{"command":"drain","confirmed":true}',
 ]
-STEADY = [
+NORMALIZATIONS = [
     (r'("\w+_ms":)[1-9][0-9]{9,}(\.[0-9]+)?(e\+[0-9]+)?', r"\1<ms>"),
     (r"[^\" ]+ \(process [0-9]+\)", "<who>"),
     (r"(\"load\":)[0-9.]+", r"\1<load>"),
@@ -58,31 +58,31 @@
 
 
 def messages() -> dict[str, str]:
-    told = dict[str, str]()
+    answers = dict[str, str]()
 
     async def scene(folder: Path) -> None:
-        door, file = folder / "door", folder / "operator.toml"
-        file.write_text(f'[console]\nsocket = "{door}"\n')
-        async with engine() as one, engine() as two:
-            addresses = (one.address, two.address)
-            async with program(config(*addresses), "--operator", str(file), fronts=1) as node:
-                while not door.exists():
+        socket_path, operator_file = folder / "door", folder / "operator.toml"
+        operator_file.write_text(f'[console]\nsocket = "{socket_path}"\n')
+        async with engine() as first, engine() as second:
+            addresses = (first.address, second.address)
+            async with program(config(*addresses), "--operator", str(operator_file), fronts=1) as node:
+                while not socket_path.exists():
                     await trio.sleep(0.01)
                 client = await node.client()
                 assert (await client.answer(await client.ask()))[0] is None
-                async with await trio.open_unix_socket(str(door)) as stream:
+                async with await trio.open_unix_socket(str(socket_path)) as stream:
                     for command in COMMANDS:
                         await stream.send_all(command.encode() + b"\n")
                         answer = b""
                         while not answer.endswith(b"\n"):
                             answer += await stream.receive_some(65_536)
-                        told[command] = answer.decode()
+                        answers[command] = answer.decode()
 
     with tempfile.TemporaryDirectory() as folder:
         play(lambda: scene(Path(folder)))
-    for form, steady in STEADY:
-        told = {command: re.sub(form, steady, text) for command, text in told.items()}
-    return told
+    for pattern, replacement in NORMALIZATIONS:
+        answers = {command: re.sub(pattern, replacement, text) for command, text in answers.items()}
+    return answers
 
 
 def test_commands_have_the_recorded_answers() -> None:
@@ -90,19 +90,19 @@
 
 
 @pytest.mark.parametrize("name", FRAMES)
-def test_a_frame_is_read_and_written_again(name: str) -> None:
+def test_a_decoded_frame_encodes_to_the_same_bytes(name: str) -> None:
     assert encode(decode(FRAMES[name])) == FRAMES[name]
 
 
-def in_order(data: bytes) -> Any:
-    """Return a frame whose lists of keys are in order: a picture's tables have none."""
-    told = ujson.loads(data)
-    return told | {"gone": {table: sorted(keys) for table, keys in told.get("gone", {}).items()}}
+def with_sorted_keys(data: bytes) -> Any:
+    """Return the frame with its lists of removed keys sorted: the tables of a snapshot are unordered."""
+    frame = ujson.loads(data)
+    return frame | {"gone": {table: sorted(keys) for table, keys in frame.get("gone", {}).items()}}
 
 
-def test_steps_between_pictures_are_the_recorded_frames() -> None:
-    picture = Snapshot()
+def test_deltas_between_snapshots_are_the_recorded_frames() -> None:
+    snapshot = Snapshot()
     for data in FRAMES.values():
-        after = apply_delta(picture, decode(data))
-        assert in_order(encode(delta_between(picture, after))) == in_order(data)
-        picture = after
+        next_snapshot = apply_delta(snapshot, decode(data))
+        assert with_sorted_keys(encode(delta_between(snapshot, next_snapshot))) == with_sorted_keys(data)
+        snapshot = next_snapshot
