--- a/fordstair/console/app.py
+++ b/fordstair/console/app.py
@@ -32,7 +32,7 @@
         path: Path of the program's Unix socket.
         clock: Returns monotonic and Unix time (ms).
         headline_text: The headline as it is shown.
-        message: The result of the last key.
+        message: The result of the last command.
     """
 
     CSS = """
@@ -150,7 +150,7 @@
         self.run_worker(self._request_override(description, command, fields), group="adjust")
 
     async def _request_override(self, description: str, command: str, fields: dict[str, Any]) -> None:
-        """Ask the program; if it wants a confirmation, ask the operator and repeat the command."""
+        """Ask the program; if it requires a confirmation, ask the operator and repeat the command."""
         seen = self.snapshot.site.revision
         try:
             answer = await asyncio.to_thread(send_command, self.path, command, seen=seen, **fields)
--- a/fordstair/console/connection.py
+++ b/fordstair/console/connection.py
@@ -21,11 +21,11 @@
 
 
 class ConsoleConnectionError(Exception):
-    """The program cannot be reached, or answered with an error or unreadably. The text is one line."""
+    """The program cannot be reached, or its answer is an error or cannot be decoded. The text is one line."""
 
 
 class ConsoleConnection:
-    """A blocking connection, for commands or one snapshot. Raises ConsoleConnectionError if it fails."""
+    """A blocking connection, for commands or one snapshot; raises ConsoleConnectionError if it fails."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -39,7 +39,7 @@
         self._file = self._sock.makefile("rb")
 
     def send_command(self, command: str, **fields: Any) -> dict[str, Any]:
-        """Send one command and return the answer; raise ConsoleConnectionError if that is an error."""
+        """Send one command and return the answer; raise ConsoleConnectionError if it is an error."""
         try:
             self._sock.sendall(ujson.dumps({"command": command, **fields}).encode() + b"\n")
             line = self._file.readline(MAX_FRAME_BYTES)
--- a/fordstair/console/main_screen.py
+++ b/fordstair/console/main_screen.py
@@ -36,7 +36,7 @@
 
     Attributes:
         now_ms: Unix time to which ages refer.
-        message: The result of the last key.
+        message: The result of the last command.
     """
 
     headline: str
@@ -85,7 +85,7 @@
 
 
 class MainScreen(Screen[None]):
-    """The headline, the panes, and a line for the result of the last key."""
+    """The headline, the panes, and a line for the result of the last command."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/fordstair/console/panes.py
+++ b/fordstair/console/panes.py
@@ -1,7 +1,7 @@
 """The panes of the console, as rows of text made from a snapshot, the time, and whether it is stale.
 
-It is independent of the terminal. A figure that can be outdated is shown with its age, and in a stale
-snapshot the state of an engine is marked with a question mark: it is the last state known.
+They are independent of the terminal. A figure that can be outdated is shown with its age, and in a stale
+snapshot the state of an engine or member is marked with a question mark: it is the last known state.
 """
 
 from __future__ import annotations
--- a/fordstair/snapshots/delta.py
+++ b/fordstair/snapshots/delta.py
@@ -34,9 +34,10 @@
 ):
     """The changes from snapshot ``base`` to snapshot ``number``; with base 0, the full snapshot.
 
+    The fields from ``engines`` to ``shares`` are named after the tables, and hold their new and changed rows.
+
     Attributes:
         site: The program's row, if it changed.
-        engines: Changed and new rows, by key. Each of the tables up to ``shares`` has a field of its name.
         removed: The keys of removed rows, by table.
         log_lines: The lines logged since the base.
     """
@@ -58,7 +59,7 @@
 
 
 class SnapshotDeltaError(Exception):
-    """A frame cannot be decoded, or its base is not the snapshot that it is applied to."""
+    """A frame cannot be decoded, or does not continue the snapshot that it is applied to."""
 
 
 def delta_between(old: Snapshot, new: Snapshot) -> SnapshotDelta:
@@ -86,7 +87,7 @@
 
 
 def apply_delta(snapshot: Snapshot, delta: SnapshotDelta) -> Snapshot:
-    """Return the snapshot after a delta; raise SnapshotDeltaError if the delta has another base."""
+    """Return the snapshot after a delta; raise SnapshotDeltaError if it does not continue the snapshot."""
     if delta.base == 0:
         snapshot = Snapshot()
     elif delta.base != snapshot.number or delta.number <= snapshot.number:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -108,8 +108,8 @@
             # A silent engine, which the decision module avoids, is shown as silent.
             second.go_silent()
             await running.wait_until(lambda: running.rows("engines")[second.name]["state"] == "silent")
-            # It restarts cold with the same id and address, once the decision module has had a connection
-            # refused there.
+            # After a cold restart with the same id and address it is shown as ready or warming, once the
+            # decision module has had a connection refused there.
             second.come_back_cold()
             await running.wait_until(
                 lambda: running.rows("engines")[second.name]["state"] in ("ready", "warming"), 20.0
@@ -215,7 +215,7 @@
             os.kill(running.process.pid, signal.SIGSTOP)
             try:
                 stale_after_s = await wait_until(lambda: app.headline_text.startswith("STALE"), 3.0)
-                assert stale_after_s < 1.8  # One second without a frame, after frames still in transit.
+                assert stale_after_s < 1.8  # Due 1 s after the last frame, which may still be in transit.
                 states = [
                     app.query_one("#engines", PaneTable).get_cell(name, "state")
                     for name in ("engine-0", "engine-1")
--- a/tests/test_console_screen.py
+++ b/tests/test_console_screen.py
@@ -102,19 +102,19 @@
 
 
 @pytest.mark.parametrize("when", ["before", "after"])
-@pytest.mark.parametrize("call", list(LATE_CALLS)[:4])
-def test_calls_before_the_screen_is_composed_or_after_its_end_are_kept(when: str, call: str) -> None:
+@pytest.mark.parametrize("early", list(LATE_CALLS)[:4])
+def test_calls_before_the_screen_is_composed_or_after_its_end_are_kept(when: str, early: str) -> None:
     # Guards against ScreenStackError and NoMatches, when a call updates a screen before or after it exists.
     async def scene() -> None:
         app = ConsoleApp("/nowhere")
         if when == "before":
-            LATE_CALLS[call](app)
+            LATE_CALLS[early](app)
         async with app.run_test() as pilot:
             await pilot.pause()
             shown = str(app.query_one("#message").render())
         if when == "after":
-            LATE_CALLS[call](app)
-        elif call == "message":
+            LATE_CALLS[early](app)
+        elif early == "message":
             assert "done" in shown
 
     asyncio.run(scene())
