--- a/fordstair/configuration/operator_file.py
+++ b/fordstair/configuration/operator_file.py
@@ -1,4 +1,4 @@
-"""Reads an operator's file into what the program runs on: the same Config and Settings as the platform's."""
+"""Reads an operator's file and converts it to the Config, Settings and options that the program runs on."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from fordstair.configuration.errors import ConfigError, ConfigurationProblem, InvalidOperatorFileError
 from fordstair.configuration.operator_fleet_schema import WholeTable
-from fordstair.configuration.operator_options import Operator
-from fordstair.configuration.operator_schema import ClassTable, EngineTable, File, SetTable, member_of
+from fordstair.configuration.operator_options import OperatorOptions
+from fordstair.configuration.operator_schema import ClassTable, EngineTable, File, SetTable, member_name
 from fordstair.configuration.operator_validation import validate_operator_file
-from fordstair.configuration.platform import AdmissionQueueSettings, Config, address
+from fordstair.configuration.platform import AdmissionQueueSettings, Config, parse_address
 from fordstair.core.ports import Engine
 from fordstair.decisions.engine_list import EngineEntry, ListUpdateKind
 from fordstair.decisions.settings import Idempotency, RequestClass, Settings, Tenant
@@ -31,43 +31,44 @@
 
 
 def read_operator_file(path: str, *, require_site: bool) -> File:
-    """Read and check a file; raise InvalidOperatorFileError, which holds all problems.
+    """Read and validate a file; ``require_site`` also requires what a site without a platform needs.
 
-    ``require_site`` asks for what a site without a platform needs.
+    Raises:
+        InvalidOperatorFileError: The file cannot be used; the error holds all problems.
     """
     try:
-        document = tomllib.loads(_text_of(path))
+        document = tomllib.loads(_read_text(path))
     except OSError as error:
-        raise _invalid(error.strerror or str(error)) from None
+        raise _file_error(error.strerror or str(error)) from None
     except UnicodeDecodeError as error:
-        raise _invalid(f"is not UTF-8: byte {error.start}") from None
+        raise _file_error(f"is not UTF-8: byte {error.start}") from None
     except (tomllib.TOMLDecodeError, RecursionError, ValueError) as error:
-        raise _invalid(f"is not TOML: {error}") from None
+        raise _file_error(f"is not TOML: {error}") from None
     return validate_operator_file(document, require_site=require_site)
 
 
 def load_operator_file(path: str, *, require_site: bool) -> File:
-    """Read a file as ``read_operator_file`` does, but raise a plain ConfigError with one line a problem."""
+    """Read a file as ``read_operator_file`` does, but raise a ConfigError with one line per problem."""
     try:
         return read_operator_file(path, require_site=require_site)
     except InvalidOperatorFileError as invalid:
         raise ConfigError("\n".join(problem.line(path) for problem in invalid.problems)) from None
 
 
-def _text_of(path: str) -> str:
-    with Path(path).open("rb") as opened:
-        data = opened.read(MAX_FILE_BYTES + 1)
+def _read_text(path: str) -> str:
+    with Path(path).open("rb") as file:
+        data = file.read(MAX_FILE_BYTES + 1)
     if len(data) > MAX_FILE_BYTES:
-        raise _invalid(f"is over {MAX_FILE_BYTES} bytes")
+        raise _file_error(f"is over {MAX_FILE_BYTES} bytes")
     return data.decode()
 
 
-def _invalid(reason: str) -> InvalidOperatorFileError:
+def _file_error(reason: str) -> InvalidOperatorFileError:
     return InvalidOperatorFileError([ConfigurationProblem("", reason)])
 
 
 def decision_settings(file: File) -> Settings:
-    """Return the decision module's settings for a site: one instance, its classes, teams and machines."""
+    """Return the settings of the decision module for a site with one instance."""
     assert file.site is not None
     kinds = machine_kinds(file.engines)
     return Settings(
@@ -91,12 +92,12 @@
 
 
 def coordinator_config(file: File) -> Config:
-    """Return the configuration of a site that no platform tells of; its engines are the file's."""
+    """Return the configuration of a site without a platform; its engines are those of the file."""
     assert file.site is not None
     engines = engine_list(file)
     return Config(
         name=file.site.name,
-        listen=address(file.site.listen, "site.listen"),
+        listen=parse_address(file.site.listen, "site.listen"),
         seed=file.site.seed or secrets.randbits(63),
         sockets=file.limits.max_sockets,
         memory_mb=file.limits.memory_mb,
@@ -131,15 +132,15 @@
 
 
 def machine_kinds(engines: list[EngineTable]) -> list[tuple[float, float]]:
-    """Return the kinds of machines, as cores and memory, in the order of their first engine."""
+    """Return the distinct machine kinds, as cores and memory in MB, in the order of their first engine."""
     return list(dict.fromkeys((each.cores, each.memory_mb) for each in engines))
 
 
-def operator_options(file: File) -> Operator:
-    """Return what the OData front, the console and the identities are set to."""
+def operator_options(file: File) -> OperatorOptions:
+    """Return the options of the OData front, the console, the identities and the fleet."""
     front = file.odata
-    return Operator(
-        listen=address(front.listen, "odata.listen") if front is not None else None,
+    return OperatorOptions(
+        listen=parse_address(front.listen, "odata.listen") if front is not None else None,
         root="/" + (front.root if front is not None else DEFAULT_ODATA_ROOT).strip("/"),
         page_rows=front.page_rows if front is not None else DEFAULT_PAGE_ROWS,
         max_results=front.max_results if front is not None else 1,
@@ -149,18 +150,18 @@
         team_header=front.team_header if front is not None else "",
         engines={each.id: each.protocol for each in file.engines},
         entity_sets={each.name: _entity_set(each) for each in file.entity_sets},
-        identity=_identity(file),
-        console=file.console.socket_path if file.console is not None else "",
-        watchers=file.console.max_consoles if file.console is not None else 0,
+        identity=_identity_table(file),
+        console_socket=file.console.socket_path if file.console is not None else "",
+        max_consoles=file.console.max_consoles if file.console is not None else 0,
         eject_silent_zones=file.routing.eject_silent_zones,
-        fleet=_fleet(file),
-        ledger=_ledger(file),
-        shares=_shares(file),
-        fleet_listen=address(file.fleet.listen, "fleet.listen") if file.fleet is not None else ("", 0),
+        fleet=_membership_config(file),
+        ledger=_replication_settings(file),
+        fleet_budgets=_fleet_budgets_config(file),
+        fleet_listen=parse_address(file.fleet.listen, "fleet.listen") if file.fleet is not None else ("", 0),
     )
 
 
-def _identity(file: File) -> dict[str, Any]:
+def _identity_table(file: File) -> dict[str, Any]:
     if (table := file.identity) is None:
         return {}
     return {
@@ -173,16 +174,16 @@
     }
 
 
-def _fleet(file: File) -> MembershipConfig | None:
+def _membership_config(file: File) -> MembershipConfig | None:
     if (table := file.fleet) is None:
         return None
     from fordstair.membership.configuration import MembershipConfig
 
-    # Port 0 is known once it is bound; a member's name is the site's where the file gives none.
+    # With port 0 the address is known only once it is bound. Without fleet.member the site's name is used.
     advertised = table.advertise or ("" if table.listen.endswith(":0") else table.listen)
     return MembershipConfig(
         table.cluster,
-        member_of(file),
+        member_name(file),
         advertised,
         tuple(table.seeds),
         table.probe_interval_ms,
@@ -196,16 +197,16 @@
     )
 
 
-def _ledger(file: File) -> ReplicationSettings | None:
+def _replication_settings(file: File) -> ReplicationSettings | None:
     if file.fleet is None or (table := file.fleet.ledger) is None:
         return None
     from fordstair.replication.settings import ReplicationSettings
 
     return ReplicationSettings(
         file.fleet.cluster,
-        member_of(file),
+        member_name(file),
         dict(table.replica_addresses),
-        address(table.listen, "fleet.ledger.listen"),
+        parse_address(table.listen, "fleet.ledger.listen"),
         table.store_path,
         table.replication_factor,
         table.claim_timeout_ms,
@@ -216,7 +217,7 @@
     )
 
 
-def _shares(file: File) -> FleetBudgetsConfig | None:
+def _fleet_budgets_config(file: File) -> FleetBudgetsConfig | None:
     if file.fleet is None or (table := file.fleet.budgets) is None:
         return None
     from fordstair.budgets.plan import BudgetPlan, FleetBudgetsConfig
@@ -232,8 +233,8 @@
     )
     return FleetBudgetsConfig(
         plan,
-        member_of(file),
-        address(table.listen, "fleet.budgets.listen"),
+        member_name(file),
+        parse_address(table.listen, "fleet.budgets.listen"),
         dict(table.members),
         table.audit_path,
     )
@@ -245,9 +246,11 @@
     scope = (budget.team or "", budget.class_name or "")
     if budget.threads is None:
         return FleetLimit("rate", int(UNITS_PER_REQUEST_PER_S * (budget.requests_per_s or 0.0)), *scope)
-    # An allotment that no request fits into would be of no use.
-    needs = [each.threads for each in file.classes if budget.class_name in (None, each.name)] or [1]
-    return FleetLimit("threads", budget.threads, *scope, quantum=max(needs), min_useful=min(needs))
+    # No request can start with an allotment smaller than its threads.
+    class_threads = [each.threads for each in file.classes if budget.class_name in (None, each.name)] or [1]
+    return FleetLimit(
+        "threads", budget.threads, *scope, quantum=max(class_threads), min_useful=min(class_threads)
+    )
 
 
 def _admission_queue(file: File) -> AdmissionQueueSettings | None:
--- a/fordstair/configuration/operator_schema.py
+++ b/fordstair/configuration/operator_schema.py
@@ -1,8 +1,10 @@
-"""What an operator's file may hold: every table and field, typed, with its bounds and its default.
+"""Schema of an operator's file: its tables and fields, each with its type, bounds and default.
 
-The file is TOML. Times are milliseconds unless a field's name ends in ``_seconds``; memory is in MB; a
-``thread`` is one core's worth of running work. Nothing here does I/O: ``operator_file.py`` reads a file.
-Attributes have the code's terms; ``rename`` gives the key of the file where it differs.
+The file is TOML. Times are milliseconds unless a key ends in ``_seconds``; memory is in MB; a ``thread`` is
+one core's worth of running work. Nothing here does I/O: ``operator_file.py`` reads a file.
+
+Attributes have the code's terms; ``rename`` gives the key of the file where it differs. ``fordstair schema``
+prints the names and docstrings of the tables, so a change to them changes its output.
 """
 
 from __future__ import annotations
@@ -40,13 +42,16 @@
     """The site as a whole."""
 
     name: Name
-    listen: Address = "127.0.0.1:6565"  # MessagePack-RPC; port 0 takes a free one
-    requests_per_s: NotNegative = 0.0  # what all teams together may ask for; 0: no quota is stated
+    # MessagePack-RPC; port 0 binds any free port.
+    listen: Address = "127.0.0.1:6565"
+    # Quota of all teams together; 0 sets none.
+    requests_per_s: NotNegative = 0.0
     over_quota_weight: Fraction = 0.1
     zones: Annotated[list[Name], Meta(min_length=1, max_length=64)] = msgspec.field(
         default_factory=lambda: ["hall-a"]
     )
-    seed: Annotated[int, Meta(ge=0, le=2**63 - 1)] = 0  # 0: drawn anew at each start
+    # 0 draws a new seed at each start.
+    seed: Annotated[int, Meta(ge=0, le=2**63 - 1)] = 0
 
 
 class LimitsTable(
@@ -67,9 +72,11 @@
     max_sockets: Annotated[int, Meta(ge=64, le=1_000_000)] = 1024
     connect_timeout_ms: Annotated[float, Meta(ge=1.0, le=60_000.0)] = 250.0
     idle_timeout_ms: Annotated[float, Meta(ge=100.0, le=3_600_000.0)] = 30_000.0
-    max_attempts: Annotated[int, Meta(ge=1, le=16)] = 4  # for one request, the first included
+    # Attempts for one request, the first included.
+    max_attempts: Annotated[int, Meta(ge=1, le=16)] = 4
     may_cancel: bool = True
-    sends_retry_after: bool = True  # refusals say when to come back
+    # Rejections carry a time after which to retry.
+    sends_retry_after: bool = True
     max_retry_after_ms: NotNegative = 1_000.0
 
 
@@ -86,9 +93,11 @@
 ):
     """How an engine that has just started is spared."""
 
-    initial_capacity: Fraction = 0.32  # the part of its capacity that it starts with
+    # Fraction of its full capacity that a cold engine starts with.
+    initial_capacity: Fraction = 0.32
     duration_ms: NotNegative = 15_000.0
-    overload_factor: Annotated[float, Meta(ge=1.0, le=100.0)] = 2.5  # of what it can do: more pushes it over
+    # Multiple of its present capacity; a higher load overloads a cold engine.
+    overload_factor: Annotated[float, Meta(ge=1.0, le=100.0)] = 2.5
     window_ms: Positive = 1_000.0
 
 
@@ -98,7 +107,8 @@
     fields: Annotated[list[Literal["util", "inflight"]], Meta(max_length=2)] = msgspec.field(
         default_factory=lambda: ["util", "inflight"]
     )
-    progress_interval_ms: NotNegative = 500.0  # between notes on running work; 0: none come
+    # Interval between notes on a running query; 0 if engines send none.
+    progress_interval_ms: NotNegative = 500.0
     priorities: bool = True
 
 
@@ -118,14 +128,18 @@
     """One class of requests."""
 
     name: Name
-    effect: Literal["safe", "unsafe"] = "safe"  # unsafe work is never repeated where it may have run
-    latency_objective_ms: Positive = 1_000.0  # wanted within this time ...
-    latency_objective_work_factor: NotNegative = 0.0  # ... and this many times its work over its threads
+    # An unsafe request is never repeated if it may have run.
+    effect: Literal["safe", "unsafe"] = "safe"
+    # The objective is latency_objective_ms + latency_objective_work_factor * work / threads.
+    latency_objective_ms: Positive = 1_000.0
+    latency_objective_work_factor: NotNegative = 0.0
     client_timeout_ms: Positive = 10_000.0
     priority_weight: NotNegative = 1.0
-    late_weight: Fraction = 0.0  # what an answer after the wanted time still earns
+    # Fraction of its weight that an answer after the objective still has.
+    late_weight: Fraction = 0.0
     threads: Threads = 1
-    is_load: bool = False  # holds its group of tables on its engine while it runs
+    # A load locks its group of tables on its engine while it runs.
+    is_load: bool = False
     waits_for_loads: bool = False
 
 
@@ -140,10 +154,12 @@
 ):
     """Queues in front of the decision module, fair between teams by their shares; off without this table."""
 
-    threads_per_core: Annotated[float, Meta(ge=0.25, le=16.0)] = 1.5  # that may be out at engines
+    # Threads that may be in flight, for each core of the engines.
+    threads_per_core: Annotated[float, Meta(ge=0.25, le=16.0)] = 1.5
     max_waiting: Annotated[int, Meta(ge=1, le=100_000)] = 10_000
-    burst_ms: Annotated[float, Meta(ge=10.0, le=60_000.0)] = 8_000.0  # of its budget that a team may save up
-    debt_ms: Annotated[float, Meta(ge=0.0, le=600_000.0)] = 4_000.0  # of its budget that a team may owe
+    # Credit that a team may accumulate, and debt that it may run up, as time at its share of the capacity.
+    burst_ms: Annotated[float, Meta(ge=10.0, le=60_000.0)] = 8_000.0
+    debt_ms: Annotated[float, Meta(ge=0.0, le=600_000.0)] = 4_000.0
 
 
 class TeamTable(Table, frozen=True, kw_only=True):
@@ -158,7 +174,8 @@
 
     id: Name
     address: Address | None = None
-    zone: Name | None = None  # default: the site's first
+    # Default: the first zone of the site.
+    zone: Name | None = None
     cores: Annotated[float, Meta(gt=0.0, le=4096.0)] = 4.0
     memory_mb: Positive = 8_192.0
     protocol: Protocol = "rest"
@@ -180,7 +197,8 @@
     page_rows: Annotated[int, Meta(ge=1, le=100_000)] = 200
     max_results: Annotated[int, Meta(ge=1, le=100_000)] = 64
     result_lifetime_s: Annotated[int, Meta(ge=1, le=100_000)] = 60
-    team: Text = ""  # of clients that have neither identity nor header
+    # Team of clients that have neither an identity nor the header.
+    team: Text = ""
     team_header: Text = ""
 
 
@@ -199,10 +217,13 @@
 
     name: Identifier
     table: TableName
-    columns: Annotated[list[Identifier], Meta(min_length=1, max_length=256)]  # the first one is the key
+    # The first column is the key.
+    columns: Annotated[list[Identifier], Meta(min_length=1, max_length=256)]
     read_class: Name
-    lookup_class: Name | None = None  # default: as ``read_class``
-    write_class: Name | None = None  # none: the set is only read
+    # Default: ``read_class``.
+    lookup_class: Name | None = None
+    # Without it the set is read-only.
+    write_class: Name | None = None
     cpu_ms: NotNegative = 0.0
     memory_mb: NotNegative = 0.0
 
@@ -214,14 +235,16 @@
     key: Text
     bundle: Text
     trust_domain: Annotated[str, Meta(pattern=r"\A[a-z0-9._-]{1,255}\Z")]
-    teams: dict[str, Name] = {}  # by SPIFFE ID
+    # Team by the client's SPIFFE ID.
+    teams: dict[str, Name] = {}
     engines: list[str] = []
 
 
 class RoutingTable(Table, frozen=True, kw_only=True, rename={"eject_silent_zones": "avoid_silent_halls"}):
     """Where requests go when engines fail together."""
 
-    eject_silent_zones: bool = False  # found out by several of its engines, and tried again after seconds
+    # A zone is ejected when several of its engines are silent, and tried again some seconds later.
+    eject_silent_zones: bool = False
 
 
 class ConsoleTable(
@@ -236,7 +259,8 @@
     """The console's door."""
 
     socket_path: Annotated[str, Meta(min_length=1, max_length=100)]
-    max_consoles: Annotated[int, Meta(ge=1, le=64)] = 8  # consoles that may follow at a time
+    # Consoles that may stream snapshots at a time.
+    max_consoles: Annotated[int, Meta(ge=1, le=64)] = 8
 
 
 class LogTable(
@@ -253,8 +277,10 @@
 
     format: Literal["human", "json"] = "human"
     level: Literal["debug", "info", "warning", "error"] = "info"
-    repeat_window_s: Annotated[float, Meta(ge=0.0, le=3600.0)] = 10.0  # equal lines are counted for so long
-    max_waiting_lines: Annotated[int, Meta(ge=16, le=65_536)] = 1_024  # that may wait for a slow reader
+    # Equal lines within this time are counted instead of repeated.
+    repeat_window_s: Annotated[float, Meta(ge=0.0, le=3600.0)] = 10.0
+    # Lines that are buffered for a slow reader of standard error.
+    max_waiting_lines: Annotated[int, Meta(ge=16, le=65_536)] = 1_024
 
 
 class File(
@@ -289,10 +315,10 @@
     log: LogTable = LogTable()
 
 
-def member_of(file: File) -> str:
-    """Return a coordinator's name in its fleet: what is set there, else the site's; empty for neither."""
-    own = file.fleet.member if file.fleet is not None else None
-    return own or (file.site.name if file.site is not None else "")
+def member_name(file: File) -> str:
+    """Return the coordinator's name in its fleet: ``fleet.member``, else the site's; empty without either."""
+    member = file.fleet.member if file.fleet is not None else None
+    return member or (file.site.name if file.site is not None else "")
 
 
 def json_schema() -> dict[str, object]:
--- a/fordstair/configuration/operator_types.py
+++ b/fordstair/configuration/operator_types.py
@@ -1,4 +1,4 @@
-"""The types that the tables of an operator's file are made of: bounded numbers, names, addresses."""
+"""Field types of the tables of an operator's file: bounded numbers, names and addresses."""
 
 from __future__ import annotations
 
@@ -39,4 +39,4 @@
 
 
 class Table(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file; a key that it does not know is a fault."""
+    """A table of the file; an unknown key is an error."""
--- a/fordstair/configuration/operator_validation.py
+++ b/fordstair/configuration/operator_validation.py
@@ -1,4 +1,4 @@
-"""All problems of an operator's file at once, each with the path of its field; pure."""
+"""Finds all problems of an operator's file at once, each with the path of its field. Does no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import msgspec
 
 from fordstair.configuration.errors import ConfigurationProblem, InvalidOperatorFileError
-from fordstair.configuration.operator_consistency import inconsistencies, missing_for_a_site
+from fordstair.configuration.operator_consistency import inconsistencies, missing_site_fields
 from fordstair.configuration.operator_schema import File
 from fordstair.configuration.operator_types import Table
 
@@ -21,22 +21,27 @@
 
 
 def validate_operator_file(document: Mapping[str, Any], *, require_site: bool) -> File:
-    """Return the typed file, or raise InvalidOperatorFileError with all that is wrong.
+    """Return the typed file.
 
-    ``require_site`` asks for what a site without a platform needs: its name, classes, teams and engines.
+    Args:
+        document: The file's TOML, as parsed.
+        require_site: Also require what a site without a platform needs: its name, classes, teams and engines.
+
+    Raises:
+        InvalidOperatorFileError: The file has problems; the error holds the first ``MAX_PROBLEMS``.
     """
     problems = list(_table_problems(document, File, ""))[:MAX_PROBLEMS]
     if problems:
         raise InvalidOperatorFileError(problems)
     file = msgspec.convert(document, File)
-    problems = [*inconsistencies(file), *(missing_for_a_site(file) if require_site else ())]
+    problems = [*inconsistencies(file), *(missing_site_fields(file) if require_site else ())]
     if problems:
         raise InvalidOperatorFileError(problems[:MAX_PROBLEMS])
     return file
 
 
 def _table_problems(value: Any, table: type[Table], path: str) -> Iterator[ConfigurationProblem]:
-    """Yield the problems of one table, field by field: the library itself stops at the first."""
+    """Yield the problems of one table, field by field, because msgspec stops at the first."""
     if not isinstance(value, Mapping):
         yield ConfigurationProblem(path, f"a table is wanted, not {_type_name(value)}")
         return
@@ -61,7 +66,7 @@
     if typing.get_origin(inner) is list and isinstance(value, list) and _as_table(item_types[0]) is not None:
         for index, item in enumerate(value):
             yield from _value_problems(item, item_types[0], f"{path}.{index}")
-        # The items are checked; of the list only its length is left.
+        # The items have been checked, so only the bounds on the list's length remain.
         value = [None] * len(value)
         annotation = _with_any_items(annotation)
     try:
@@ -80,7 +85,7 @@
 
 
 def _as_table(annotation: Any) -> type[Table] | None:
-    """Return the table that a type is, or is unless it is None; None for any other type."""
+    """Return the table class of ``Table`` or ``Table | None``; None for any other type."""
     if typing.get_origin(annotation) in (typing.Union, UnionType):
         choices = [choice for choice in typing.get_args(annotation) if choice is not NoneType]
         annotation = choices[0] if len(choices) == 1 else None
@@ -88,7 +93,7 @@
 
 
 def _with_any_items(annotation: Any) -> Any:
-    """Return the type of a list of the same bounds with items of any kind."""
+    """Return a list type with the same bounds and items of any type."""
     if typing.get_origin(annotation) is typing.Annotated:
         return typing.Annotated[(list[Any], *annotation.__metadata__)]
     return list[Any]
--- a/fordstair/configuration/platform.py
+++ b/fordstair/configuration/platform.py
@@ -1,4 +1,4 @@
-"""Reads the platform's configuration: RELAY_* in the environment, and the JSON file that they name."""
+"""Reads the platform's configuration: RELAY_* environment variables, and the JSON file that they name."""
 
 from __future__ import annotations
 
@@ -25,7 +25,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a coordinator is configured with at its start; addresses are host and port."""
+    """The configuration of a coordinator.
+
+    Attributes:
+        listen: Host and port of the platform's front.
+        seed: Seed of the random number generators.
+        sockets: Sockets that the process may have open.
+        memory_mb: Memory that the process may use.
+        channel: Address of the command channel, host:port; empty if there is none.
+        cursor: Number of the last event of the engine list in ``known``.
+        known: Events of the engine list that are known at the start.
+        idle_ms: Time after which engines close an idle connection.
+        budgets: Queues in front of the decision module; None without ``[budgets]`` in an operator's file.
+    """
 
     name: str
     listen: tuple[str, int]
@@ -34,7 +46,7 @@
     memory_mb: float
     channel: str
     cursor: int
-    known: tuple[EngineListEvent, ...]  # events: number, kind, engines
+    known: tuple[EngineListEvent, ...]
     settings: Settings
     connect_timeout_ms: float
     idle_ms: float
@@ -43,17 +55,29 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionQueueSettings:
-    """Queues in front of the decision module, where an operator's file sets them."""
+    """Settings of the queues in front of the decision module.
 
-    shares: Mapping[int, float]  # of the capacity, by tenant in the order of the settings
-    threads_a_core: float
-    waiting_most: int  # requests
-    burst_ms: float  # of its share that a tenant may save up
-    debt_ms: float  # of its share that a tenant may owe
+    Attributes:
+        shares: Fraction of the capacity, by the tenant's index in the settings.
+        threads_per_core: Threads that may be in flight, for each core of the engines.
+        max_waiting: Maximum number of queued requests.
+        burst_ms: Credit that a tenant may accumulate, as time at its share of the capacity.
+        debt_ms: Debt that a tenant may run up, as time at its share of the capacity.
+    """
 
+    shares: Mapping[int, float]
+    threads_per_core: float
+    max_waiting: int
+    burst_ms: float
+    debt_ms: float
 
-def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration that the environment names; raise ConfigError, which names the field."""
+
+def load_config(environ: Mapping[str, str] = os.environ) -> Config:
+    """Read the file that ``RELAY_CONFIG`` names; ``RELAY_NAME`` and ``RELAY_LISTEN`` override its fields.
+
+    Raises:
+        ConfigError: The file or a field cannot be used; the message names the field.
+    """
     path = environ.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG: not set")
@@ -68,7 +92,7 @@
 
 
 def parse(document: Mapping[str, Any]) -> Config:
-    """Read the configuration's JSON; raise ConfigError, which names the field."""
+    """Return the configuration of a JSON document; raise ConfigError, which names the field."""
     settings = _object(document, "settings")
     values = dict(flatten(settings))
     parsed_settings = _settings(values)
@@ -79,8 +103,8 @@
         known=_known_events(known, settings),
         seed=_seed(document),
         channel=_channel(document),
-        listen=address(document.get("listen"), "listen"),
-        sockets=int(_number(limits.get("sockets", DEFAULT_SOCKETS), "limits.sockets", least=MIN_SOCKETS)),
+        listen=parse_address(document.get("listen"), "listen"),
+        sockets=int(_number(limits.get("sockets", DEFAULT_SOCKETS), "limits.sockets", minimum=MIN_SOCKETS)),
         memory_mb=_number(limits.get("memory_mb", DEFAULT_MEMORY_MB), "limits.memory_mb"),
         cursor=int(_number(known.get("cursor", 0), "known.cursor")),
         settings=parsed_settings,
@@ -90,7 +114,7 @@
 
 
 def flatten(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Yield the lines of the settings document, as path and value, for nested JSON."""
+    """Yield nested JSON as path and value, the lines of the settings document."""
     if isinstance(value, Mapping):
         for name, item in value.items():
             yield from flatten(item, f"{path}.{name}" if path else str(name))
@@ -104,8 +128,8 @@
         yield path, _scalar(value)
 
 
-def address(value: Any, field: str) -> tuple[str, int]:
-    """Read ``host:port``; raise ConfigError, which names the field."""
+def parse_address(value: Any, field: str) -> tuple[str, int]:
+    """Return the host and port of ``host:port``; raise ConfigError, which names the field."""
     host, _, port = str(value).rpartition(":")
     if not host or not port.isdecimal() or int(port) > MAX_PORT:
         raise ConfigError(f"{field}: {value!r} is not host:port")
@@ -134,7 +158,7 @@
         raise ConfigError(f"known.cmds: {type(error).__name__}: {error}") from None
     for event in events:
         for engine in event.engines:
-            address(engine.address, f"known.cmds: the address of {engine.entry.engine}")
+            parse_address(engine.address, f"known.cmds: the address of {engine.entry.engine}")
     return events
 
 
@@ -148,14 +172,14 @@
 def _channel(document: Mapping[str, Any]) -> str:
     channel = str(document.get("channel", ""))
     if channel:
-        address(channel, "channel")
+        parse_address(channel, "channel")
     return channel
 
 
 def _object(document: Mapping[str, Any], field: str) -> Mapping[str, Any]:
     value = document.get(field)
     if not isinstance(value, Mapping):
-        raise ConfigError(f"{field}: an object is wanted")
+        raise ConfigError(f"{field}: expected a JSON object")
     return value
 
 
@@ -163,11 +187,11 @@
     return _number(values.get(path, default), f"settings.{path}")
 
 
-def _number(value: Any, field: str, least: float = 0.0) -> float:
+def _number(value: Any, field: str, minimum: float = 0.0) -> float:
     try:
         number = float(value)
     except (TypeError, ValueError):
         raise ConfigError(f"{field}: {value!r} is not a number") from None
-    if not least <= number < float("inf"):
-        raise ConfigError(f"{field}: {value!r} is out of range")
+    if not minimum <= number < float("inf"):
+        raise ConfigError(f"{field}: {value!r} is not a finite number of at least {minimum:g}")
     return number
--- a/fordstair/configuration/settings_document.py
+++ b/fordstair/configuration/settings_document.py
@@ -1,4 +1,4 @@
-"""Reads the settings document: ``path=value`` lines, from the platform as from the simulator."""
+"""Reads the settings document: the ``path=value`` lines that the platform and the simulator send."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 class SettingsDocument:
-    """The document's ``path=value`` lines, read by type; errors name the path that cannot be read."""
+    """The document's values by path, with one method for each type.
+
+    A value that cannot be read raises SettingsDocumentError, which names its path.
+    """
 
     def __init__(self, text: str) -> None:
         self.values: dict[str, str] = {}
@@ -46,11 +49,11 @@
         return path in self.values
 
     def text(self, path: str, default: str = "") -> str:
-        """Return a value as it stands."""
+        """Return a value as it is written."""
         return self.values.get(path, default)
 
     def number(self, path: str, default: float = 0.0) -> float:
-        """Return a finite number, the first where several are listed."""
+        """Return a finite number; the first one of a list."""
         return self._numbers(path, str(default))[0]
 
     def integer(self, path: str, default: int) -> int:
@@ -61,23 +64,23 @@
         return int(value)
 
     def boolean(self, path: str, default: bool = False) -> bool:
-        """Return true or false, the first where several are listed."""
+        """Return a boolean; the first one of a list."""
         return self._booleans(path, "true" if default else "false")[0]
 
     def numbers(self, path: str) -> tuple[float, ...]:
-        """Return a list of finite numbers; empty where there is none."""
+        """Return a list of finite numbers; empty if the path has no value."""
         return self._numbers(path, "") if self.text(path) else ()
 
     def booleans(self, path: str) -> tuple[bool, ...]:
-        """Return a list of true and false; empty where there is none."""
+        """Return a list of booleans; empty if the path has no value."""
         return self._booleans(path, "") if self.text(path) else ()
 
     def texts(self, path: str) -> tuple[str, ...]:
-        """Return a list of texts without empty ones."""
+        """Return a list of texts, without empty ones."""
         return tuple(part for part in self.text(path).split(",") if part)
 
     def choice(self, path: str, choices: dict[str, Choice], default: str) -> Choice:
-        """Return what a value stands for among a few."""
+        """Return the entry of ``choices`` that the value names."""
         value = self.text(path, default)
         if value not in choices:
             raise SettingsDocumentError(f"settings: {path}: unknown value {value!r}")
@@ -100,14 +103,18 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the settings document; unknown paths are skipped. Raise SettingsDocumentError."""
+    """Return the settings of a document; unknown paths are ignored.
+
+    Raises:
+        SettingsDocumentError: A value cannot be read or is out of range.
+    """
     document = SettingsDocument(text)
     retry_budget = _retry_budget(document)
     has_reports = document.text("report.source", "silent") != "silent"
     try:
         return Settings(
             classes=tuple(
-                _class(document, index) for index in range(document.integer("categories.count", 0))
+                _request_class(document, index) for index in range(document.integer("categories.count", 0))
             ),
             tenants=tuple(_tenant(document, index) for index in range(document.integer("projects.count", 0))),
             instances=document.integer("instances", 1),
@@ -134,7 +141,7 @@
             slow_start_overload_factor=document.number("obligations.fallMultiple", 1.0),
             slow_start_window_ms=document.number("obligations.fallMs", 1000.0),
         )
-    except ValueError as error:  # Settings refuses what contradicts itself
+    except ValueError as error:
         raise SettingsDocumentError(f"settings: {error}") from None
 
 
@@ -153,11 +160,11 @@
     return Tenant(document.text(f"{path}.name", str(index)), document.number(f"{path}.quotaPerS"))
 
 
-def _class(document: SettingsDocument, index: int) -> RequestClass:
+def _request_class(document: SettingsDocument, index: int) -> RequestClass:
     path = f"categories.{index}"
     threads = document.numbers("extra.parallelism")
-    loads = document.booleans("extra.loads")
-    waits = document.booleans("extra.waitsForLoads")
+    are_loads = document.booleans("extra.loads")
+    wait_for_loads = document.booleans("extra.waitsForLoads")
     return RequestClass(
         name=document.text(f"{path}.name", str(index)),
         idempotency=document.choice(f"{path}.effect", _IDEMPOTENCY, "non_idempotent"),
@@ -169,16 +176,16 @@
         deduplication_scope=document.choice(f"{path}.group", _DEDUPLICATION_SCOPES, "all"),
         deduplication_window_ms=document.number(f"{path}.memorySpanMs"),
         ordered_by_key=document.boolean(f"{path}.serialByKey"),
-        allowed_zones=_allowed(document, f"{path}.areasOpen"),
-        allowed_machine_kinds=_allowed(document, f"{path}.hostTypesAllowed"),
+        allowed_zones=_allowed_numbers(document, f"{path}.areasOpen"),
+        allowed_machine_kinds=_allowed_numbers(document, f"{path}.hostTypesAllowed"),
         threads=int(threads[index]) if index < len(threads) else 1,
-        is_load=index < len(loads) and loads[index],
-        waits_for_loads=index < len(waits) and waits[index],
+        is_load=index < len(are_loads) and are_loads[index],
+        waits_for_loads=index < len(wait_for_loads) and wait_for_loads[index],
     )
 
 
-def _allowed(document: SettingsDocument, path: str) -> frozenset[int] | None:
-    """Return the numbers of the zones or kinds that a class is bound to; None where it is bound to none."""
+def _allowed_numbers(document: SettingsDocument, path: str) -> frozenset[int] | None:
+    """Return the numbers of the zones or machine kinds that a class may use; None if it may use all."""
     if path not in document:
         return None
     return frozenset(int(value) for value in document.numbers(path))
--- a/fordstair/entry_point.py
+++ b/fordstair/entry_point.py
@@ -11,24 +11,26 @@
 import trio
 
 from fordstair.configuration.errors import ConfigError, problem_lines
-from fordstair.configuration.platform import Config, load
+from fordstair.configuration.platform import Config, load_config
 from fordstair.program import Program
 from fordstair.runtime.event_log import PlainFormatter
 
 if TYPE_CHECKING:
-    from fordstair.configuration.operator_options import Operator
+    from fordstair.configuration.operator_options import OperatorOptions
 
 EXIT_OK = 0
 EXIT_BAD_CONFIGURATION = 2
 
 
-def read_configuration(path: str | None) -> tuple[Config, Operator | None]:
+def read_configuration(path: str | None) -> tuple[Config, OperatorOptions | None]:
     """Read the platform's configuration, and the operator's file if there is one; raise ConfigError."""
     if path is None:
-        return load(), None
+        return load_config(), None
     from fordstair.configuration import operator_file  # not loaded on the platform
 
-    return load(), operator_file.operator_options(operator_file.load_operator_file(path, require_site=False))
+    return load_config(), operator_file.operator_options(
+        operator_file.load_operator_file(path, require_site=False)
+    )
 
 
 def main() -> int:
@@ -55,7 +57,7 @@
         run(operator_path)
         return
     config, operator = read_configuration(operator_path)
-    trio.run(Program(config, operator, load).run)
+    trio.run(Program(config, operator, load_config).run)
 
 
 def _log_to_standard_error() -> None:
--- a/fordstair/net/clients/odata_front.py
+++ b/fordstair/net/clients/odata_front.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from fordstair.configuration.operator_options import Operator
+from fordstair.configuration.operator_options import OperatorOptions
 from fordstair.core.coordinator import Coordinator
 from fordstair.net.clients.closing import linger
 from fordstair.net.clients.odata_connection import ODataConnection
@@ -31,7 +31,7 @@
     def __init__(
         self,
         coordinator: Coordinator,
-        operator: Operator,
+        operator: OperatorOptions,
         team_of: Callable[[trio.abc.Stream], str | None] = lambda _: None,
     ) -> None:
         self.coordinator = coordinator
--- a/fordstair/net/clients/odata_reads.py
+++ b/fordstair/net/clients/odata_reads.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from fordstair.configuration.operator_options import Operator
+from fordstair.configuration.operator_options import OperatorOptions
 from fordstair.net.clients.odata_errors import ODataError
 from fordstair.net.clients.odata_messages import Response, encode_json
 from fordstair.net.clients.odata_model import EntitySet
@@ -18,7 +18,9 @@
 class ReadHandler:
     """Answers one connection's GET requests for entities."""
 
-    def __init__(self, operator: Operator, results: StoredResults, statements: StatementRunner) -> None:
+    def __init__(
+        self, operator: OperatorOptions, results: StoredResults, statements: StatementRunner
+    ) -> None:
         self._operator = operator
         self._results = results
         self._statements = statements
--- a/fordstair/net/clients/odata_services.py
+++ b/fordstair/net/clients/odata_services.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from fordstair.configuration.operator_options import Operator
+from fordstair.configuration.operator_options import OperatorOptions
 from fordstair.core.coordinator import Coordinator
 from fordstair.net.clients.odata_results import StoredResults
 from fordstair.net.clients.repeatable_requests import IdempotencyStore
@@ -17,7 +17,7 @@
     """The parts of a front that its connections use."""
 
     coordinator: Coordinator
-    operator: Operator
+    operator: OperatorOptions
     results: StoredResults
     idempotency_store: IdempotencyStore
 
--- a/fordstair/program/coordinator_program.py
+++ b/fordstair/program/coordinator_program.py
@@ -45,7 +45,7 @@
 from fordstair.runtime.event_log import EventLog
 
 if TYPE_CHECKING:
-    from fordstair.configuration.operator_options import Operator
+    from fordstair.configuration.operator_options import OperatorOptions
     from fordstair.net.clients.odata_front import ODataFront
     from fordstair.replication.service import ReplicationService
 
@@ -66,7 +66,7 @@
         ConfigError: where a part cannot be built as configured.
     """
 
-    def __init__(self, config: Config, operator: Operator | None, load: Callable[[], Config]) -> None:
+    def __init__(self, config: Config, operator: OperatorOptions | None, load: Callable[[], Config]) -> None:
         self.config = config
         self.operator = operator
         self.load = load
@@ -229,7 +229,7 @@
         if self.budgets is not None:
             await _start_listening(nursery, self.budgets.run, "fleet.budgets")
         if self.operator is not None and self.console_server is not None:
-            await nursery.start(self.console_server.run, self.operator.console)
+            await nursery.start(self.console_server.run, self.operator.console_socket)
 
     def _start_persistence(self, nursery: trio.Nursery, ledger: ReplicationService) -> None:
         # These load the ledger's modules, which the platform's program does not need.
--- a/fordstair/program/optional_parts.py
+++ b/fordstair/program/optional_parts.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from fordstair.budgets.plan import FleetBudgetsConfig
     from fordstair.budgets.transport import FleetBudgets
-    from fordstair.configuration.operator_options import Operator
+    from fordstair.configuration.operator_options import OperatorOptions
     from fordstair.core.admission_queue import AdmissionQueue
     from fordstair.membership.transport import Membership
     from fordstair.net.clients.odata_front import ODataFront
@@ -28,7 +28,9 @@
     from fordstair.replication.service import ReplicationService
 
 
-def build_identity(operator: Operator | None, deadlines: Deadlines, counters: Counters) -> Identity | None:
+def build_identity(
+    operator: OperatorOptions | None, deadlines: Deadlines, counters: Counters
+) -> Identity | None:
     """Read the certificates of clients and engines; raise ConfigError where they cannot be used."""
     if operator is None or not operator.identity:
         return None
@@ -48,16 +50,16 @@
     scheduler = Scheduler(
         dict(queue_settings.shares),
         1.0,
-        max_waiting=queue_settings.waiting_most,
+        max_waiting=queue_settings.max_waiting,
         burst_ms=queue_settings.burst_ms,
         debt_ms=queue_settings.debt_ms,
     )
-    queue = AdmissionQueue(coordinator, scheduler, queue_settings.threads_a_core)
+    queue = AdmissionQueue(coordinator, scheduler, queue_settings.threads_per_core)
     coordinator.extensions.admission_queue = queue
     return queue
 
 
-def add_zone_watch(operator: Operator | None, coordinator: Coordinator) -> None:
+def add_zone_watch(operator: OperatorOptions | None, coordinator: Coordinator) -> None:
     """Eject zones that are out of reach as a whole."""
     if operator is None or not operator.eject_silent_zones:
         return
@@ -67,19 +69,19 @@
 
 
 def build_fleet_budgets(
-    operator: Operator | None, config: Config, coordinator: Coordinator, queue: AdmissionQueue | None
+    operator: OperatorOptions | None, config: Config, coordinator: Coordinator, queue: AdmissionQueue | None
 ) -> FleetBudgets | None:
     """Take part in the fleet's budgets: what is released also needs this member's quota of them.
 
     Raise ConfigError where there is no admission queue to hold requests back.
     """
-    if operator is None or operator.shares is None:
+    if operator is None or operator.fleet_budgets is None:
         return None
     if queue is None:
         raise ConfigError("fleet.budgets: needs [budgets], in a file that tells of the whole site")
     from fordstair.budgets.transport import FleetBudgets
 
-    fleet_config = replace(operator.shares, member=operator.shares.member or config.name)
+    fleet_config = replace(operator.fleet_budgets, member=operator.fleet_budgets.member or config.name)
     budgets = FleetBudgets(fleet_config, config.seed)
     _limit_queue(queue, budgets, fleet_config, coordinator)
     coordinator.counters.include("shares", lambda: budgets.counts)
@@ -106,7 +108,7 @@
 
 
 def build_odata_front(
-    operator: Operator | None, coordinator: Coordinator, identity: Identity | None
+    operator: OperatorOptions | None, coordinator: Coordinator, identity: Identity | None
 ) -> ODataFront | None:
     """Serve OData clients beside those of the platform."""
     if operator is None or operator.listen is None:
@@ -117,7 +119,7 @@
 
 
 def build_ledger(
-    operator: Operator | None, config: Config, odata: ODataFront | None, counters: Counters
+    operator: OperatorOptions | None, config: Config, odata: ODataFront | None, counters: Counters
 ) -> ReplicationService | None:
     """Share the loads that have run with the other members, so that none of them runs one twice."""
     if operator is None or operator.ledger is None or odata is None:
@@ -132,7 +134,9 @@
     return ledger
 
 
-def build_membership(operator: Operator | None, config: Config, counters: Counters) -> Membership | None:
+def build_membership(
+    operator: OperatorOptions | None, config: Config, counters: Counters
+) -> Membership | None:
     """Join the fleet's membership."""
     if operator is None or operator.fleet is None:
         return None
@@ -145,7 +149,7 @@
 
 
 def build_console_server(
-    operator: Operator | None,
+    operator: OperatorOptions | None,
     config: Config,
     coordinator: Coordinator,
     drain: Callable[[], None],
@@ -155,10 +159,10 @@
     budgets: FleetBudgets | None,
 ) -> ConsoleServer | None:
     """Serve operators' consoles; ``drain`` ends the program."""
-    if operator is None or not operator.console:
+    if operator is None or not operator.console_socket:
         return None
     from fordstair.net.console_server import ConsoleServer
 
     return ConsoleServer(
-        config.name, coordinator, drain, wall_clock, operator.watchers, membership, ledger, budgets
+        config.name, coordinator, drain, wall_clock, operator.max_consoles, membership, ledger, budgets
     )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -346,7 +346,7 @@
             }
         },
     }
-    part = operator_file.operator_options(validate_operator_file(good, require_site=False)).shares
+    part = operator_file.operator_options(validate_operator_file(good, require_site=False)).fleet_budgets
     assert part is not None
     assert part.member == "north"
     assert part.plan.voters == ("north",)
