--- a/fordstair/cli/__main__.py
+++ b/fordstair/cli/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m fordstair.cli`` is the command line, as ``fordstair`` is."""
+"""Runs the command line as ``python -m fordstair.cli``, like the ``fordstair`` command."""
 
 from fordstair.cli.app import main
 
--- a/fordstair/cli/app.py
+++ b/fordstair/cli/app.py
@@ -1,4 +1,4 @@
-"""Every command of ``fordstair``. ``Exit`` holds the exit codes; ``--json`` prints one JSON object."""
+"""The commands of ``fordstair``. ``ExitCode`` holds the exit codes; ``--json`` prints one JSON object."""
 
 from __future__ import annotations
 
@@ -17,22 +17,30 @@
 DEFAULT_FILE = Path("deploy/appliance.toml")
 
 
-class Exit(IntEnum):
-    """What a command's exit code tells."""
+class ExitCode(IntEnum):
+    """The exit codes of the commands.
+
+    Attributes:
+        FAILED: The program cannot be reached, or a run failed.
+        UNUSABLE: The file or the command line cannot be used.
+        NOT_DONE: The program has refused an override: a conflict, an unknown name, or not possible now.
+        UNCONFIRMED: The override disturbs service and was not confirmed.
+    """
 
     OK = 0
-    FAILED = 1  # the program cannot be reached, or a run did not go as it should
-    UNUSABLE = 2  # the file, or the command line, cannot be used
-    NOT_DONE = 3  # the program has refused an adjustment: a conflict, nothing of that name, not now
-    UNCONFIRMED = 4  # it disturbs service, and was not confirmed
+    FAILED = 1
+    UNUSABLE = 2
+    NOT_DONE = 3
+    UNCONFIRMED = 4
 
 
-TABLES = {  # that a running program can be asked for; each is a command
-    "status": "Tell how the program does.",
-    "engines": "List the engines, as the decision module believes them to be.",
+# Help text of the command that prints a table of a running program, by the table's name.
+TABLE_DESCRIPTIONS = {
+    "status": "Print the program's state.",
+    "engines": "List the engines as the decision module sees them.",
     "requests": "List the oldest open requests.",
-    "members": "List the coordinators of the fleet, as this one believes them to be.",
-    "shares": "List this coordinator's shares of the fleet's budgets, and all members' where it grants them.",
+    "members": "List the coordinators of the fleet as this one sees them.",
+    "shares": "List this coordinator's shares of the fleet's budgets; on the leader, those of all members.",
     "counters": "Print the program's counters.",
 }
 
@@ -42,21 +50,23 @@
     pretty_exceptions_enable=False,
     rich_markup_mode=None,
     help="A coordinator for small sites: start it, watch it, adjust it.",
-    epilog="Exit codes: 0 done; 1 not reached, or a run that went wrong; 2 a file or command line that "
-    "cannot be used; 3 an adjustment that the program refused; 4 one that was not confirmed.",
+    epilog="Exit codes: 0 done; 1 program not reached, or a failed run; 2 file or command line that "
+    "cannot be used; 3 adjustment refused by the program; 4 adjustment not confirmed.",
 )
 
-File = Annotated[Path, typer.Argument(help="The operator's file.", metavar="FILE")]
-Json = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
-Yes = Annotated[bool, typer.Option("--yes", "-y", help="Do not ask where it disturbs service.")]
-Socket = Annotated[
+FileArgument = Annotated[Path, typer.Argument(help="The operator's file.", metavar="FILE")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
+YesOption = Annotated[
+    bool, typer.Option("--yes", "-y", help="Do not ask for confirmation if service is disturbed.")
+]
+SocketOption = Annotated[
     str,
     typer.Option(
         "--socket",
         "-s",
         envvar="FORDSTAIR_SOCKET",
         metavar="PATH",
-        help="The console's socket; without it, that of --file.",
+        help="The console's socket; default: the one that --file names.",
     ),
 ]
 FileOption = Annotated[
@@ -71,20 +81,20 @@
 ]
 
 
-def end(code: Exit, *lines: str) -> NoReturn:
-    """Print lines on standard error, and exit."""
+def exit_with(code: ExitCode, *lines: str) -> NoReturn:
+    """Print lines on standard error and exit."""
     for line in lines:
         typer.echo(line, err=True)
     raise typer.Exit(code)
 
 
 def fail_unusable(error: ConfigError) -> NoReturn:
-    """Print what cannot be used, one line a problem, and exit."""
-    end(Exit.UNUSABLE, *str(error).splitlines())
+    """Print one line per problem on standard error and exit."""
+    exit_with(ExitCode.UNUSABLE, *str(error).splitlines())
 
 
 def console_socket(socket: str, file: Path) -> str:
-    """Return the path of the console's socket: the one given, else the one that the operator's file names."""
+    """Return the path of the console's socket: ``socket``, or else the one that the operator's file names."""
     if socket:
         return socket
     from fordstair.configuration.operator_file import load_operator_file
@@ -92,14 +102,19 @@
     try:
         console = load_operator_file(str(file), require_site=False).console
     except ConfigError as error:
-        end(Exit.UNUSABLE, *str(error).splitlines(), "name a socket by --socket, or a file by --file")
+        exit_with(
+            ExitCode.UNUSABLE, *str(error).splitlines(), "name a socket with --socket, or a file with --file"
+        )
     if console is None:
-        end(Exit.UNUSABLE, f"{file}: console: is missing, so that no console can reach the program")
+        exit_with(
+            ExitCode.UNUSABLE,
+            f"{file}: console: is missing; without this table the program has no console socket",
+        )
     return console.socket_path
 
 
 @app.command()
-def serve(file: File) -> None:
+def serve(file: FileArgument) -> None:
     """Run an appliance until SIGTERM, Ctrl-C or drain."""
     from fordstair.cli.serve import run
 
@@ -110,8 +125,8 @@
 
 
 @app.command()
-def check(file: File, as_json: Json = False) -> None:
-    """Check an operator's file and list all its faults."""
+def check(file: FileArgument, as_json: JsonOption = False) -> None:
+    """Check an operator's file and list all problems."""
     from fordstair.configuration.operator_file import (
         coordinator_config,
         operator_options,
@@ -137,7 +152,7 @@
             )
         )
     if problems:
-        end(Exit.UNUSABLE, *(() if as_json else (problem.line(str(file)) for problem in problems)))
+        exit_with(ExitCode.UNUSABLE, *(() if as_json else (problem.line(str(file)) for problem in problems)))
     if not as_json:
         typer.echo(
             f"{file}: no fault: {len(checked.engines)} engines, {len(checked.classes)} classes, "
@@ -155,13 +170,15 @@
 
 @app.command()
 def demo(
-    headless: Annotated[bool, typer.Option(help="No console: run, and print one JSON line.")] = False,
-    seconds: Annotated[float, typer.Option(min=1.0, max=86_400.0, help="How long, where headless.")] = 10.0,
-    engines: Annotated[int, typer.Option(min=1, max=16, help="Stand-in engines.")] = 4,
+    headless: Annotated[bool, typer.Option(help="Run without the console and print the figures.")] = False,
+    seconds: Annotated[float, typer.Option(min=1.0, max=86_400.0, help="Duration of a headless run.")] = 10.0,
+    engines: Annotated[int, typer.Option(min=1, max=16, help="Number of stand-in engines.")] = 4,
     rate: Annotated[float, typer.Option(min=0.1, max=2_000.0, help="Requests a second.")] = 40.0,
-    seed: Annotated[int, typer.Option(help="Of the traffic.")] = 1,
-    trouble: Annotated[bool, typer.Option(help="Let engines fall silent and return cold.")] = True,
-    as_json: Json = False,
+    seed: Annotated[int, typer.Option(help="Seed of the traffic and the faults.")] = 1,
+    trouble: Annotated[
+        bool, typer.Option(help="Inject faults: engines that go silent and return cold, or slow down.")
+    ] = True,
+    as_json: JsonOption = False,
 ) -> None:
     """Run an appliance with stand-in engines and light traffic, and open the console on it."""
     from fordstair.cli.demo import Demo
@@ -169,16 +186,18 @@
 
     try:
         demo_run = Demo(engines, rate, seed, trouble)
-        figures = demo_run.headless(seconds, progress=not as_json) if headless else demo_run.watched()
+        figures = (
+            demo_run.run_headless(seconds, progress=not as_json) if headless else demo_run.run_with_console()
+        )
     except NotStartedError as error:
-        end(Exit.FAILED, f"demo: {error}")
+        exit_with(ExitCode.FAILED, f"demo: {error}")
     if headless and as_json:
         typer.echo(json.dumps(figures))
     elif headless:
         for name, value in figures.items():
             typer.echo(f"{name:16} {value}")
     if figures["lost"] or figures["answered_twice"]:
-        raise typer.Exit(Exit.FAILED)
+        raise typer.Exit(ExitCode.FAILED)
 
 
 @app.command()
@@ -188,7 +207,7 @@
     rate: Annotated[float, typer.Option(min=0.1, max=10_000.0, help="Requests a second.")] = 40.0,
     seed: int = 1,
 ) -> None:
-    """Write the traffic of a billing close, one request a line, without any statement's text."""
+    """Write the traffic of a billing close, one request per line, without the text of statements."""
     from fordstair.lab.billing_close import Shape, generate, write
 
     middle = seconds / 2.0
@@ -196,7 +215,7 @@
     try:
         write(out, arrivals)
     except OSError as error:
-        end(Exit.FAILED, f"{out}: {error.strerror}")
+        exit_with(ExitCode.FAILED, f"{out}: {error.strerror}")
     typer.echo(f"{out}: {len(arrivals)} requests")
 
 
@@ -205,7 +224,7 @@
     traffic: Annotated[Path, typer.Argument(metavar="TRAFFIC.jsonl")],
     against: Annotated[Path, typer.Option("--against", metavar="FILE", help="The operator's file.")],
     seed: int = 1,
-    as_json: Json = False,
+    as_json: JsonOption = False,
 ) -> None:
     """Play traffic against a file's classes, teams and engines in virtual time, with budgets and without."""
     from fordstair.configuration.operator_file import load_operator_file
@@ -216,9 +235,9 @@
     except ConfigError as error:
         fail_unusable(error)
     except ValueError as error:
-        end(Exit.UNUSABLE, str(error))
+        exit_with(ExitCode.UNUSABLE, str(error))
     except OSError as error:
-        end(Exit.UNUSABLE, f"{traffic}: {error.strerror}")
+        exit_with(ExitCode.UNUSABLE, f"{traffic}: {error.strerror}")
     if as_json:
         return typer.echo(json.dumps(results))
     for name, figures in results.items():
@@ -227,16 +246,16 @@
 
 @app.command()
 def console(
-    socket: Socket = "",
+    socket: SocketOption = "",
     file: FileOption = DEFAULT_FILE,
-    once: Annotated[bool, typer.Option("--once", help="Print one look, and leave.")] = False,
+    once: Annotated[bool, typer.Option("--once", help="Print the console once and exit.")] = False,
     svg: Annotated[
         str,
         typer.Option(
             "--svg",
             metavar="FILE",
             hidden=True,
-            help="Save a picture of the console after a moment, and leave.",
+            help="Save a picture of the console after a short wait and exit.",
         ),
     ] = "",
 ) -> None:
@@ -249,85 +268,89 @@
             return print_once(path)
         from fordstair.console.app import ConsoleApp
 
-        send_command(
-            path, "status"
-        )  # a program that cannot be reached is told in a line, not on a full screen
+        # If the program cannot be reached, this fails with one line before the full-screen console opens.
+        send_command(path, "status")
         if svg:
             from fordstair.console.print_once import save_svg
 
             return save_svg(path, svg)
         ConsoleApp(path).run()
     except ConsoleConnectionError as error:
-        end(Exit.FAILED, f"fordstair: {error}")
+        exit_with(ExitCode.FAILED, f"fordstair: {error}")
 
 
 def _add_table_command(table: str, description: str) -> None:
-    """Add the command that prints one table of a running program."""
+    """Add a command that prints one table of a running program."""
 
-    def command(socket: Socket = "", file: FileOption = DEFAULT_FILE, as_json: Json = False) -> None:
+    def command(
+        socket: SocketOption = "", file: FileOption = DEFAULT_FILE, as_json: JsonOption = False
+    ) -> None:
         print_table(table, socket, file, as_json)
 
     app.command(table, help=description)(command)
 
 
-for _table, _description in TABLES.items():
+for _table, _description in TABLE_DESCRIPTIONS.items():
     _add_table_command(_table, _description)
 
 
 @app.command("set-aside")
 def set_aside(
     engine: Annotated[str, typer.Argument(metavar="ENGINE")],
-    socket: Socket = "",
+    socket: SocketOption = "",
     file: FileOption = DEFAULT_FILE,
-    yes: Yes = False,
-    as_json: Json = False,
+    yes: YesOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Send an engine nothing new; what runs there goes on. In force until restart or bring-back."""
-    adjust("set-aside", socket, file, yes, as_json, engine=engine)
+    """Send an engine no new requests; running ones continue. In force until restart or bring-back."""
+    send_override("set-aside", socket, file, yes, as_json, engine=engine)
 
 
 @app.command("bring-back")
 def bring_back(
     engine: Annotated[str, typer.Argument(metavar="ENGINE")],
-    socket: Socket = "",
+    socket: SocketOption = "",
     file: FileOption = DEFAULT_FILE,
-    yes: Yes = False,
-    as_json: Json = False,
+    yes: YesOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Send an engine work again."""
-    adjust("bring-back", socket, file, yes, as_json, engine=engine)
+    """Send an engine requests again."""
+    send_override("bring-back", socket, file, yes, as_json, engine=engine)
 
 
 @app.command()
 def limit(
     class_name: Annotated[str, typer.Argument(metavar="CLASS")],
     threads: Annotated[str, typer.Argument(metavar="THREADS", help="A number, or 'none'.")],
-    socket: Socket = "",
+    socket: SocketOption = "",
     file: FileOption = DEFAULT_FILE,
-    yes: Yes = False,
-    as_json: Json = False,
+    yes: YesOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Bound the threads that a class may have out at engines. In force until restart."""
+    """Limit the threads that a class may have in flight at engines. In force until restart."""
     if threads != "none" and not (threads.isascii() and threads.isdecimal() and len(threads) < 10):
-        end(Exit.UNUSABLE, f"THREADS: {threads!r} is neither a number nor 'none'")
-    bound = None if threads == "none" else int(threads)
-    adjust("limit", socket, file, yes, as_json, **{"class": class_name, "threads": bound})
+        exit_with(ExitCode.UNUSABLE, f"THREADS: {threads!r} is neither a number nor 'none'")
+    max_threads = None if threads == "none" else int(threads)
+    send_override("limit", socket, file, yes, as_json, **{"class": class_name, "threads": max_threads})
 
 
 @app.command()
 def drain(
-    socket: Socket = "", file: FileOption = DEFAULT_FILE, yes: Yes = False, as_json: Json = False
+    socket: SocketOption = "",
+    file: FileOption = DEFAULT_FILE,
+    yes: YesOption = False,
+    as_json: JsonOption = False,
 ) -> None:
-    """Let the program answer what is open, take nothing more, and end."""
-    adjust("drain", socket, file, yes, as_json)
+    """Let the program accept no more requests, answer the open ones and exit."""
+    send_override("drain", socket, file, yes, as_json)
 
 
 def print_table(table: str, socket: str, file: Path, as_json: bool) -> None:
-    """Ask a running program for a table, and print it."""
+    """Request a table from a running program and print it."""
     try:
         answer = send_command(console_socket(socket, file), table)
     except ConsoleConnectionError as error:
-        end(Exit.FAILED, f"fordstair: {error}")
+        exit_with(ExitCode.FAILED, f"fordstair: {error}")
     if as_json:
         return typer.echo(json.dumps(answer))
     from fordstair.cli.tables import print_pairs, print_rows
@@ -339,17 +362,17 @@
         print_rows(table, content, answer["at_ms"])
 
 
-def adjust(command: str, socket: str, file: Path, yes: bool, as_json: bool, **fields: Any) -> None:
-    """Ask for an adjustment; ask the operator where it disturbs service."""
+def send_override(command: str, socket: str, file: Path, yes: bool, as_json: bool, **fields: Any) -> None:
+    """Send an override to a running program; ask the operator for confirmation if it disturbs service."""
     path = console_socket(socket, file)
     try:
         answer = send_command(path, command, confirmed=yes, **fields)
         if answer.get("verdict") == "confirm" and not as_json and sys.stdin.isatty():
             if not typer.confirm(f"{command}: {answer['why']}. Do it?"):
-                end(Exit.UNCONFIRMED, "left as it was")
+                exit_with(ExitCode.UNCONFIRMED, "not confirmed; nothing was changed")
             answer = send_command(path, command, confirmed=True, **fields)
     except ConsoleConnectionError as error:
-        end(Exit.FAILED, f"fordstair: {error}")
+        exit_with(ExitCode.FAILED, f"fordstair: {error}")
     verdict = str(answer.get("verdict"))
     if as_json:
         typer.echo(json.dumps(answer))
@@ -357,15 +380,19 @@
         why = f": {answer['why']}" if answer.get("why") else ""
         typer.echo(f"{command}: {verdict}{why}", err=verdict not in ("done", "already"))
     if verdict == "confirm":
-        end(Exit.UNCONFIRMED, *(() if as_json else ("say --yes to do it",)))
+        exit_with(
+            ExitCode.UNCONFIRMED,
+            *(() if as_json else ("not confirmed; repeat the command with --yes to do it",)),
+        )
     if verdict not in ("done", "already"):
-        raise typer.Exit(Exit.NOT_DONE)
+        raise typer.Exit(ExitCode.NOT_DONE)
 
 
 def main() -> None:
     """Run the command line."""
     try:
         app()
-    except BrokenPipeError:  # the reader of a pipe has left
+    except BrokenPipeError:
+        # The reader of standard output has closed the pipe; this keeps the flush at exit from failing too.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
-        sys.exit(Exit.FAILED)
+        sys.exit(ExitCode.FAILED)
--- a/fordstair/cli/demo.py
+++ b/fordstair/cli/demo.py
@@ -1,4 +1,4 @@
-"""``fordstair demo``: an appliance as its own process, stand-in engines, light mixed traffic, the console."""
+"""Runs ``fordstair demo``: an appliance process, stand-in engines, light mixed traffic and the console."""
 
 from __future__ import annotations
 
@@ -21,49 +21,62 @@
 from fordstair.lab.odata_traffic import ODataTraffic
 from fordstair.lab.traffic import Tally, Traffic, mixed
 
-CORES = 8.0  # of each engine
-FAULT_CYCLE_S = 12.0  # between two faults, about
-SILENCE_SHARE = 0.6  # of the faults; the others slow an engine down
-SLOWNESS = 3.0  # times as long
-ODATA_SHARE = 0.1  # of the requests come through the OData front
-UNTIL_LEFT_S = 86_400.0  # of traffic, under the console
+CORES_PER_ENGINE = 8.0
+# Scales the random times between faults, and the durations of faults.
+FAULT_CYCLE_S = 12.0
+# The other faults slow an engine down.
+SILENCE_FAULT_SHARE = 0.6
+SLOWDOWN_FACTOR = 3.0
+# The other requests are sent over MessagePack-RPC.
+ODATA_REQUEST_SHARE = 0.1
+MAX_CONSOLE_RUN_S = 86_400.0
 
 
 class Demo:
-    """One demonstration."""
+    """One run of the demo, headless or under the console."""
 
     def __init__(self, engines: int, rate_per_s: float, seed: int, with_faults: bool) -> None:
-        self.engines = [StandIn(f"engine-{number}", Machine(CORES)) for number in range(1, engines + 1)]
+        self.engines = [
+            StandIn(f"engine-{number}", Machine(CORES_PER_ENGINE)) for number in range(1, engines + 1)
+        ]
         self.rate_per_s = rate_per_s
         self.seed = seed
         self.with_faults = with_faults
         self.tally = Tally()
 
-    def headless(self, seconds: float, progress: bool) -> dict[str, Any]:
-        """Run for that long; return the figures."""
+    def run_headless(self, seconds: float, progress: bool) -> dict[str, Any]:
+        """Run for ``seconds``, printing progress on standard error if asked to; return the figures.
 
-        async def scene() -> None:
+        Raises:
+            NotStartedError: The appliance did not start.
+        """
+
+        async def run() -> None:
             with tempfile.TemporaryDirectory(prefix="fordstair-") as folder:
                 async with appliance(Path(folder), self.engines) as running, trio.open_nursery() as nursery:
                     if progress:
-                        nursery.start_soon(self._progress, seconds)
+                        nursery.start_soon(self._print_progress, seconds)
                     if self.with_faults:
                         nursery.start_soon(self._inject_faults)
-                    await self._traffic(running.ports, seconds)
+                    await self._run_traffic(running.ports, seconds)
                     nursery.cancel_scope.cancel()
 
         try:
-            trio.run(scene)
+            trio.run(run)
         except* NotStartedError as group:
             raise NotStartedError(str(_first_leaf(group))) from None
         return self.figures()
 
-    def watched(self) -> dict[str, Any]:
-        """Run under the console until it is left; return the figures."""
+    def run_with_console(self) -> dict[str, Any]:
+        """Run until the user leaves the console; return the figures.
+
+        Raises:
+            NotStartedError: The appliance did not start, or its run failed.
+        """
         from fordstair.console.app import ConsoleApp
 
         with tempfile.TemporaryDirectory(prefix="fordstair-") as folder:
-            background = _Background(partial(self._until_left, Path(folder)))
+            background = _BackgroundRun(partial(self._run_in_background, Path(folder)))
             try:
                 if background.wait_ready():
                     ConsoleApp(str(Path(folder) / "console.sock")).run()
@@ -71,26 +84,29 @@
                 background.end()
             if background.failure:
                 raise NotStartedError(background.failure)
-        self.tally.counts["lost"] = 0  # what was open when the console was left is no loss
+        # Requests that were open when the user left the console are not lost.
+        self.tally.counts["lost"] = 0
         return self.figures()
 
-    async def _until_left(self, folder: Path, background: _Background) -> None:
+    async def _run_in_background(self, folder: Path, background: _BackgroundRun) -> None:
         async with appliance(folder, self.engines) as running, trio.open_nursery() as nursery:
             if self.with_faults:
                 nursery.start_soon(self._inject_faults)
-            nursery.start_soon(self._traffic, running.ports, UNTIL_LEFT_S)
-            await background.ready_until_end()
+            nursery.start_soon(self._run_traffic, running.ports, MAX_CONSOLE_RUN_S)
+            await background.wait_for_end()
             nursery.cancel_scope.cancel()
 
     def figures(self) -> dict[str, Any]:
-        """Return what became of the requests, and what the engines saw."""
+        """Return counts of the requests' outcomes, latencies, and the number of loads that ran twice."""
         engines = sum((engine.counts for engine in self.engines), start=Counter[str]())
         return {**self.tally.summary(), "loads_run_twice": engines["loads_run_twice"]}
 
-    async def _traffic(self, ports: dict[str, int], seconds: float) -> None:
-        kinds = mixed(self.rate_per_s * (1.0 - ODATA_SHARE))
+    async def _run_traffic(self, ports: dict[str, int], seconds: float) -> None:
+        kinds = mixed(self.rate_per_s * (1.0 - ODATA_REQUEST_SHARE))
         rpc = Traffic("127.0.0.1", ports["listens"], kinds, self.seed)
-        odata = ODataTraffic("127.0.0.1", ports["odata"], self.rate_per_s * ODATA_SHARE, self.seed + 1)
+        odata = ODataTraffic(
+            "127.0.0.1", ports["odata"], self.rate_per_s * ODATA_REQUEST_SHARE, self.seed + 1
+        )
         rpc.tally = self.tally
         odata.tally = self.tally
         async with trio.open_nursery() as nursery:
@@ -98,21 +114,21 @@
             nursery.start_soon(odata.run, seconds)
 
     async def _inject_faults(self) -> None:
-        """Let one engine after the other fall silent and return cold, or be slow for a while."""
+        """Repeatedly make a random engine go silent and return cold, or slow it down for a while."""
         random = Random(self.seed)
         while True:
             await trio.sleep(FAULT_CYCLE_S * random.uniform(0.2, 0.6))
             engine = random.choice(self.engines)
-            if random.random() < SILENCE_SHARE:
+            if random.random() < SILENCE_FAULT_SHARE:
                 engine.go_silent()
                 await trio.sleep(FAULT_CYCLE_S * random.uniform(0.2, 0.5))
                 engine.come_back_cold()
             else:
-                engine.slow_down(SLOWNESS)
+                engine.slow_down(SLOWDOWN_FACTOR)
                 await trio.sleep(FAULT_CYCLE_S * random.uniform(0.2, 0.5))
                 engine.slow_down(1.0)
 
-    async def _progress(self, seconds: float) -> None:
+    async def _print_progress(self, seconds: float) -> None:
         start = trio.current_time()
         while True:
             await trio.sleep(1.0)
@@ -125,35 +141,39 @@
             )
 
 
-class _Background:
-    """A trio program in a thread beside the console, which has the main thread."""
+class _BackgroundRun:
+    """Runs an async function under trio in a thread, as the console needs the main thread.
+
+    Attributes:
+        failure: Message of the error that ended the function; empty if there was none.
+    """
 
-    def __init__(self, scene: Callable[[_Background], Awaitable[None]]) -> None:
-        self.failure = ""  # why it ended, where it was not asked to
+    def __init__(self, main: Callable[[_BackgroundRun], Awaitable[None]]) -> None:
+        self.failure = ""
         self._ready = threading.Event()
-        self._left = threading.Event()
-        self._thread = threading.Thread(target=self._run, args=(scene,), name="lab")
+        self._end_requested = threading.Event()
+        self._thread = threading.Thread(target=self._run, args=(main,), name="lab")
         self._thread.start()
 
     def wait_ready(self) -> bool:
-        """Wait until the scene is ready; return False where it failed."""
+        """Wait until the function is ready; return False if it failed instead."""
         self._ready.wait()
         return not self.failure
 
-    async def ready_until_end(self) -> None:
-        """Say, in the scene, that it is ready; return once it is to end."""
+    async def wait_for_end(self) -> None:
+        """Mark the function as ready and return when it has to end; the function calls this."""
         self._ready.set()
-        await trio.to_thread.run_sync(self._left.wait, abandon_on_cancel=True)
+        await trio.to_thread.run_sync(self._end_requested.wait, abandon_on_cancel=True)
 
     def end(self) -> None:
-        """End the scene, and wait for its end."""
-        self._left.set()
+        """Request the end of the function and wait for it."""
+        self._end_requested.set()
         self._thread.join()
 
-    def _run(self, scene: Callable[[_Background], Awaitable[None]]) -> None:
+    def _run(self, main: Callable[[_BackgroundRun], Awaitable[None]]) -> None:
         try:
-            trio.run(scene, self)
-        except BaseException as error:  # noqa: BLE001 - whatever it was, the console must not wait for it
+            trio.run(main, self)
+        except BaseException as error:  # noqa: BLE001 - after any error the console must not wait forever
             self.failure = str(error)
         finally:
             self._ready.set()
--- a/fordstair/cli/serve.py
+++ b/fordstair/cli/serve.py
@@ -1,4 +1,4 @@
-"""Run an appliance from its operator's file alone."""
+"""``fordstair serve``: runs an appliance that is configured by its operator's file alone."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 
 def run(path: str) -> None:
-    """Run until SIGTERM or drain; raise ConfigError where the file, or what it names, cannot be used."""
+    """Run until SIGTERM or drain.
+
+    Raises:
+        ConfigError: The file, or an address, certificate or path that it names, cannot be used.
+    """
     file = operator_file.load_operator_file(path, require_site=True)
     handler = start_logging(
         file.log.format, file.log.level, file.log.repeat_window_s, file.log.max_waiting_lines
--- a/fordstair/cli/tables.py
+++ b/fordstair/cli/tables.py
@@ -1,4 +1,4 @@
-"""Tables for the terminal, from the same panes as the console's."""
+"""Prints tables on the terminal, with the columns of the console's panes."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 
 def print_rows(name: str, rows: list[dict[str, Any]], at_ms: float) -> None:
-    """Print a table's rows, as the pane of that name shows them."""
-    pane = next(each for each in PANES if each.name == name)
+    """Print the rows of a table as the pane of the same name shows them."""
+    pane = next(pane for pane in PANES if pane.name == name)
     views = {str(number): msgspec.convert(row, TABLES[name]) for number, row in enumerate(rows)}
     empty = Snapshot()
     snapshot = Snapshot(1, at_ms, empty.site, empty.tables.set(name, empty.table(name).update(views)))
@@ -36,7 +36,7 @@
 
 
 def print_pairs(values: dict[str, Any]) -> None:
-    """Print names and values."""
+    """Print one name and its value per line."""
     table = Table(box=None, pad_edge=False, show_header=False)
     for name, value in values.items():
         table.add_row(name, str(value))
--- a/fordstair/configuration/operator_consistency.py
+++ b/fordstair/configuration/operator_consistency.py
@@ -17,7 +17,9 @@
 from fordstair.configuration.operator_schema import File, member_name
 
 MAX_PORT = 65_535
-SHARE_TOLERANCE = 1e-9  # excess over 1 that rounding may leave in the sum of the teams' shares
+# Excess over 1 that rounding may leave in the sum of the teams' shares.
+SHARE_TOLERANCE = 1e-9
+# A load must be remembered for at least this many claim timeouts.
 MIN_RETENTION_CLAIM_TIMEOUTS = 10.0
 
 
--- a/fordstair/net/console_commands.py
+++ b/fordstair/net/console_commands.py
@@ -118,7 +118,7 @@
             who,
             self.wall_clock.unix(self.coordinator.deadlines.clock()).value,
             self._program_state(),
-            seen=command.seen_revision,
+            seen_revision=command.seen_revision,
             confirmed=command.confirmed,
         )
         log.info(
--- a/fordstair/overrides/__init__.py
+++ b/fordstair/overrides/__init__.py
@@ -1,1 +1,1 @@
-"""What operators override while the program runs: decided and remembered without I/O."""
+"""Operator overrides of a running program: which are accepted and which are active. Does no I/O."""
--- a/fordstair/overrides/register.py
+++ b/fordstair/overrides/register.py
@@ -1,9 +1,8 @@
-"""The register of operator overrides: which are active, who made them, and which may be made.
+"""The register of operator overrides: it decides on proposals and keeps the active overrides.
 
-Each accepted override gets the next revision. Two operators who override the same thing at once must not undo
-each other unawares: a proposal names the revision that its author has seen, and one that a later override of
-the same target has overtaken is a conflict. What disturbs service must be confirmed. All overrides are active
-until the program starts again.
+Each accepted override gets the next revision. Two operators must not undo each other's overrides unknowingly:
+a proposal carries the revision that its author has seen, and is a conflict if its target has changed since.
+A proposal that disturbs service must be confirmed. Overrides are active until the program restarts.
 """
 
 from __future__ import annotations
@@ -21,33 +20,41 @@
 
 
 class Verdict(Enum):
-    """What became of a proposal."""
+    """The decision on a proposal.
+
+    Attributes:
+        ALREADY: The target already is in that state; nothing was changed.
+        CONFLICT: The target has changed since the revision that the author has seen; look again.
+        CONFIRM: The override disturbs service and was not confirmed.
+        UNKNOWN: There is no such engine or class.
+        REFUSED: The override is out of bounds, or not possible at present.
+    """
 
     DONE = "done"
-    ALREADY = "already"  # it is so, and nothing was changed
-    CONFLICT = "conflict"  # another operator was first; look again
-    CONFIRM = "confirm"  # it disturbs service, and was not confirmed
-    UNKNOWN = "unknown"  # no such engine or class
-    REFUSED = "refused"  # not now, or not in these bounds
+    ALREADY = "already"
+    CONFLICT = "conflict"
+    CONFIRM = "confirm"
+    UNKNOWN = "unknown"
+    REFUSED = "refused"
 
 
 @dataclass(frozen=True, slots=True)
 class Cordon:
-    """Send an engine nothing new."""
+    """Send an engine no new attempts."""
 
     engine: str
 
 
 @dataclass(frozen=True, slots=True)
 class Uncordon:
-    """Send an engine work again."""
+    """Send an engine new attempts again."""
 
     engine: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetConcurrencyLimit:
-    """Bound the threads that a class may have in flight; None lifts the bound."""
+    """Limit the threads that a class may have in flight; None removes the limit."""
 
     class_name: str
     threads: int | None
@@ -55,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Answer what is open, take nothing more, and end."""
+    """Accept no more requests, answer the open ones and exit."""
 
 
 Override: TypeAlias = Cordon | Uncordon | SetConcurrencyLimit | Drain
@@ -63,18 +70,28 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedOverride:
-    """One accepted override."""
+    """One accepted override.
+
+    Attributes:
+        target: ``engine:`` with an engine id, ``class:`` with a class name, or ``site``.
+        effect: Description of the effect that is shown while the override is active.
+        applied_ms: Unix time.
+    """
 
-    target: str  # "engine:s-1", "class:lookup", "site"
-    effect: str  # as it is shown while it is active
+    target: str
+    effect: str
     author: str
-    applied_ms: float  # Unix time
+    applied_ms: float
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProposalResult:
-    """What became of a proposal, and why; with the override where it was accepted, or is in its way."""
+    """The decision on a proposal.
+
+    Attributes:
+        override: The accepted override, or the active one that has the same effect or conflicts; else None.
+    """
 
     verdict: Verdict
     reason: str = ""
@@ -83,22 +100,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgramState:
-    """What the register must know of the program to judge a proposal."""
+    """The state of the program that decisions on proposals depend on.
 
-    ready_engines: frozenset[str]  # engines that take new work
+    Attributes:
+        ready_engines: Engines that take new attempts.
+        class_threads: Threads of one request, by the name of its class.
+        open_requests: Number of requests without an answer.
+    """
+
+    ready_engines: frozenset[str]
     known_engines: frozenset[str]
-    class_threads: dict[str, int]  # threads that one request of the class takes, by name
-    open_requests: int = 0  # requests that wait for an answer
+    class_threads: dict[str, int]
+    open_requests: int = 0
     draining: bool = False
 
 
 class OverrideRegister:
-    """The active overrides, by target."""
+    """Decides on proposed overrides and keeps the accepted ones.
+
+    Attributes:
+        revision: Revision of the last accepted override; 0 if there is none.
+        active: Active overrides by target.
+    """
 
     def __init__(self) -> None:
         self.revision = 0
         self.active: immutables.Map[str, AppliedOverride] = immutables.Map()
-        self._last_revision: dict[str, int] = {}  # by target: the revision that changed it last
+        self._last_revision_by_target: dict[str, int] = {}
 
     def propose(
         self,
@@ -107,28 +135,28 @@
         now_ms: float,
         program: ProgramState,
         *,
-        seen: int | None = None,
+        seen_revision: int | None = None,
         confirmed: bool = False,
     ) -> ProposalResult:
-        """Judge an override, and register it where it is accepted; the caller then carries it out.
+        """Decide on an override and register it if it is accepted; the caller then applies it to the program.
 
         Args:
-            change: what is proposed.
-            author: who proposes it.
-            now_ms: Unix time in milliseconds.
-            program: the state of the program that it would change.
-            seen: the revision of the snapshot that the author acted on; None asks for no such check.
-            confirmed: whether the author accepts that service is disturbed.
+            change: The proposed override.
+            author: User who proposes it.
+            now_ms: Unix time.
+            program: State of the program before the change.
+            seen_revision: Revision of the snapshot that the author acted on; None skips the conflict check.
+            confirmed: The author accepts that service is disturbed.
         """
         target = _target(change)
         if program.draining:
             verdict = Verdict.ALREADY if isinstance(change, Drain) else Verdict.REFUSED
             return ProposalResult(verdict, "the program is draining")
-        if (invalid := self._invalid(change, program)) is not None:
-            return invalid
+        if (rejection := self._validate(change, program)) is not None:
+            return rejection
         if self._in_effect(change):
             return ProposalResult(Verdict.ALREADY, "it is so already", self.active.get(target))
-        if seen is not None and self._last_revision.get(target, 0) > seen:
+        if seen_revision is not None and self._last_revision_by_target.get(target, 0) > seen_revision:
             return self._conflict(target)
         if target not in self.active and len(self.active) >= MAX_ACTIVE:
             return ProposalResult(Verdict.REFUSED, f"{MAX_ACTIVE} adjustments are in force; lift some first")
@@ -136,8 +164,8 @@
             return ProposalResult(Verdict.CONFIRM, impact)
         return ProposalResult(Verdict.DONE, "", self._register(change, target, author, now_ms))
 
-    def _invalid(self, change: Override, program: ProgramState) -> ProposalResult | None:
-        """Return why a change cannot be made at all; None where it can."""
+    def _validate(self, change: Override, program: ProgramState) -> ProposalResult | None:
+        """Return the rejection of a change that names an unknown target or is out of bounds, else None."""
         match change:
             case Cordon(engine) if engine not in program.known_engines:
                 return ProposalResult(Verdict.UNKNOWN, f"no engine {engine!r}")
@@ -150,9 +178,9 @@
         return None
 
     def _in_effect(self, change: Override) -> bool:
-        """Whether the target already is as the change would make it."""
+        """Return whether the target already is in the state that the change would make."""
         active = self.active.get(_target(change))
-        if _lifts(change):
+        if _removes_override(change):
             return active is None
         return active is not None and active.effect == describe(change)
 
@@ -163,27 +191,28 @@
 
     def _register(self, change: Override, target: str, author: str, now_ms: float) -> AppliedOverride:
         self.revision += 1
-        self._last_revision[target] = self.revision
+        self._last_revision_by_target[target] = self.revision
         applied = AppliedOverride(target, describe(change), author, now_ms, self.revision)
-        if not _lifts(change):
+        if not _removes_override(change):
             self.active = self.active.set(target, applied)
         elif target in self.active:
             self.active = self.active.delete(target)
-        if len(self._last_revision) > MAX_REMEMBERED_TARGETS:  # what is long past conflicts with nobody
-            latest = sorted(self._last_revision.items(), key=lambda item: item[1])[-MAX_ACTIVE:]
-            self._last_revision = dict(latest)
+        # Drops the oldest revisions; no author still acts on a snapshot from before them.
+        if len(self._last_revision_by_target) > MAX_REMEMBERED_TARGETS:
+            latest = sorted(self._last_revision_by_target.items(), key=lambda item: item[1])[-MAX_ACTIVE:]
+            self._last_revision_by_target = dict(latest)
         return applied
 
 
-def _lifts(change: Override) -> bool:
-    """Whether a change ends an override instead of making one."""
+def _removes_override(change: Override) -> bool:
+    """Return whether a change ends an active override instead of adding one."""
     return isinstance(change, Uncordon) or (
         isinstance(change, SetConcurrencyLimit) and change.threads is None
     )
 
 
 def describe(change: Override) -> str:
-    """Return what a change does, as it is shown while it is active."""
+    """Return a change's effect as it is shown while the override is active."""
     match change:
         case Cordon():
             return "set aside"
@@ -196,7 +225,7 @@
 
 
 def service_impact(change: Override, program: ProgramState) -> str:
-    """Return how a change disturbs service; empty where it hardly does."""
+    """Return how a change disturbs service; empty if it has no impact that needs to be confirmed."""
     match change:
         case Drain() if program.open_requests:
             return f"the program ends; {program.open_requests} requests are open"
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -210,16 +210,19 @@
 def test_two_operators_at_once_and_what_disturbs_service() -> None:
     ledger = OverrideRegister()
     seen = ledger.revision
-    assert ledger.propose(Cordon("a"), "ann", 1.0, STANDING, seen=seen).verdict is Verdict.DONE
-    assert ledger.propose(Cordon("a"), "bob", 2.0, STANDING, seen=seen).verdict is Verdict.ALREADY
-    late = ledger.propose(Uncordon("a"), "bob", 2.0, STANDING, seen=seen)
+    assert ledger.propose(Cordon("a"), "ann", 1.0, STANDING, seen_revision=seen).verdict is Verdict.DONE
+    assert ledger.propose(Cordon("a"), "bob", 2.0, STANDING, seen_revision=seen).verdict is Verdict.ALREADY
+    late = ledger.propose(Uncordon("a"), "bob", 2.0, STANDING, seen_revision=seen)
     assert late.verdict is Verdict.CONFLICT
     assert "ann" in late.reason
-    assert ledger.propose(Uncordon("a"), "bob", 3.0, STANDING, seen=ledger.revision).verdict is Verdict.DONE
-    assert ledger.propose(Cordon("a"), "ann", 4.0, STANDING, seen=seen).verdict is Verdict.CONFLICT
+    assert (
+        ledger.propose(Uncordon("a"), "bob", 3.0, STANDING, seen_revision=ledger.revision).verdict
+        is Verdict.DONE
+    )
+    assert ledger.propose(Cordon("a"), "ann", 4.0, STANDING, seen_revision=seen).verdict is Verdict.CONFLICT
     # another target is no conflict
     assert (
-        ledger.propose(SetConcurrencyLimit("load", 4), "ann", 4.0, STANDING, seen=seen).verdict
+        ledger.propose(SetConcurrencyLimit("load", 4), "ann", 4.0, STANDING, seen_revision=seen).verdict
         is Verdict.DONE
     )
     assert ledger.propose(Cordon("z"), "ann", 4.0, STANDING).verdict is Verdict.UNKNOWN
@@ -257,7 +260,7 @@
     ledger, model = OverrideRegister(), dict[str, str]()
     for change, behind in proposals:
         seen = max(0, ledger.revision - behind)
-        ruling = ledger.propose(change, "x", 0.0, STANDING, seen=seen, confirmed=True)
+        ruling = ledger.propose(change, "x", 0.0, STANDING, seen_revision=seen, confirmed=True)
         if ruling.verdict is Verdict.DONE:
             made = ruling.override
             assert made is not None
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The process: its signals and its exit status."""
+"""Signals and exit codes of the process."""
 
 from __future__ import annotations
 
@@ -30,34 +30,34 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[]", ujson.dumps(config() | {"listen": "nowhere"})])
-def test_a_bad_configuration_is_one_line_and_exit_2(tmp_path: Path, text: str) -> None:
+def test_an_unusable_configuration_prints_one_line_and_exits_with_2(tmp_path: Path, text: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
-    done = run_to_its_end(path)
+    done = run_until_exit(path)
     assert done.returncode == 2
     assert len(done.stderr.splitlines()) == 1
 
 
 @pytest.mark.parametrize("operator", ["", "[odata]\nlisten = '127.0.0.1:{port}'\nteam = 'karri-energy'\n"])
-def test_a_port_that_is_taken_is_one_line_and_exit_2(tmp_path: Path, operator: str) -> None:
-    # Guards against a traceback and status 1 for a fault of configuration that the program's tasks find.
+def test_a_port_in_use_prints_one_line_and_exits_with_2(tmp_path: Path, operator: str) -> None:
+    # Guards against a traceback and exit code 1 when a task of the program raises the ConfigError.
     path = tmp_path / "config.json"
     arguments: list[str] = []
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        port = taken.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
+        port = occupied.getsockname()[1]
         path.write_text(ujson.dumps(config() if operator else config() | {"listen": f"127.0.0.1:{port}"}))
         if operator:
             (tmp_path / "operator.toml").write_text(operator.format(port=port))
             arguments = ["--operator", str(tmp_path / "operator.toml")]
-        done = run_to_its_end(path, *arguments)
+        done = run_until_exit(path, *arguments)
     assert done.returncode == 2
     (line,) = (line for line in done.stderr.decode().splitlines() if "listening" not in line)
     assert f"127.0.0.1:{port}" in line
     assert line.startswith("fordstair: odata: " if operator else "fordstair: listens: ")
 
 
-def run_to_its_end(path: Path, *arguments: str) -> subprocess.CompletedProcess[bytes]:
-    """Run the program on a configuration that it cannot use."""
+def run_until_exit(path: Path, *arguments: str) -> subprocess.CompletedProcess[bytes]:
+    """Run the program until it exits, at most 30 s."""
     return subprocess.run(
         [sys.executable, "-m", "fordstair", *arguments],
         env=os.environ | {"RELAY_CONFIG": str(path)},
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's file: all faults at once, each with its path, and never a traceback."""
+"""The operator's file: all problems are reported at once, each with its path, and never as a traceback."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from tests.standins import ROOT
 
 APPLIANCE = ROOT / "deploy" / "appliance.toml"
-many = settings(max_examples=200, derandomize=True, deadline=None)
+FIXED_EXAMPLES = settings(max_examples=200, derandomize=True, deadline=None)
 
 
 def problems_of(text: str, require_site: bool = False) -> dict[str, str]:
-    """What is wrong, by path."""
+    """Return the reasons of the problems in a file, by path."""
     try:
         validate_operator_file(tomllib.loads(text), require_site=require_site)
     except InvalidOperatorFileError as invalid:
@@ -33,22 +33,22 @@
     return {}
 
 
-def test_the_file_in_the_repository_makes_the_modules_settings() -> None:
+def test_the_file_in_the_repository_is_converted_to_settings() -> None:
     file = operator_file.read_operator_file(str(APPLIANCE), require_site=True)
     config, operator = operator_file.coordinator_config(file), operator_file.operator_options(file)
-    told = config.settings
-    assert [(each.name, each.idempotency, each.threads, each.is_load) for each in told.classes] == [
+    site_settings = config.settings
+    assert [(each.name, each.idempotency, each.threads, each.is_load) for each in site_settings.classes] == [
         ("lookup", Idempotency.IDEMPOTENT, 1, False),
         ("settlement", Idempotency.IDEMPOTENT, 4, False),
         ("meter-load", Idempotency.NON_IDEMPOTENT, 2, True),
     ]
-    assert [(each.name, round(each.quota_per_s, 6)) for each in told.tenants] == [
+    assert [(each.name, round(each.quota_per_s, 6)) for each in site_settings.tenants] == [
         ("karri-energy", 43.8),
         ("saltbush-power", 9.6),
         ("pindan-retail", 6.6),
     ]
-    assert told.cores_by_kind == (8.0,)
-    assert told.memory_mb_by_kind == (16384.0,)
+    assert site_settings.cores_by_kind == (8.0,)
+    assert site_settings.memory_mb_by_kind == (16384.0,)
     assert [(each.entry.engine, each.address) for each in config.known[0][2]] == [
         ("garden-1", "127.0.0.1:7001"),
         ("garden-2", "127.0.0.1:7002"),
@@ -57,7 +57,7 @@
     assert operator.listen == ("127.0.0.1", 8480)
 
 
-def test_all_faults_are_listed_at_once() -> None:
+def test_all_problems_are_reported_at_once() -> None:
     found = problems_of("""
         colour = "red"
         [site]
@@ -98,9 +98,9 @@
     assert found["class.1.name"] == "is missing"
 
 
-def test_faults_between_fields_are_found() -> None:
+def test_inconsistent_fields_are_reported() -> None:
     base = APPLIANCE.read_text()
-    wrong = {
+    replacements = {
         'read = "settlement"    # the class': ('read = "none" #', {"set.0.read": "no class 'none'"}),
         'write = "meter-load"': (
             'write = "lookup"',
@@ -121,20 +121,20 @@
         '"/tmp/': ('"tmp/', {"console.socket": "a path from the root is wanted"}),
     }
     assert problems_of(base, require_site=True) == {}
-    for before, (after, expected) in wrong.items():
+    for before, (after, expected) in replacements.items():
         assert base.count(before) >= 1
         assert problems_of(base.replace(before, after, 1), require_site=True) == expected
     assert set(problems_of("", require_site=True)) == {"site", "class", "team", "engine"}
 
 
-values: st.SearchStrategy[Any] = st.recursive(
+VALUES: st.SearchStrategy[Any] = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=6), inner, max_size=3),
     max_leaves=8,
 )
 
 
-@many
+@FIXED_EXAMPLES
 @given(
     st.dictionaries(
         st.sampled_from(
@@ -154,13 +154,13 @@
                 "other",
             ]
         ),
-        values,
+        VALUES,
     ),
     st.booleans(),
 )
-def test_whatever_stands_in_a_file_a_fault_is_named(told: dict[str, Any], require_site: bool) -> None:
+def test_any_invalid_file_is_reported_with_reasons(document: dict[str, Any], require_site: bool) -> None:
     try:
-        file = validate_operator_file(told, require_site=require_site)
+        file = validate_operator_file(document, require_site=require_site)
     except InvalidOperatorFileError as invalid:
         assert invalid.problems
         assert all("\n" not in each.line("f") and each.reason for each in invalid.problems)
@@ -168,23 +168,23 @@
         assert isinstance(file, File)
 
 
-@many
+@FIXED_EXAMPLES
 @given(st.data())
-def test_one_field_spoilt_is_named_by_its_path(data: st.DataObject) -> None:
-    told = tomllib.loads(APPLIANCE.read_text())
-    table = data.draw(st.sampled_from(sorted(told)))
-    rows = told[table] if isinstance(told[table], list) else [told[table]]
+def test_an_invalid_field_is_reported_by_its_path(data: st.DataObject) -> None:
+    document = tomllib.loads(APPLIANCE.read_text())
+    table = data.draw(st.sampled_from(sorted(document)))
+    rows = document[table] if isinstance(document[table], list) else [document[table]]
     number = data.draw(st.integers(0, len(rows) - 1))
     field = data.draw(st.sampled_from(sorted(rows[number])))
     rows[number][field] = object() if data.draw(st.booleans()) else {"odd": [1]}
-    path = f"{table}.{number}.{field}" if isinstance(told[table], list) else f"{table}.{field}"
+    path = f"{table}.{number}.{field}" if isinstance(document[table], list) else f"{table}.{field}"
     with pytest.raises(InvalidOperatorFileError) as invalid:
-        validate_operator_file(told, require_site=True)
+        validate_operator_file(document, require_site=True)
     assert path in {problem.path for problem in invalid.value.problems}
 
 
 @pytest.mark.parametrize(
-    ("content", "said"),
+    ("content", "expected"),
     [
         (b"[site\n", "is not TOML"),
         (b"\xff\xfe", "is not UTF-8"),
@@ -194,8 +194,8 @@
     ],
     ids=["cut", "bytes", "deep", "none", "large"],
 )
-def test_a_file_that_cannot_be_read_is_told_in_a_line(
-    tmp_path: Path, content: bytes | None, said: str
+def test_an_unreadable_file_is_reported_without_a_traceback(
+    tmp_path: Path, content: bytes | None, expected: str
 ) -> None:
     path = tmp_path / "f.toml"
     if content is not None:
@@ -209,7 +209,7 @@
     )
     assert done.returncode == 2
     assert "Traceback" not in done.stderr
-    assert done.stderr.startswith(f"{path}: {said}")
+    assert done.stderr.startswith(f"{path}: {expected}")
 
 
 def test_check_and_schema_on_the_command_line(tmp_path: Path) -> None:
@@ -229,13 +229,13 @@
     assert done.returncode == 2
     assert f"{bad}: site.name: is missing" in done.stderr.splitlines()
     assert f"{bad}: site.hue: unknown key" in done.stderr
-    told = ujson.loads(run("check", "--json", str(bad)).stdout)
-    assert {problem["path"] for problem in told["faults"]} >= {"site.listen", "site.hue", "site.name"}
+    answer = ujson.loads(run("check", "--json", str(bad)).stdout)
+    assert {problem["path"] for problem in answer["faults"]} >= {"site.listen", "site.hue", "site.name"}
     assert ujson.loads(run("schema").stdout) == json_schema()
     assert run("nonsense").returncode == 2
 
 
-def test_all_faults_of_a_fleet_are_told_at_once_and_a_good_one_is_read() -> None:
+def test_all_problems_of_a_fleet_are_reported_at_once_and_a_valid_one_is_read() -> None:
     ledger = {
         "listen": "10.0.0.4:7947",
         "store": "ledger",
@@ -243,7 +243,7 @@
         "repeat_seconds": 10.0,
         "holders": {"south": "10.0.0.5:0", "east": "10.0.0.5:0"},
     }
-    told = {
+    document = {
         "fleet": {
             "cluster": "gardens",
             "member": "north",
@@ -253,9 +253,9 @@
             "ledger": ledger,
         }
     }
-    with pytest.raises(InvalidOperatorFileError) as caught:
-        validate_operator_file(told, require_site=False)
-    assert {problem.path for problem in caught.value.problems} == {
+    with pytest.raises(InvalidOperatorFileError) as invalid:
+        validate_operator_file(document, require_site=False)
+    assert {problem.path for problem in invalid.value.problems} == {
         "fleet.timeout_ms",
         "fleet.advertise",
         "fleet.seeds.1",
@@ -267,18 +267,18 @@
         "fleet.ledger.repeat_seconds",
         "fleet.ledger",
     }
-    with pytest.raises(InvalidOperatorFileError) as caught:
+    with pytest.raises(InvalidOperatorFileError) as invalid:
         validate_operator_file(
             {"fleet": {"cluster": "9", "listen": "nowhere", "probe_ms": 1.0, "unknown": 1}},
             require_site=False,
         )
-    assert {problem.path for problem in caught.value.problems} == {
+    assert {problem.path for problem in invalid.value.problems} == {
         "fleet.cluster",
         "fleet.listen",
         "fleet.probe_ms",
         "fleet.unknown",
     }
-    good = validate_operator_file(
+    valid = validate_operator_file(
         {
             "odata": {"listen": "127.0.0.1:0"},
             "fleet": {
@@ -291,7 +291,7 @@
         },
         require_site=False,
     )
-    operator = operator_file.operator_options(good)
+    operator = operator_file.operator_options(valid)
     assert operator.fleet is not None
     assert operator.fleet.address == "10.0.0.4:7946"
     assert operator.ledger is not None
@@ -299,9 +299,9 @@
     assert operator_file.operator_options(validate_operator_file({}, require_site=False)).fleet is None
 
 
-def test_faults_of_a_fleets_budgets_are_told_at_once_and_a_good_table_makes_its_plan() -> None:
-    whole = {"team": "karri-energy", "threads": 64}
-    told: dict[str, Any] = {
+def test_all_problems_of_fleet_budgets_are_reported_at_once_and_a_valid_table_makes_a_plan() -> None:
+    budget = {"team": "karri-energy", "threads": 64}
+    document: dict[str, Any] = {
         "team": [{"name": "karri-energy", "share": 0.5}],
         "class": [{"name": "settlement", "promise_ms": 1.0, "give_up_ms": 2.0, "threads": 4}],
         "fleet": {
@@ -313,8 +313,8 @@
                 "audit": "audit",
                 "members": {"north": "10.0.0.4:7948", "south": "10.0.0.4:7948", "east": "10.0.0.6:0"},
                 "whole": [
-                    whole,
-                    whole,
+                    budget,
+                    budget,
                     {"threads": 2},
                     {"threads": 8, "requests_per_s": 1.0},
                     {"team": "nobody", "class": "nothing", "requests_per_s": 5.0},
@@ -322,9 +322,9 @@
             },
         },
     }
-    with pytest.raises(InvalidOperatorFileError) as caught:
-        validate_operator_file(told, require_site=False)
-    assert {problem.path for problem in caught.value.problems} == {
+    with pytest.raises(InvalidOperatorFileError) as invalid:
+        validate_operator_file(document, require_site=False)
+    assert {problem.path for problem in invalid.value.problems} == {
         "fleet.budgets",
         "fleet.budgets.members",
         "fleet.budgets.members.east",
@@ -335,22 +335,24 @@
         "fleet.budgets.whole.4.team",
         "fleet.budgets.whole.4.class",
     }
-    good = told | {
+    valid = document | {
         "budgets": {},
-        "fleet": told["fleet"]
+        "fleet": document["fleet"]
         | {
             "budgets": {
                 "listen": "10.0.0.4:7948",
                 "members": {"north": "10.0.0.4:7948"},
-                "whole": [whole, {"class": "settlement", "requests_per_s": 2.5}],
+                "whole": [budget, {"class": "settlement", "requests_per_s": 2.5}],
             }
         },
     }
-    part = operator_file.operator_options(validate_operator_file(good, require_site=False)).fleet_budgets
-    assert part is not None
-    assert part.member == "north"
-    assert part.plan.voters == ("north",)
-    assert [(each.name, each.units, each.quantum) for each in part.plan.limits] == [
+    fleet_budgets = operator_file.operator_options(
+        validate_operator_file(valid, require_site=False)
+    ).fleet_budgets
+    assert fleet_budgets is not None
+    assert fleet_budgets.member == "north"
+    assert fleet_budgets.plan.voters == ("north",)
+    assert [(each.name, each.units, each.quantum) for each in fleet_budgets.plan.limits] == [
         ("threads:karri-energy:*", 64, 4),
         ("rate:*:settlement", 2_500, 1),
     ]
--- a/tests/wires/test_operator_schema.py
+++ b/tests/wires/test_operator_schema.py
@@ -10,36 +10,39 @@
 from fordstair.cli.app import app
 from tests.wires.recordings import recorded
 
-# Texts for readers, and the names under which tables stand in the document itself: no key of a file.
-FOR_READERS = {"title", "description"}
+# Keys of the schema that do not constrain a file.
+ANNOTATION_KEYS = {"title", "description"}
 
 
 def messages() -> dict[str, str]:
-    """The printed text, and what it demands of a file."""
+    """Return the printed schema, and its constraints on a file as JSON."""
     printed = CliRunner().invoke(app, ["schema"]).stdout
     schema = ujson.loads(printed)
-    return {"printed": printed, "demands": ujson.dumps(demands(schema, schema["$defs"]))}
+    return {"printed": printed, "demands": ujson.dumps(constraints(schema, schema["$defs"]))}
 
 
-def demands(part: Any, tables: dict[str, Any]) -> Any:
-    """Return a schema with its tables in their places, and without what is for readers alone."""
+def constraints(part: Any, tables: dict[str, Any]) -> Any:
+    """Return a schema with each ``$ref`` replaced by its table and without annotations."""
     if isinstance(part, list):
-        return [demands(each, tables) for each in part]
+        return [constraints(each, tables) for each in part]
     if not isinstance(part, dict):
         return part
     if "$ref" in part:
-        return demands(tables[part["$ref"].rpartition("/")[2]], tables)
-    if "properties" in part:  # its keys are those of a file, whatever they are called
-        inside = {key: demands(value, tables) for key, value in part["properties"].items()}
-        return {"properties": inside} | demands({k: v for k, v in part.items() if k != "properties"}, tables)
+        return constraints(tables[part["$ref"].rpartition("/")[2]], tables)
+    # The keys of "properties" are keys of a file, so "title" and "description" stay among them.
+    if "properties" in part:
+        properties = {key: constraints(value, tables) for key, value in part["properties"].items()}
+        return {"properties": properties} | constraints(
+            {k: v for k, v in part.items() if k != "properties"}, tables
+        )
     return {
-        key: demands(value, tables)
+        key: constraints(value, tables)
         for key, value in part.items()
-        if key not in FOR_READERS and key != "$defs"
+        if key not in ANNOTATION_KEYS and key != "$defs"
     }
 
 
-def test_the_schema_demands_the_same() -> None:
+def test_the_constraints_of_the_schema_are_as_recorded() -> None:
     assert ujson.loads(messages()["demands"]) == ujson.loads(recorded("operator_schema")["demands"])
 
 
