--- a/fordstair/cli/tables.py
+++ b/fordstair/cli/tables.py
@@ -28,7 +28,7 @@
 
 def print_rows(name: str, rows: list[dict[str, Any]], at_ms: float) -> None:
     """Print the rows of a table as the pane of the same name shows them."""
-    pane = next(pane for pane in PANES if pane.name == name)
+    pane = next(each for each in PANES if each.name == name)
     views = {str(number): msgspec.convert(row, TABLES[name]) for number, row in enumerate(rows)}
     empty = Snapshot()
     snapshot = Snapshot(1, at_ms, empty.site, empty.tables.set(name, empty.table(name).update(views)))
