--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -226,19 +226,29 @@
 def test_concurrent_overrides_conflict_and_disruptive_ones_need_a_confirmation() -> None:
     register = OverrideRegister()
     seen = register.revision
-    assert register.propose(Cordon("a"), "ann", 1.0, PROGRAM_STATE, seen=seen).verdict is Verdict.DONE
-    assert register.propose(Cordon("a"), "bob", 2.0, PROGRAM_STATE, seen=seen).verdict is Verdict.ALREADY
-    conflicting = register.propose(Uncordon("a"), "bob", 2.0, PROGRAM_STATE, seen=seen)
+    assert (
+        register.propose(Cordon("a"), "ann", 1.0, PROGRAM_STATE, seen_revision=seen).verdict is Verdict.DONE
+    )
+    assert (
+        register.propose(Cordon("a"), "bob", 2.0, PROGRAM_STATE, seen_revision=seen).verdict
+        is Verdict.ALREADY
+    )
+    conflicting = register.propose(Uncordon("a"), "bob", 2.0, PROGRAM_STATE, seen_revision=seen)
     assert conflicting.verdict is Verdict.CONFLICT
     assert "ann" in conflicting.reason
     assert (
-        register.propose(Uncordon("a"), "bob", 3.0, PROGRAM_STATE, seen=register.revision).verdict
+        register.propose(Uncordon("a"), "bob", 3.0, PROGRAM_STATE, seen_revision=register.revision).verdict
         is Verdict.DONE
     )
-    assert register.propose(Cordon("a"), "ann", 4.0, PROGRAM_STATE, seen=seen).verdict is Verdict.CONFLICT
+    assert (
+        register.propose(Cordon("a"), "ann", 4.0, PROGRAM_STATE, seen_revision=seen).verdict
+        is Verdict.CONFLICT
+    )
     # A change of another target is not a conflict.
     assert (
-        register.propose(SetConcurrencyLimit("load", 4), "ann", 4.0, PROGRAM_STATE, seen=seen).verdict
+        register.propose(
+            SetConcurrencyLimit("load", 4), "ann", 4.0, PROGRAM_STATE, seen_revision=seen
+        ).verdict
         is Verdict.DONE
     )
     assert register.propose(Cordon("z"), "ann", 4.0, PROGRAM_STATE).verdict is Verdict.UNKNOWN
@@ -285,7 +295,7 @@
     register, model = OverrideRegister(), dict[str, str]()
     for change, behind in proposals:
         seen = max(0, register.revision - behind)
-        result = register.propose(change, "x", 0.0, PROGRAM_STATE, seen=seen, confirmed=True)
+        result = register.propose(change, "x", 0.0, PROGRAM_STATE, seen_revision=seen, confirmed=True)
         if result.verdict is Verdict.DONE:
             applied = result.override
             assert applied is not None
