--- a/fordstair/__init__.py
+++ b/fordstair/__init__.py
@@ -1,1 +1,1 @@
-"""fordstair: the coordinator that puts the fordstair.decisions decision module to work on sockets."""
+"""fordstair: a coordinator that runs the decision module (fordstair.decisions) over network connections."""
--- a/fordstair/__main__.py
+++ b/fordstair/__main__.py
@@ -1,16 +1,16 @@
-"""``python -m fordstair``: block signals before the long imports, then start."""
+"""``python -m fordstair``: blocks signals before the slow imports, then starts the program."""
 
 from __future__ import annotations
 
 import sys
 
-from fordstair.blocked_signals import block
+from fordstair.blocked_signals import block_signals
 
 
 def main() -> int:
     """Start one coordinator; return its exit code."""
-    block()
-    from fordstair.entry_point import main as start  # only now: this takes a while
+    block_signals()
+    from fordstair.entry_point import main as start  # slow, so only with the signals blocked
 
     return start()
 
--- a/fordstair/blocked_signals.py
+++ b/fordstair/blocked_signals.py
@@ -1,6 +1,6 @@
-"""Signals that come while the program starts: blocked until there are handlers for them.
+"""Blocks SIGHUP and SIGUSR1 during the start, until their handlers are installed.
 
-The default action of SIGHUP and SIGUSR1 ends a process, and a new configuration may be announced at any time.
+Their default action ends the process, and a SIGHUP for a new configuration may arrive at any time.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 BLOCKED_AT_START = frozenset({signal.SIGHUP, signal.SIGUSR1})
 
 
-def block() -> None:
-    """Let them stay pending from now on."""
+def block_signals() -> None:
+    """Block the signals; those that arrive stay pending."""
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_AT_START)
 
 
-def unblock() -> None:
-    """Deliver those that are pending, and all that come."""
+def unblock_signals() -> None:
+    """Unblock the signals; pending ones are delivered."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_AT_START)
--- a/fordstair/entry_point.py
+++ b/fordstair/entry_point.py
@@ -1,4 +1,4 @@
-"""Start one coordinator as the platform does; with an operator's file, also what that turns on."""
+"""Command line of one coordinator: started by the platform, or with an operator's file."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 def read_configuration(path: str | None) -> tuple[Config, Operator | None]:
-    """Read the platform's configuration, and the operator's file if there is one; raise ConfigError."""
+    """Read the platform's configuration and, if given, the operator's file; raise ConfigError."""
     if path is None:
         return load(), None
-    from fordstair.configuration import operator_file  # not loaded on the platform
+    from fordstair.configuration import operator_file  # saves memory on the platform
 
     return load(), operator_file.operator_options(operator_file.load_operator_file(path, require_site=False))
 
@@ -48,9 +48,9 @@
 
 
 def _run(operator_path: str | None) -> None:
-    """Run until the program has drained; raise ConfigError, or a group with one, also from its tasks."""
+    """Run until the program has drained; raise ConfigError, or a group that contains one."""
     if operator_path is not None and not os.environ.get("RELAY_CONFIG"):
-        from fordstair.cli.serve import run  # without the platform, the file configures everything
+        from fordstair.cli.serve import run  # without RELAY_CONFIG the file configures everything
 
         run(operator_path)
         return
--- a/fordstair/lab/fault_shim.py
+++ b/fordstair/lab/fault_shim.py
@@ -32,7 +32,7 @@
 
 import ujson
 
-from fordstair.blocked_signals import block
+from fordstair.blocked_signals import block_signals
 
 ENVIRONMENT_VARIABLE = "FORDSTAIR_FAULTS"
 TIMED_LOG_VARIABLE = "FORDSTAIR_TIMED_LOG"
@@ -150,7 +150,7 @@
 
 def main() -> int:
     """Install the faults, and run the program on this command line."""
-    block()
+    block_signals()
     shim = FaultShim(Path(os.environ[ENVIRONMENT_VARIABLE]))
     shim.install()
     shim.load()
--- a/fordstair/program/__init__.py
+++ b/fordstair/program/__init__.py
@@ -1,4 +1,4 @@
-"""The coordinator's program: its composition root, drain, limits, reload, and what it keeps on disk."""
+"""The coordinator process: composition root, graceful shutdown, resource limits, reload and persistence."""
 
 from fordstair.program.coordinator_program import Program
 
--- a/fordstair/program/configuration_reload.py
+++ b/fordstair/program/configuration_reload.py
@@ -1,4 +1,4 @@
-"""Reading the configuration anew at SIGHUP: what a running program may change, and what waits."""
+"""Reloading the configuration at SIGHUP; some fields keep their values until a restart."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 FIXED_UNTIL_RESTART = ("name", "listen", "settings")
 
 
-def load_or_log(load: Callable[[], Config]) -> Config | None:
-    """Read and check the configuration; log why and return None where it cannot be used."""
+def try_load_config(load_config: Callable[[], Config]) -> Config | None:
+    """Read and validate the configuration; if it cannot be used, log the reason and return None."""
     try:
-        return load()
-    except Exception as error:  # noqa: BLE001 - whatever is wrong with a file must not end the program
+        return load_config()
+    except Exception as error:  # noqa: BLE001 - no fault in a file may end the program
         why = " ".join(str(error).split())
-        log.error("configuration.rejected", why=why)  # noqa: TRY400 - for the author of the file
+        log.error("configuration.rejected", why=why)  # noqa: TRY400 - the file's author needs no traceback
         return None
 
 
 def keep_fixed_fields(running: Config, loaded: Config) -> Config:
-    """Return the loaded configuration with the fields that only a restart changes; log those that differ."""
+    """Return the loaded configuration with the running FIXED_UNTIL_RESTART fields; log those that differ."""
     changed = [name for name in FIXED_UNTIL_RESTART if getattr(loaded, name) != getattr(running, name)]
     if changed:
         log.warning("configuration.restart_required", fields=", ".join(changed))
--- a/fordstair/program/coordinator_program.py
+++ b/fordstair/program/coordinator_program.py
@@ -1,4 +1,4 @@
-"""One coordinator: its parts wired together, run until SIGTERM or the console's drain."""
+"""Composition root of one coordinator: wires its components and runs them until it has drained."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import trio
 
-from fordstair.blocked_signals import unblock
+from fordstair.blocked_signals import unblock_signals
 from fordstair.configuration.errors import ConfigError
 from fordstair.configuration.platform import Config
 from fordstair.core.coordinator import Coordinator
@@ -22,7 +22,7 @@
 from fordstair.net.engine_list_watch import EngineListWatch
 from fordstair.net.engines.pool import ConnectionPool
 from fordstair.net.engines.rest import RestTransport
-from fordstair.program.configuration_reload import keep_fixed_fields, load_or_log
+from fordstair.program.configuration_reload import keep_fixed_fields, try_load_config
 from fordstair.program.engine_list_intake import EngineListIntake
 from fordstair.program.fronts import FrontAcceptor
 from fordstair.program.graceful_shutdown import GracefulShutdown
@@ -37,7 +37,7 @@
     build_odata_front,
 )
 from fordstair.program.resource_limits import divide_resources
-from fordstair.program.signal_arrivals import noting_arrivals
+from fordstair.program.signal_arrivals import recording_arrivals
 from fordstair.program.stop_request import StopRequest
 from fordstair.runtime.clock import AnchoredClock, WallClock
 from fordstair.runtime.counters import Counters
@@ -51,29 +51,29 @@
 
 log = EventLog("fordstair")
 
-CLOCK_CHECK_INTERVAL_MS = 1_000.0  # between checks for a step of the wall clock
+WALL_CLOCK_CHECK_INTERVAL_MS = 1_000.0
 
 
 class Program:
-    """The parts of one coordinator.
+    """The components of one coordinator.
 
     Args:
-        config: what the platform, or the operator's file, configures.
-        operator: the parts that an operator's file turns on; None on the platform.
-        load: reads the configuration anew; may raise ConfigError.
+        config: The configuration from the platform or from the operator's file.
+        operator: The components that an operator's file enables; None on the platform.
+        load_config: Reads the configuration again for a reload; may raise ConfigError.
 
     Raises:
-        ConfigError: where a part cannot be built as configured.
+        ConfigError: If a component cannot be built as configured.
     """
 
-    def __init__(self, config: Config, operator: Operator | None, load: Callable[[], Config]) -> None:
+    def __init__(self, config: Config, operator: Operator | None, load_config: Callable[[], Config]) -> None:
         self.config = config
         self.operator = operator
-        self.load = load
+        self.load_config = load_config
         self.deadlines = Deadlines()
         self.counters = Counters()
-        self.stop = StopRequest()
-        self.anchor = AnchoredClock()
+        self.stop_request = StopRequest()
+        self.anchored_clock = AnchoredClock()
         self.wall_clock = WallClock()
         self.identity = build_identity(operator, self.deadlines, self.counters)
         self.pool = self._build_pool()
@@ -103,8 +103,8 @@
         self.intake = EngineListIntake(
             self.coordinator, StartTimes(), operator.engines if operator is not None else {}
         )
-        self.command_channel = EngineListWatch(
-            config.channel, config.cursor, self.intake.from_discovery, self.deadlines, self.counters
+        self.engine_list_watch = EngineListWatch(
+            config.channel, config.cursor, self.intake.apply_from_discovery, self.deadlines, self.counters
         )
         self.acceptor = FrontAcceptor(config.name, self.poll_watch, self.deadlines, self.counters)
         self.shutdown = GracefulShutdown(self.coordinator, self.deadlines, self.acceptor, self.rpc)
@@ -116,16 +116,16 @@
         return self.acceptor.listeners
 
     async def run(self) -> None:
-        """Run until SIGTERM, or the console's drain, has been followed by the last answer.
+        """Run until SIGTERM, SIGINT or the console requests a stop and the drain is over.
 
-        Raise ConfigError where an address or path of the configuration cannot be used.
+        Raise ConfigError if an address or path of the configuration cannot be used.
         """
-        self.intake.from_configuration(self.config.known)
+        self.intake.apply_configured(self.config.known)
         async with trio.open_nursery() as nursery:
             scope = trio.CancelScope(shield=True)
             await nursery.start(self._run_services, scope)
             try:
-                await self._run_parts()
+                await self._run_components()
             finally:
                 scope.cancel()
         log.info("counters", **self.counters.snapshot())
@@ -133,9 +133,10 @@
     async def _run_services(
         self, scope: trio.CancelScope, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run what the last tasks to end need yet, until the scope is cancelled.
+        """Run the deadlines and the connection pool until the scope is cancelled.
 
-        They are bounded by deadlines, and connect to engines to give their queries up.
+        The last tasks of a drain still need both: deadlines bound them, and they connect to engines to
+        abandon their queries.
         """
         with scope:
             async with trio.open_nursery() as nursery:
@@ -143,15 +144,15 @@
                 await nursery.start(self.pool.run)
                 task_status.started()
 
-    async def _run_parts(self) -> None:
+    async def _run_components(self) -> None:
         async with trio.open_nursery() as nursery:
             await self._start_core(nursery)
-            await self._start_optional_parts(nursery)
+            await self._start_optional_components(nursery)
             accepting = self._start_fronts(nursery)
             if self.identity is not None:
                 self.identity.watch()
-            await self.stop.wait()
-            await self.shutdown.drain(accepting, self.stop.earliest_ms)
+            await self.stop_request.wait()
+            await self.shutdown.drain(accepting, self.stop_request.earliest_ms)
             if self.membership is not None:
                 await self.membership.leave()
             if self.budgets is not None:
@@ -159,16 +160,16 @@
             nursery.cancel_scope.cancel()
 
     def reload(self) -> None:
-        """Read the configuration anew, check all of it, and apply what can change; a bad one changes none."""
-        loaded = load_or_log(self.load)
+        """Read and validate the configuration, then apply what may change; an invalid one changes nothing."""
+        loaded = try_load_config(self.load_config)
         if loaded is None:
             self.counters.add("config.rejected")
             return
         self.config = keep_fixed_fields(self.config, loaded)
         self._apply_limits()
         for event in loaded.known:
-            self.command_channel.apply(event)
-        self.command_channel.reconnect(loaded.channel)
+            self.engine_list_watch.apply(event)
+        self.engine_list_watch.reconnect(loaded.channel)
         if self.admission_queue is not None and loaded.budgets is not None:
             shares = dict(loaded.budgets.shares)
             self.admission_queue.scheduler.set_quotas(shares, self.deadlines.clock())
@@ -184,7 +185,7 @@
         )
 
     def _tls_context(self, address: str) -> ssl.SSLContext | None:
-        """Return the context for an engine's address; engines that speak OData are secured."""
+        """Return the TLS context for an engine's address; only OData engines use TLS."""
         if self.identity is None:
             return None
         engines = self.coordinator.engines.values()
@@ -195,13 +196,13 @@
         fields = self.config.settings.load_report_fields
         transports: dict[str, Transport] = {"rest": RestTransport(self.pool, self.deadlines, fields)}
         if self.operator is not None:
-            from fordstair.net.engines.odata import ODataTransport  # not loaded on the platform
+            from fordstair.net.engines.odata import ODataTransport  # saves memory on the platform
 
             transports["odata"] = ODataTransport(self.pool, self.deadlines, fields)
         return transports
 
     def _apply_limits(self) -> None:
-        """Give each part its limits on sockets and memory, and the pool its times."""
+        """Apply the limits on sockets and memory, and the timeouts of the connection pool."""
         limits = divide_resources(
             self.config.sockets, self.config.memory_mb, with_odata=self.odata is not None
         )
@@ -218,9 +219,9 @@
         nursery.start_soon(self._watch_clock)
         nursery.start_soon(self.poll_watch.run)
         await nursery.start(self.coordinator.run)
-        nursery.start_soon(self.command_channel.run)
+        nursery.start_soon(self.engine_list_watch.run)
 
-    async def _start_optional_parts(self, nursery: trio.Nursery) -> None:
+    async def _start_optional_components(self, nursery: trio.Nursery) -> None:
         if self.membership is not None:
             await _start_listening(nursery, self.membership.run, "fleet.listen")
         if self.ledger is not None:
@@ -232,18 +233,18 @@
             await nursery.start(self.console_server.run, self.operator.console)
 
     def _start_persistence(self, nursery: trio.Nursery, ledger: ReplicationService) -> None:
-        # These load the ledger's modules, which the platform's program does not need.
+        # Imported here because they import the ledger's modules, which the platform does not need.
         from fordstair.program.cost_sharing import CostSharing
         from fordstair.program.engine_list_persistence import EngineListPersistence
 
         persistence = EngineListPersistence(
-            ledger, self.intake, self.coordinator, self.command_channel, self.anchor, self.deadlines
+            ledger, self.intake, self.coordinator, self.engine_list_watch, self.anchored_clock, self.deadlines
         )
         nursery.start_soon(persistence.run)
         nursery.start_soon(CostSharing(ledger, self.coordinator.gateway, self.deadlines).run)
 
     def _start_fronts(self, nursery: trio.Nursery) -> list[trio.CancelScope]:
-        """Accept clients at all fronts; return the scopes whose cancelling ends that."""
+        """Accept clients at all fronts; return the cancel scopes that stop accepting."""
         scopes = [trio.CancelScope()]
         nursery.start_soon(
             self.acceptor.run,
@@ -256,14 +257,14 @@
         if self.odata is not None and self.operator is not None and self.operator.listen is not None:
             scopes.append(trio.CancelScope())
             odata, listen = self.odata, self.operator.listen
-            serve = self._serve_odata(odata)
+            serve = self._make_odata_handler(odata)
             nursery.start_soon(
                 self.acceptor.run, "odata", listen, serve, lambda: odata.max_clients, scopes[1]
             )
         return scopes
 
-    def _serve_odata(self, odata: ODataFront) -> Serve:
-        """Return what serves an OData client, after its handshake where there are identities."""
+    def _make_odata_handler(self, odata: ODataFront) -> Serve:
+        """Return the handler of OData clients; with identities configured it does the TLS handshake first."""
 
         async def serve(stream: trio.SocketStream, accept_delay_ms: float) -> None:
             read_delay = ReadDelay(stream, self.poll_watch, self.deadlines, accept_delay_ms)
@@ -273,28 +274,28 @@
                     await odata.serve(timed, read_delay)
                 elif (secured := await self.identity.secure(timed)) is not None:
                     await odata.serve(secured, read_delay)
-            except Exception:  # one client's handshake must not end the others' connections
+            except Exception:  # one client's failure must not end the others' connections
                 log.exception("odata.internal_error")
 
         return serve
 
     async def _watch_clock(self) -> None:
-        """Log and count steps of the wall clock, for whoever reads times in logs."""
+        """Log and count steps of the wall clock, which make the times in logs jump."""
         while True:
-            await self.deadlines.sleep(CLOCK_CHECK_INTERVAL_MS)
+            await self.deadlines.sleep(WALL_CLOCK_CHECK_INTERVAL_MS)
             if step_ms := self.wall_clock.follow_step():
                 self.counters.add("clock.steps")
                 log.warning("clock.stepped", by_ms=round(step_ms))
 
     async def _handle_signals(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """SIGHUP reloads the configuration, SIGUSR1 logs the counters, SIGTERM and SIGINT drain."""
+        """Reload the configuration on SIGHUP, log the counters on SIGUSR1, and drain on SIGTERM or SIGINT."""
         handled = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
         earliest_arrival_ms = self.poll_watch.earliest_arrival_ms
         with (
             trio.open_signal_receiver(*handled) as signals,
-            noting_arrivals(handled, earliest_arrival_ms) as arrivals,
+            recording_arrivals(handled, earliest_arrival_ms) as arrivals,
         ):
-            unblock()
+            unblock_signals()
             task_status.started()
             async for number in signals:
                 arrival_ms = arrivals.take(number)
@@ -303,15 +304,15 @@
                 elif number == signal.SIGUSR1:
                     log.info("counters", **self.counters.snapshot())
                 else:
-                    self.stop.make(arrival_ms)
+                    self.stop_request.make(arrival_ms)
 
     def _stop_from_console(self) -> None:
-        """Drain, as a console asks; its command may have lain unread while the program was paused."""
-        self.stop.make(self.deadlines.clock() - self.poll_watch.max_delay_ms())
+        """Request the drain that a console commands; the command may have waited unread during a pause."""
+        self.stop_request.make(self.deadlines.clock() - self.poll_watch.max_delay_ms())
 
 
 async def _start_listening(nursery: trio.Nursery, run: Callable[..., Awaitable[None]], field: str) -> None:
-    """Start a part that other members reach; raise ConfigError, which names the field, where it cannot."""
+    """Start a component that listens for other members; raise ConfigError naming the field if that fails."""
     try:
         await nursery.start(run)
     except OSError as error:
--- a/fordstair/program/cost_sharing.py
+++ b/fordstair/program/cost_sharing.py
@@ -1,4 +1,4 @@
-"""Shares learned costs of queries with the other members, and restores them after a restart."""
+"""Shares learned query costs with the other members, and restores them after a restart."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class CostSharing:
-    """Passes learned costs between the decision module and the replicated ledger."""
+    """Copies learned costs between the decision module and the replicated ledger."""
 
     def __init__(self, ledger: ReplicationService, gateway: Gateway, deadlines: Deadlines) -> None:
         self._ledger = ledger
@@ -22,7 +22,7 @@
         self._deadlines = deadlines
 
     async def run(self) -> None:
-        """Restore what others, or an earlier run, have learned; then share what is learned here."""
+        """Restore costs learned by other members or an earlier run, then share own costs until cancelled."""
         await self._ledger.loaded.wait()
         self._ledger.register_sync.on_received = self._restore
         self._restore()
--- a/fordstair/program/engine_list_intake.py
+++ b/fordstair/program/engine_list_intake.py
@@ -1,4 +1,4 @@
-"""Updates of the engine list on their way to the coordinator: start times and protocols are filled in."""
+"""Fills in start times and protocols in engine list updates, and applies them to the coordinator."""
 
 from __future__ import annotations
 
@@ -16,42 +16,48 @@
 
 
 class EngineListIntake:
-    """Takes updates from discovery, from the configuration and from what was restored."""
+    """Applies engine list updates from discovery, the configuration and the restored list.
+
+    Args:
+        coordinator: Receives the updates.
+        start_times: Converts the engines' start times to the monotonic clock.
+        protocols: The protocols that the operator has set, by engine id.
+    """
 
     def __init__(
         self, coordinator: Coordinator, start_times: StartTimes, protocols: Mapping[str, str]
     ) -> None:
         self._coordinator = coordinator
         self._start_times = start_times
-        self._protocols = protocols  # by engine id, as the operator has set them
+        self._protocols = protocols
         self._updated = trio.Event()
 
-    def from_discovery(self, kind: ListUpdateKind, engines: list[Engine]) -> None:
-        """Apply an update as discovery sends it: what a delta says has changed has changed just now."""
+    def apply_from_discovery(self, kind: ListUpdateKind, engines: list[Engine]) -> None:
+        """Apply an update from discovery; the changes in a delta have just happened."""
         self.apply(kind, engines, announced=kind is ListUpdateKind.DELTA)
 
-    def from_configuration(self, events: Sequence[EngineListEvent]) -> None:
-        """Apply what the configuration knows at the start: a list, and what has changed in it since."""
+    def apply_configured(self, events: Sequence[EngineListEvent]) -> None:
+        """Apply the engine list in the configuration at the start: a full list and the changes to it."""
         listed = [engine for event in events for engine in event.engines]
         self._start_times.note_listed(_known_starts(listed))
         for event in events:
             self.apply(event.kind, event.engines)
 
     def apply(self, kind: ListUpdateKind, engines: list[Engine], *, announced: bool = False) -> None:
-        """Apply an update; ``announced`` says that its changes have just happened."""
+        """Apply an update; ``announced`` means that its changes have just happened."""
         if not announced:
             self._start_times.note_listed(_known_starts(engines))
         for engine in engines:
-            self._complete(engine, announced=announced)
+            self._fill_in(engine, announced=announced)
         self._coordinator.update_engines(kind, engines)
         self._updated.set()
 
     def next_update(self) -> trio.Event:
-        """Return an event that is set by the next update; for one waiter at a time."""
+        """Return an event that the next update sets; the next call replaces it, so one task may wait."""
         self._updated = trio.Event()
         return self._updated
 
-    def _complete(self, engine: Engine, *, announced: bool) -> None:
+    def _fill_in(self, engine: Engine, *, announced: bool) -> None:
         name = engine.entry.engine
         started_ms = self._start_times.moment(name, engine.started_at, announced=announced)
         engine.entry = replace(engine.entry, started_ms=started_ms)
--- a/fordstair/program/fronts.py
+++ b/fordstair/program/fronts.py
@@ -1,4 +1,4 @@
-"""Accepts the clients of a front until the program drains."""
+"""Accepts clients at the fronts' addresses until the program drains."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FrontAcceptor:
-    """Listens at the fronts' addresses."""
+    """Listens at the fronts' addresses and accepts their clients."""
 
     def __init__(
         self, program_name: str, poll_watch: PollWatch, deadlines: Deadlines, counters: Counters
@@ -31,8 +31,8 @@
 
     @property
     def open_connections(self) -> int:
-        """How many clients' connections are open, those included that no front has begun to serve yet."""
-        return sum(each.open_connections for each in self._client_listeners)
+        """The number of open client connections, including those that are not served yet."""
+        return sum(listener.open_connections for listener in self._client_listeners)
 
     async def run(
         self,
@@ -42,10 +42,10 @@
         max_clients: Callable[[], int],
         scope: trio.CancelScope,
     ) -> None:
-        """Accept clients until the scope is cancelled; their connections outlive it.
+        """Accept clients until the scope is cancelled; open connections are then served to their end.
 
-        ``max_clients`` returns for how many connections the front has room in all. Raise ConfigError, which
-        names the front, where its address cannot be listened at.
+        ``max_clients`` returns the limit on the front's open connections. Raise ConfigError naming the front
+        if its address cannot be bound.
         """
         async with trio.open_nursery() as clients:
             with scope:
--- a/fordstair/program/optional_parts.py
+++ b/fordstair/program/optional_parts.py
@@ -1,6 +1,6 @@
-"""Builds the parts that an operator's file turns on.
+"""Builds the components that an operator's file enables.
 
-Their modules are imported here, in the functions, so that the platform's program (64 MB) holds none of them.
+Their modules are imported inside the functions, so that they use no memory on the platform (64 MB).
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def build_identity(operator: Operator | None, deadlines: Deadlines, counters: Counters) -> Identity | None:
-    """Read the certificates of clients and engines; raise ConfigError where they cannot be used."""
+    """Read this program's certificate and the trusted ones; raise ConfigError if they cannot be used."""
     if operator is None or not operator.identity:
         return None
     from fordstair.net.identity import Identity, read_files
@@ -38,7 +38,7 @@
 
 
 def build_admission_queue(config: Config, coordinator: Coordinator) -> AdmissionQueue | None:
-    """Put a queue with the tenants' quotas before the decision module."""
+    """Put a queue that enforces the tenants' quotas before the decision module."""
     if config.budgets is None:
         return None
     from fordstair.core.admission_queue import AdmissionQueue
@@ -58,7 +58,7 @@
 
 
 def add_zone_watch(operator: Operator | None, coordinator: Coordinator) -> None:
-    """Eject zones that are out of reach as a whole."""
+    """Eject zones that are unreachable as a whole."""
     if operator is None or not operator.eject_silent_zones:
         return
     from fordstair.core.zone_watch import ZoneWatch
@@ -69,14 +69,16 @@
 def build_fleet_budgets(
     operator: Operator | None, config: Config, coordinator: Coordinator, queue: AdmissionQueue | None
 ) -> FleetBudgets | None:
-    """Take part in the fleet's budgets: what is released also needs this member's quota of them.
+    """Take part in the fleet's budgets: releasing a request also needs this member's quota of them.
 
-    Raise ConfigError where there is no admission queue to hold requests back.
+    Raise ConfigError if there is no admission queue to hold requests back.
     """
     if operator is None or operator.shares is None:
         return None
     if queue is None:
-        raise ConfigError("fleet.budgets: needs [budgets], in a file that tells of the whole site")
+        raise ConfigError(
+            "fleet.budgets: requires the [budgets] table, in a file that configures the whole site"
+        )
     from fordstair.budgets.transport import FleetBudgets
 
     fleet_config = replace(operator.shares, member=operator.shares.member or config.name)
@@ -89,7 +91,7 @@
 def _limit_queue(
     queue: AdmissionQueue, budgets: FleetBudgets, fleet_config: FleetBudgetsConfig, coordinator: Coordinator
 ) -> None:
-    """Connect the queue and the member: demand goes there, and quotas come back."""
+    """Report the queue's demand to the fleet's budgets, and limit the queue by the quotas they return."""
     from fordstair.budgets.local_limits import LocalLimits
 
     settings = coordinator.settings
@@ -108,7 +110,7 @@
 def build_odata_front(
     operator: Operator | None, coordinator: Coordinator, identity: Identity | None
 ) -> ODataFront | None:
-    """Serve OData clients beside those of the platform."""
+    """Serve OData clients in addition to the platform's clients."""
     if operator is None or operator.listen is None:
         return None
     from fordstair.net.clients.odata_front import ODataFront
@@ -119,7 +121,7 @@
 def build_ledger(
     operator: Operator | None, config: Config, odata: ODataFront | None, counters: Counters
 ) -> ReplicationService | None:
-    """Share the loads that have run with the other members, so that none of them runs one twice."""
+    """Share the record of loads with the other members, so that no load runs twice in the fleet."""
     if operator is None or operator.ledger is None or odata is None:
         return None
     from fordstair.net.clients.repeatable_requests import ReplicatedIdempotencyStore
@@ -154,7 +156,7 @@
     ledger: ReplicationService | None,
     budgets: FleetBudgets | None,
 ) -> ConsoleServer | None:
-    """Serve operators' consoles; ``drain`` ends the program."""
+    """Serve operators' consoles; ``drain`` requests the program's stop."""
     if operator is None or not operator.console:
         return None
     from fordstair.net.console_server import ConsoleServer
--- a/fordstair/program/signal_arrivals.py
+++ b/fordstair/program/signal_arrivals.py
@@ -1,4 +1,4 @@
-"""When signals may have been sent: a paused or busy program sees them late."""
+"""Estimates when signals were sent, because a paused or busy process handles them late."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 
 
 class SignalArrivals:
-    """For each signal that is not handled yet, the earliest moment at which it may have been sent, in ms."""
+    """The earliest moment at which each signal may have been sent (ms), until its task takes it."""
 
     def __init__(self, earliest_arrival_ms: Callable[[], float]) -> None:
         self._earliest_arrival_ms = earliest_arrival_ms
         self._arrivals: dict[int, float] = {}
 
-    def note(self, number: int) -> None:
-        """A signal's handler runs; of several that are handled as one, the first counts."""
+    def record(self, number: int) -> None:
+        """Record the arrival of a signal as its handler runs; of several handled as one, the first counts."""
         self._arrivals.setdefault(number, self._earliest_arrival_ms())
 
     def take(self, number: int) -> float:
-        """Return the earliest moment at which a signal that is handled now may have been sent."""
-        noted_ms = self._arrivals.pop(number, None)
-        return self._earliest_arrival_ms() if noted_ms is None else noted_ms
+        """Return and forget the earliest moment at which a signal may have been sent."""
+        recorded_ms = self._arrivals.pop(number, None)
+        return self._earliest_arrival_ms() if recorded_ms is None else recorded_ms
 
 
 @contextmanager
-def noting_arrivals(
+def recording_arrivals(
     numbers: Iterable[int], earliest_arrival_ms: Callable[[], float]
 ) -> Iterator[SignalArrivals]:
-    """Note the arrival of these signals right as their handlers run, and not once a task is told of them.
+    """Record the arrival of these signals as their handlers run, before any task receives them.
 
-    The handlers that are set now, trio's, are called after that. Their tasks run some turns of the event loop
-    later, when the loop has polled again and a pause before the signal can no longer be seen.
+    The installed handlers, which are trio's, are called afterwards. The receiving tasks run some turns of the
+    event loop later, when the loop has polled again and a pause before the signal can no longer be detected.
     """
     arrivals = SignalArrivals(earliest_arrival_ms)
     handlers = {number: signal.getsignal(number) for number in numbers}
     for number, handler in handlers.items():
         if callable(handler):
-            signal.signal(number, _noting(arrivals, handler))
+            signal.signal(number, _recording(arrivals, handler))
     try:
         yield arrivals
     finally:
@@ -49,9 +49,9 @@
             signal.signal(number, handler)
 
 
-def _noting(arrivals: SignalArrivals, handler: _Handler) -> _Handler:
-    def note_and_handle(number: int, frame: FrameType | None) -> None:
-        arrivals.note(number)
+def _recording(arrivals: SignalArrivals, handler: _Handler) -> _Handler:
+    def record_and_handle(number: int, frame: FrameType | None) -> None:
+        arrivals.record(number)
         handler(number, frame)
 
-    return note_and_handle
+    return record_and_handle
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -19,7 +19,7 @@
 from fordstair.net.clients.odata_statements import PendingReply
 from fordstair.net.clients.poll_watch import PollWatch
 from fordstair.program import Program as Coordination
-from fordstair.program.signal_arrivals import noting_arrivals
+from fordstair.program.signal_arrivals import recording_arrivals
 from fordstair.runtime.clock import monotonic_now
 from tests.scenes import ROWS, Endless, Gate, ends, hold_reads, play, until
 from tests.standins import (
@@ -219,7 +219,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch.run)
             await wait_all_tasks_blocked()
-            with noting_arrivals([signal.SIGUSR2], watch.earliest_arrival_ms) as arrivals:
+            with recording_arrivals([signal.SIGUSR2], watch.earliest_arrival_ms) as arrivals:
                 signal.raise_signal(signal.SIGUSR2)
                 assert arrivals.take(signal.SIGUSR2) == now[0]
                 now[0] += 1_200.0  # the process is stopped, and the signal comes before it goes on
@@ -292,7 +292,7 @@
             await client.ask("nonsense")
             await until(lambda: gate.held)
             number = await client.ask()
-            node.stop.make(node.deadlines.clock())
+            node.stop_request.make(node.deadlines.clock())
             await wait_all_tasks_blocked()
             ahead[0] = 800.0  # past the time for new clients: nothing is open, and the flush begins
             node.deadlines.sweep()
@@ -313,7 +313,7 @@
         async with engine() as one, inside(config(one.address)) as node:
             client = await connect(node)
             assert await client.answer(await client.ask()) == (None, ROWS)
-            node.stop.make(node.deadlines.clock())
+            node.stop_request.make(node.deadlines.clock())
             assert await ends(client, 5.0) == b""  # a whole end, no reset
             await client.ask()
             await client.stream.send_eof()
@@ -351,7 +351,7 @@
 
             node.deadlines.clock = clock
             gate = hold_accepts(monkeypatch, node.listeners[0])
-            node.stop.make(node.deadlines.clock())
+            node.stop_request.make(node.deadlines.clock())
             clients = [await connect(node) for _ in range(5)]
             numbers = [await client.ask(txn=f"{n:016x}") for n, client in enumerate(clients)]
             await until(lambda: gate.held)
@@ -376,7 +376,7 @@
             ahead = [0.0]
             node.deadlines.clock = lambda: monotonic_now() + ahead[0]
             where = node.listeners[0].socket.getsockname()
-            node.stop.make(node.deadlines.clock())
+            node.stop_request.make(node.deadlines.clock())
             await until(lambda: node.coordinator.draining)
             socks, fields = [], {"limit": "3000", "team": "karri-energy"}
             for number in range(1, 41):  # without a pause: nothing else runs meanwhile
