--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -120,7 +120,7 @@
 def stalled(members: int, seconds: float, kind: type[SwimMember], seed: int) -> dict[str, Any]:
     """A tenth run for 0.2 s and stand still for 1.5 s, over and over, with 5 % lost: who accuses whom?"""
     network = Network(seed, loss=0.05)
-    config = CONFIG if kind is SwimMember else replace(CONFIG, suspicion_max_factor=1.0)
+    config = CONFIG if kind is SwimMember else replace(CONFIG, max_suspicion_factor=1.0)
     addresses = swim_fleet(network, members, config, seed, kind=kind)
     if kind is PlainSwimMember:
         for node in network.nodes.values():
--- a/fordstair/logs/__init__.py
+++ b/fordstair/logs/__init__.py
@@ -1,1 +1,1 @@
-"""An appliance's log: events rendered by structlog, equal lines counted, and a writer that never blocks."""
+"""The log of an appliance: structlog rendering, suppression of repeated lines, and a non-blocking sink."""
--- a/fordstair/logs/handler.py
+++ b/fordstair/logs/handler.py
@@ -1,4 +1,4 @@
-"""Puts structlog behind the program's events: JSON or human lines, repeats counted, one bounded sink."""
+"""Renders the program's events with structlog, as JSON or human-readable lines, into one bounded sink."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from fordstair.runtime.clock import monotonic_now
 from fordstair.runtime.event_log import FIELDS
 
-MAX_KEY_CHARACTERS = 200  # of a field's value, by which two lines are told apart
+MAX_KEY_CHARACTERS = 200  # of a field's value; lines that differ only beyond it count as repeats
 MAX_LISTENER_CHARACTERS = 400
-EVENT_COLUMN = 24  # characters that a human line gives to the event's name
+EVENT_COLUMN_CHARACTERS = 24  # width of the event's name in human-readable lines
 _PLAIN_TYPES = (str, int, float, bool, type(None))
 Listener = Callable[[float, str, str], None]  # monotonic time in ms, level, text
 
 
 class _LineKey(NamedTuple):
-    """What makes two lines equal: where they come from, and what they say."""
+    """The key by which repeated lines are recognized."""
 
     logger: str
     level: int
@@ -36,7 +36,11 @@
 
 
 class EventLogHandler(logging.Handler):
-    """The one handler of an appliance's log."""
+    """The only handler of an appliance's log; it suppresses and counts repeated lines.
+
+    Attributes:
+        listeners: Called with each line that is written.
+    """
 
     def __init__(
         self, sink: Sink, line_format: str, window_ms: float, clock: Callable[[], float] = monotonic_now
@@ -49,18 +53,18 @@
         self.setFormatter(_formatter(line_format))
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Show the record, or count it."""
+        """Write the record, or count it as a repeat."""
         try:
             now = self.clock()
             for key, suppressed in self.repeats.take_ended(now):
                 self._report_repeats(key, suppressed, now)
             if record.exc_info or self.repeats.admit(_LineKey.of(record), now):
-                self._show(record, now)
-        except Exception:  # noqa: BLE001 - a line that cannot be shown must not end what logs it
+                self._write(record, now)
+        except Exception:  # noqa: BLE001 - a line that cannot be rendered must not break its caller
             self.sink.write(f"log.render_failed event={record.msg!r}")
 
     def close(self) -> None:
-        """Report what was counted, and let the sink empty."""
+        """Report the suppressed repeats and close the sink."""
         for key, suppressed in self.repeats.take_all():
             self._report_repeats(key, suppressed, self.clock())
         self.sink.close()
@@ -70,9 +74,9 @@
         line: _LineKey = key
         record = logging.LogRecord(line.logger, line.level, "", 0, line.event, (), None)
         setattr(record, FIELDS, {**dict(line.fields), "repeated": suppressed})
-        self._show(record, now)
+        self._write(record, now)
 
-    def _show(self, record: logging.LogRecord, now: float) -> None:
+    def _write(self, record: logging.LogRecord, now: float) -> None:
         self.sink.write(self.format(record))
         fields = (f"{name}={value}" for name, value in _fields(record).items())
         text = " ".join([record.getMessage(), *fields])
@@ -83,7 +87,7 @@
 def start_logging(
     line_format: str, level: str, repeat_window_s: float, max_waiting_lines: int, descriptor: int = 2
 ) -> EventLogHandler:
-    """Send all events through one handler; return it, to be closed at the end."""
+    """Replace the root logger's handlers with one EventLogHandler; return it for the caller to close."""
     handler = EventLogHandler(Sink(descriptor, max_waiting_lines), line_format, repeat_window_s * 1000.0)
     root = logging.getLogger()
     for earlier in list(root.handlers):
@@ -106,12 +110,14 @@
         after.append(structlog.processors.format_exc_info)
         after.append(structlog.processors.JSONRenderer(sort_keys=False))
     else:
-        after.append(structlog.dev.ConsoleRenderer(colors=False, pad_event_to=EVENT_COLUMN, sort_keys=False))
+        after.append(
+            structlog.dev.ConsoleRenderer(colors=False, pad_event_to=EVENT_COLUMN_CHARACTERS, sort_keys=False)
+        )
     return structlog.stdlib.ProcessorFormatter(foreign_pre_chain=before, processors=after, keep_exc_info=True)
 
 
 def _add_fields(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    """Take an event's own fields over from the record; what is no plain value is shown as text."""
+    """Copy the record's fields to the event; values of other than plain types are converted to text."""
     for name, value in _fields(event.get("_record")).items():
         free_name = name if name not in event else f"{name}_"
         event[free_name] = value if isinstance(value, _PLAIN_TYPES) else str(value)
--- a/fordstair/membership/indirect_probes.py
+++ b/fordstair/membership/indirect_probes.py
@@ -1,4 +1,4 @@
-"""Probes that this member makes as a relay for others (SWIM's ping-req, with Lifeguard's Nack); pure."""
+"""Probes that this member relays for others (SWIM's ping-req, with Lifeguard's Nack); pure."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from fordstair.membership.outbox import Outbox
 from fordstair.membership.timers import TimerHandle
 
-NACK_TIMEOUT_FACTOR = 0.8  # of a probe's timeout: the Nack must come before the requester's verdict
-MAX_RELAYED_PROBES = 256  # under way at a time
+# Share of a probe's timeout, so that the Nack arrives before the requester evaluates the probe.
+NACK_TIMEOUT_FACTOR = 0.8
+MAX_RELAYED_PROBES = 256
 
 
 @dataclass(slots=True)
 class _RelayedProbe:
-    """A probe for another member, which gets the answer at its address under its own sequence number."""
+    """A probe for another member, whose answer carries the requester's own sequence number."""
 
     requester_address: str
     requester_sequence: int
@@ -24,7 +25,7 @@
 
 
 class ProbeRelay:
-    """Pings targets for other members, and passes on their Acks; at the timeout it answers Nack."""
+    """Pings targets for other members and forwards their Acks; sends a Nack at the timeout."""
 
     def __init__(self, context: MemberContext, outbox: Outbox) -> None:
         self._context = context
@@ -35,7 +36,7 @@
         return len(self._relayed)
 
     def receive_request(self, request: IndirectPing, source: str) -> None:
-        """Ping the target for the requester at that address; refused beyond MAX_RELAYED_PROBES."""
+        """Ping the target for the requester at ``source``; reject beyond MAX_RELAYED_PROBES in flight."""
         if len(self._relayed) >= MAX_RELAYED_PROBES:
             self._context.counts["relays_rejected"] += 1
             return
@@ -46,10 +47,10 @@
         ping = Ping(config.cluster, config.name, (), sequence, request.target)
         self._outbox.put_with_gossip(request.address, request.target, ping)
         timeout_ms = NACK_TIMEOUT_FACTOR * config.probe_timeout_ms
-        relayed.timer = self._context.after(timeout_ms, partial(self._timed_out, sequence))
+        relayed.timer = self._context.call_later(timeout_ms, partial(self._timed_out, sequence))
 
     def receive_ack(self, ack: Ack) -> None:
-        """Pass on the answer to a relayed probe."""
+        """Forward the Ack of a relayed probe to its requester."""
         relayed = self._relayed.pop(ack.sequence, None)
         if relayed is None:
             return
@@ -63,12 +64,12 @@
         self._relayed.clear()
 
     def _timed_out(self, sequence: int) -> None:
-        """Answer Nack; an Ack that comes later is still passed on for one probe interval."""
+        """Send a Nack; an Ack that arrives within one more probe interval is still forwarded."""
         relayed = self._relayed[sequence]
         config = self._context.config
         answer = Nack(config.cluster, config.name, (), relayed.requester_sequence)
         self._outbox.put_with_gossip(relayed.requester_address, "", answer)
-        relayed.timer = self._context.after(config.probe_interval_ms, partial(self._drop, sequence))
+        relayed.timer = self._context.call_later(config.probe_interval_ms, partial(self._drop, sequence))
 
     def _drop(self, sequence: int) -> None:
         self._relayed.pop(sequence, None)
--- a/fordstair/membership/local_member.py
+++ b/fordstair/membership/local_member.py
@@ -1,4 +1,4 @@
-"""This member's own state, and its refutation of what others wrongly believe; pure."""
+"""This member's own state, and its refutation of wrong updates from others; pure."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
     @property
     def update(self) -> Update:
-        """Its state, as it tells others."""
+        """The update that other members receive on this member."""
         state = MemberState.LEFT if self.has_left else MemberState.ALIVE
         return Update(self._config.name, self._config.address, self.incarnation, state, self._config.name)
 
-    def refutes(self, update: Update) -> bool:
-        """Take another member's belief about this one; True if it is wrong, and now refuted.
+    def refute(self, update: Update) -> bool:
+        """Refute an update on this member if it is wrong, and return whether it was.
 
-        A wrong belief is refuted by an incarnation greater than the one it names.
+        A refutation is an incarnation greater than that of the wrong update.
         """
         accused = update.state != MemberState.ALIVE and update.incarnation >= self.incarnation
         if self.has_left or not (accused or update.incarnation > self.incarnation):
--- a/fordstair/membership/member_table.py
+++ b/fordstair/membership/member_table.py
@@ -1,4 +1,4 @@
-"""What this member believes of all others: the member table and its state transitions; pure."""
+"""The table of all other members, with their states as this member sees them; pure."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from fordstair.membership.suspicion import Suspicion
 from fordstair.membership.timers import TimerHandle
 
-CONFIRMATIONS_WANTED = 3  # Lifeguard's K: accusers beside the first that shorten a suspicion
-LINK_CUT_AFTER_ROUNDS = 3  # probe rounds in a row answered through relays alone
+EXPECTED_CONFIRMATIONS = 3  # Lifeguard's K: accusers after the first, each shortening a suspicion
+LINK_CUT_AFTER_ROUNDS = 3  # consecutive probe rounds answered through relays only
 
-_COUNTER_OF_STATE = {
+_COUNTER_BY_STATE = {
     MemberState.ALIVE: "alive",
     MemberState.SUSPECT: "suspicions",
     MemberState.DEAD: "deaths",
@@ -27,41 +27,49 @@
 
 @dataclass(slots=True)
 class Member:
-    """Another member, as this one believes it to be."""
+    """Another member, as this member sees it.
+
+    Attributes:
+        changed_ms: When the state last changed.
+        reporter: The member that reported the state.
+        suspicion: The suspicion in progress, if the state is SUSPECT.
+        timer: The timer of the suspicion's expiry, or of the removal from the table.
+        indirect_rounds: The number of consecutive probe rounds answered through relays only.
+    """
 
     name: str
     address: str
     incarnation: int
     state: MemberState
-    changed_ms: float  # when its state changed
-    reporter: str  # who reported the state
+    changed_ms: float
+    reporter: str
     suspicion: Suspicion | None = None
-    timer: TimerHandle | None = None  # of the suspicion's end, or of its removal from the table
-    indirect_rounds: int = 0  # probe rounds in a row that it answered through relays alone
+    timer: TimerHandle | None = None
+    indirect_rounds: int = 0
 
     @property
     def is_present(self) -> bool:
-        """Whether it is alive, or at most suspected."""
+        """Return whether the member is alive or suspected."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
     @property
     def link_cut(self) -> bool:
-        """Whether others reach it, but this member does not on the direct way."""
+        """Return whether other members reach it, but this member does not reach it directly."""
         return self.indirect_rounds >= LINK_CUT_AFTER_ROUNDS
 
     @property
     def update(self) -> Update:
-        """Its state, as others are told."""
+        """The update that other members receive on this member."""
         return Update(self.name, self.address, self.incarnation, self.state, self.reporter)
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member's state has changed; ``before`` is None for a member that was not known."""
+    """A change of a member's state; ``previous_state`` is None for a new member."""
 
     name: str
     address: str
-    before: MemberState | None
+    previous_state: MemberState | None
     state: MemberState
     incarnation: int
     reporter: str
@@ -69,11 +77,15 @@
 
 
 class MemberTable:
-    """All other members by name. A transition is spread to others and noted among the changes."""
+    """All other members by name; state transitions are disseminated and recorded as changes.
+
+    Attributes:
+        present_count: The number of present members, including this one.
+    """
 
     def __init__(self, context: MemberContext, local: LocalMember, dissemination: Dissemination) -> None:
         self.members: dict[str, Member] = {}
-        self.present_count = 1  # members present, this one included
+        self.present_count = 1
         self._context = context
         self._local = local
         self._dissemination = dissemination
@@ -82,12 +94,12 @@
 
     @property
     def present(self) -> list[Member]:
-        """The other members that are alive, or at most suspected."""
+        """The other members that are alive or suspected."""
         return [member for member in self.members.values() if member.is_present]
 
     @property
     def digest(self) -> int:
-        """A checksum of the present members with incarnations and states; equal tables have equal ones."""
+        """A checksum over the names, incarnations and states of the present members."""
         if self._digest is None:
             updates = [self._local.update, *(member.update for member in self.present)]
             lines = sorted(f"{update.name} {update.incarnation} {update.state:d}" for update in updates)
@@ -95,21 +107,21 @@
         return self._digest
 
     def is_alive(self, name: str) -> bool:
-        """Whether a member is known, and not even suspected."""
+        """Return whether a member is known and its state is ALIVE."""
         member = self.members.get(name)
         return member is not None and member.state == MemberState.ALIVE
 
     def take_changes(self) -> list[MemberChanged]:
-        """Take out what has changed since the last call."""
+        """Return and clear the changes since the last call."""
         changes = self._changes
         self._changes = []
         return changes
 
     def apply(self, update: Update) -> bool:
-        """Apply an update on another member if its precedence is greater; return whether it was unknown."""
+        """Apply an update on another member if it takes precedence; return whether the member was added."""
         member = self.members.get(update.name)
         if member is None:
-            return self._join(update)
+            return self._add_member(update)
         if update.precedence > member.update.precedence:
             self._transition(member, update)
         elif update.precedence == member.update.precedence:
@@ -117,26 +129,26 @@
         return False
 
     def suspect(self, member: Member) -> None:
-        """Accuse a member that did not answer, or confirm the suspicion that there is."""
+        """Suspect a member that did not answer, or confirm the suspicion in progress."""
         if member.suspicion is not None:
             self._confirm_suspicion(member, self._context.config.name)
         else:
-            self._transition(member, self._verdict(member, MemberState.SUSPECT))
+            self._transition(member, self._local_report(member, MemberState.SUSPECT))
 
-    def local_changed(self) -> None:
-        """Spread this member's own state, which has changed."""
+    def disseminate_local_state(self) -> None:
+        """Disseminate this member's own state after a change."""
         self._digest = None
         self._dissemination.add(self._local.update)
 
     def postpone_suspicions(self, by_ms: float) -> None:
-        """Give suspected members more time, for a pause in which no refutation could be heard."""
+        """Extend all suspicions by a pause in which no refutation could arrive."""
         for member in self.members.values():
             if member.suspicion is not None:
                 member.suspicion.postpone(by_ms)
-                self._await_expiry(member, member.suspicion)
+                self._schedule_expiry(member, member.suspicion)
 
-    def _join(self, update: Update) -> bool:
-        """Add a member that was not known; only an alive one is added."""
+    def _add_member(self, update: Update) -> bool:
+        """Add an unknown member if it is alive and the table has room; return whether it was added."""
         if update.state != MemberState.ALIVE:
             return False
         if len(self.members) >= self._context.config.max_members:
@@ -155,8 +167,8 @@
         return True
 
     def _transition(self, member: Member, update: Update, *, known: bool = True) -> None:
-        """Change a member's state to the update's."""
-        before = member.state if known else None
+        """Apply the state in the update to a member."""
+        previous_state = member.state if known else None
         was_present = known and member.is_present
         self._context.timers.cancel(member.timer)
         member.suspicion = None
@@ -170,20 +182,20 @@
         if member.state == MemberState.SUSPECT:
             self._start_suspicion(member)
         elif not member.is_present:
-            forget_after_ms = self._context.config.forget_after_ms
-            member.timer = self._context.after(forget_after_ms, partial(self._forget, member))
-        if before != member.state:
-            self._note_change(member, before)
+            dead_retention_ms = self._context.config.dead_retention_ms
+            member.timer = self._context.call_later(dead_retention_ms, partial(self._remove, member))
+        if previous_state != member.state:
+            self._record_change(member, previous_state)
         self._digest = None
         self._dissemination.add(update)
 
-    def _note_change(self, member: Member, before: MemberState | None) -> None:
-        self._context.counts[_COUNTER_OF_STATE[member.state]] += 1
+    def _record_change(self, member: Member, previous_state: MemberState | None) -> None:
+        self._context.counts[_COUNTER_BY_STATE[member.state]] += 1
         self._changes.append(
             MemberChanged(
                 member.name,
                 member.address,
-                before,
+                previous_state,
                 member.state,
                 member.incarnation,
                 member.reporter,
@@ -192,42 +204,44 @@
         )
 
     def _start_suspicion(self, member: Member) -> None:
-        """Begin Lifeguard's suspicion (section IV-B); its shortest timeout grows with log10 of the fleet."""
+        """Start Lifeguard's suspicion (section IV-B); its timeout grows with log10 of the fleet's size."""
         config = self._context.config
-        min_ms = config.suspicion_factor * max(1.0, math.log10(self.present_count)) * config.probe_interval_ms
-        max_ms = min_ms * config.suspicion_max_factor
-        possible_accusers = self.present_count - 2  # neither the first accuser nor the accused
-        confirmations_wanted = min(CONFIRMATIONS_WANTED, possible_accusers)
+        min_timeout_ms = (
+            config.suspicion_factor * max(1.0, math.log10(self.present_count)) * config.probe_interval_ms
+        )
+        max_timeout_ms = min_timeout_ms * config.max_suspicion_factor
+        possible_accusers = self.present_count - 2  # without the first accuser and the suspect
+        expected_confirmations = min(EXPECTED_CONFIRMATIONS, possible_accusers)
         member.suspicion = Suspicion(
-            self._context.now_ms, member.reporter, min_ms, max_ms, confirmations_wanted
+            self._context.now_ms, member.reporter, min_timeout_ms, max_timeout_ms, expected_confirmations
         )
-        self._await_expiry(member, member.suspicion)
+        self._schedule_expiry(member, member.suspicion)
 
     def _confirm_suspicion(self, member: Member, accuser: str) -> None:
-        """Count a further accuser, which shortens the suspicion and is spread."""
+        """Add an accuser; if that shortens the suspicion, disseminate the accusation."""
         if member.suspicion is not None and member.suspicion.confirm(accuser):
-            self._await_expiry(member, member.suspicion)
+            self._schedule_expiry(member, member.suspicion)
             self._dissemination.add(
                 Update(member.name, member.address, member.incarnation, MemberState.SUSPECT, accuser)
             )
 
-    def _await_expiry(self, member: Member, suspicion: Suspicion) -> None:
+    def _schedule_expiry(self, member: Member, suspicion: Suspicion) -> None:
         self._context.timers.cancel(member.timer)
         due_ms = max(self._context.now_ms, suspicion.expires_ms)
         member.timer = self._context.timers.add(due_ms, partial(self._suspicion_expired, member))
 
     def _suspicion_expired(self, member: Member) -> None:
-        """Declare a member dead, but not while this one is isolated: no refutation could have reached it."""
+        """Declare a member dead; postponed while this member is isolated and no refutation could reach it."""
         if self._context.local_health.isolated:
             delay_ms = self._context.config.probe_interval_ms
-            member.timer = self._context.after(delay_ms, partial(self._suspicion_expired, member))
+            member.timer = self._context.call_later(delay_ms, partial(self._suspicion_expired, member))
             return
-        self._transition(member, self._verdict(member, MemberState.DEAD))
+        self._transition(member, self._local_report(member, MemberState.DEAD))
 
-    def _verdict(self, member: Member, state: MemberState) -> Update:
+    def _local_report(self, member: Member, state: MemberState) -> Update:
         return Update(member.name, member.address, member.incarnation, state, self._context.config.name)
 
-    def _forget(self, member: Member) -> None:
-        """Drop a member that is dead or has left."""
+    def _remove(self, member: Member) -> None:
+        """Remove a member that is dead or has left."""
         del self.members[member.name]
         self._dissemination.discard(member.name)
--- a/fordstair/membership/messages.py
+++ b/fordstair/membership/messages.py
@@ -1,4 +1,4 @@
-"""The membership protocol's messages: MessagePack arrays, one to a datagram, every field checked; pure.
+"""Messages of the membership protocol: MessagePack arrays, one per datagram, every field validated; pure.
 
 Each message begins with the cluster's name, the sender's name and piggybacked updates on members (SWIM,
 section 4.1).
@@ -13,9 +13,9 @@
 
 from fordstair.runtime.message_codec import MessageCodec, WireMessage
 
-MAX_DATAGRAM_BYTES = 1_400  # under the usual path MTU: no datagram is fragmented
+MAX_DATAGRAM_BYTES = 1_400  # below the usual path MTU, to avoid fragmentation
 MAX_INCARNATION = 2**62
-MAX_UPDATES = 64  # in one message
+MAX_UPDATES_PER_MESSAGE = 64
 
 Cluster: TypeAlias = Annotated[str, Meta(min_length=1, max_length=64)]
 MemberName: TypeAlias = Annotated[str, Meta(pattern=r"\A[A-Za-z][A-Za-z0-9._-]{0,63}\Z")]
@@ -28,7 +28,7 @@
 
 
 class MemberState(IntEnum):
-    """A member's state as others believe it; of two at one incarnation the greater takes precedence."""
+    """A member's state as other members see it; at equal incarnations the greater one takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -37,12 +37,12 @@
 
     @property
     def label(self) -> str:
-        """Its name in logs and on the console."""
+        """The state's name in logs and on the console."""
         return self.name.lower()
 
 
 class Update(WireMessage, frozen=True):
-    """One member's state at one incarnation, as ``reporter`` believes it."""
+    """One member's state at one incarnation, as reported by ``reporter``."""
 
     name: MemberName
     address: Address
@@ -52,30 +52,30 @@
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """Of two updates the greater holds: incarnation first, then alive < suspect < dead < left."""
+        """The key by which updates are ordered: incarnation first, then alive < suspect < dead < left."""
         return self.incarnation, self.state
 
 
 class _Message(WireMessage, frozen=True):
     cluster: Cluster
     sender: MemberName
-    updates: Annotated[tuple[Update, ...], Meta(max_length=MAX_UPDATES)]
+    updates: Annotated[tuple[Update, ...], Meta(max_length=MAX_UPDATES_PER_MESSAGE)]
 
     @property
     def text_bytes(self) -> int:
-        """Bytes of the texts that follow the updates."""
+        """The size in bytes of the strings that follow the updates."""
         return 0
 
 
 class Ping(_Message, frozen=True, tag=1):
-    """Asks ``target`` for an Ack of the same sequence number; another member that reads it stays silent."""
+    """Asks ``target`` for an Ack with the same sequence number; any other recipient ignores it."""
 
     sequence: SequenceNumber
     target: MemberName
 
     @property
     def text_bytes(self) -> int:
-        """Bytes of the target's name."""
+        """The size in bytes of the target's name."""
         return len(self.target)
 
 
@@ -86,7 +86,7 @@
 
 
 class IndirectPing(_Message, frozen=True, tag=3):
-    """Asks the reader to ping the target, and to answer Ack or Nack (SWIM's ping-req)."""
+    """Asks the recipient to ping the target and to answer with Ack or Nack (SWIM's ping-req)."""
 
     sequence: SequenceNumber
     target: MemberName
@@ -94,26 +94,26 @@
 
     @property
     def text_bytes(self) -> int:
-        """Bytes of the target's name and address."""
+        """The size in bytes of the target's name and address."""
         return len(self.target) + len(self.address)
 
 
 class Nack(_Message, frozen=True, tag=4):
-    """The relay works, but the target has not answered it in time (Lifeguard, section IV-A)."""
+    """Answers an IndirectPing whose target has not answered the relay in time (Lifeguard, section IV-A)."""
 
     sequence: SequenceNumber
 
 
 class PushPull(_Message, frozen=True, tag=5):
-    """Opens a push-pull with a digest of the sender's table; a reader whose own differs sends its table."""
+    """Initiates a push-pull: a recipient whose table has another digest sends its table."""
 
     digest: Digest
 
 
 class TablePart(_Message, frozen=True, tag=6):
-    """A part of the sender's member table, as updates."""
+    """A part of the sender's member table; with ``reply_requested`` the recipient returns its own table."""
 
-    reply_requested: bool  # the reader sends its own table in return
+    reply_requested: bool
 
 
 Message: TypeAlias = Ping | Ack | IndirectPing | Nack | PushPull | TablePart
@@ -126,5 +126,5 @@
 
 
 def encoded_bytes(update: Update) -> int:
-    """Return how many bytes of a datagram an update takes."""
+    """Return the encoded size of an update."""
     return len(_update_codec.encode(update))
--- a/fordstair/membership/outbox.py
+++ b/fordstair/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Datagrams to send, each with the updates that fit on it; pure."""
+"""The queue of datagrams to send, with piggybacked updates; pure."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from fordstair.membership.member_table import MemberTable
 from fordstair.membership.messages import MAX_DATAGRAM_BYTES, MemberState, Message, Update, encode
 
-ENVELOPE_BYTES = 64  # of a message beside its texts and its updates, at most
+MAX_ENVELOPE_BYTES = 64  # of a message without its strings and its updates
 
 
 class Datagram(NamedTuple):
-    """An encoded message for an address, host:port."""
+    """An encoded message and its destination address (host:port)."""
 
     address: str
     payload: bytes
 
 
 class Outbox:
-    """Collects what one member sends until its driver takes it."""
+    """Collects the datagrams of one member until its driver takes and sends them."""
 
     def __init__(self, context: MemberContext, table: MemberTable, dissemination: Dissemination) -> None:
         self._context = context
@@ -33,33 +33,33 @@
         self._datagrams: list[Datagram] = []
 
     def take(self) -> list[Datagram]:
-        """Take out the datagrams to send."""
+        """Return and clear the datagrams to send."""
         datagrams = self._datagrams
         self._datagrams = []
         return datagrams
 
     def put(self, address: str, message: Message) -> None:
-        """Send a message as it is."""
+        """Queue a message without piggybacked updates."""
         payload = encode(message)
         self._context.counts["sent"] += 1
         self._context.counts["sent_bytes"] += len(payload)
         self._datagrams.append(Datagram(address, payload))
 
     def put_with_gossip(self, address: str, recipient: str, message: Message) -> None:
-        """Send a message with queued updates; ``recipient`` is a member's name, or empty where not known.
+        """Queue a message with piggybacked updates; ``recipient`` is a member's name, or empty if unknown.
 
-        A recipient that is suspected or considered dead is notified of that first: it can refute at once
-        (Lifeguard's buddy system, section IV-C).
+        A recipient that is suspect or dead in the table gets that update first, so that it can refute it
+        at once (Lifeguard's buddy system, section IV-C).
         """
-        first: Iterable[Update] = ()
+        required: Iterable[Update] = ()
         member = self._table.members.get(recipient)
         if member is not None and member.state in (MemberState.SUSPECT, MemberState.DEAD):
-            first = (member.update,)
+            required = (member.update,)
         space_bytes = update_space_bytes(self._context.config) - len(recipient) - message.text_bytes
-        updates = self._dissemination.select(self._table.present_count, space_bytes, first)
+        updates = self._dissemination.select(self._table.present_count, space_bytes, required)
         self.put(address, replace(message, updates=updates))
 
 
 def update_space_bytes(config: MembershipConfig) -> int:
-    """Return how many bytes of a datagram are left for updates."""
-    return MAX_DATAGRAM_BYTES - ENVELOPE_BYTES - len(config.cluster) - len(config.name)
+    """Return the space for updates in one datagram, in bytes."""
+    return MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES - len(config.cluster) - len(config.name)
--- a/fordstair/membership/suspicion.py
+++ b/fordstair/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""How long a suspicion lasts: Lifeguard's dynamic timeout (section IV-B); pure."""
+"""The dynamic timeout of a suspicion (Lifeguard, section IV-B); pure."""
 
 from __future__ import annotations
 
@@ -6,42 +6,47 @@
 
 
 class Suspicion:
-    """The suspicion of one member, which becomes a death at ``expires_ms`` unless it is refuted before.
+    """The suspicion of one member, which is declared dead at ``expires_ms`` unless it refutes before.
 
-    Its timeout shrinks from the longest to the shortest as independent members confirm it: with C of K wanted
-    confirmations it is max - (max - min) log(C + 1) / log(K + 1). All times are in milliseconds.
+    The timeout shrinks from the longest to the shortest as independent members confirm the suspicion. With C
+    of K expected confirmations it is max - (max - min) log(C + 1) / log(K + 1). All times are in ms.
     """
 
     def __init__(
-        self, started_ms: float, accuser: str, min_ms: float, max_ms: float, confirmations_wanted: int
+        self,
+        started_ms: float,
+        accuser: str,
+        min_timeout_ms: float,
+        max_timeout_ms: float,
+        expected_confirmations: int,
     ) -> None:
         self.accusers = {accuser}
         self._started_ms = started_ms
-        self._min_ms = min_ms
-        self._max_ms = max(min_ms, max_ms)
-        self._confirmations_wanted = confirmations_wanted
+        self._min_timeout_ms = min_timeout_ms
+        self._max_timeout_ms = max(min_timeout_ms, max_timeout_ms)
+        self._expected_confirmations = expected_confirmations
 
     def confirm(self, accuser: str) -> bool:
-        """Count an accusation; True where it is a new one that still shortens the timeout."""
-        if accuser in self.accusers or self.confirmations >= self._confirmations_wanted:
+        """Add an accuser; return True if it is new and shortens the timeout."""
+        if accuser in self.accusers or self.confirmations >= self._expected_confirmations:
             return False
         self.accusers.add(accuser)
         return True
 
     def postpone(self, by_ms: float) -> None:
-        """Let it begin later, for time in which this member could not have heard a refutation."""
+        """Postpone the expiry by a time in which this member could not receive a refutation."""
         self._started_ms += by_ms
 
     @property
     def confirmations(self) -> int:
-        """Accusers beside the first."""
+        """The number of accusers after the first."""
         return len(self.accusers) - 1
 
     @property
     def expires_ms(self) -> float:
-        """When the suspected member counts as dead, unless it refutes before."""
-        if self._confirmations_wanted < 1:
-            return self._started_ms + self._min_ms
-        shrunk = math.log(self.confirmations + 1) / math.log(self._confirmations_wanted + 1)
-        timeout_ms = self._max_ms - (self._max_ms - self._min_ms) * shrunk
-        return self._started_ms + max(self._min_ms, timeout_ms)
+        """When the suspicion expires (ms)."""
+        if self._expected_confirmations < 1:
+            return self._started_ms + self._min_timeout_ms
+        shrunk = math.log(self.confirmations + 1) / math.log(self._expected_confirmations + 1)
+        timeout_ms = self._max_timeout_ms - (self._max_timeout_ms - self._min_timeout_ms) * shrunk
+        return self._started_ms + max(self._min_timeout_ms, timeout_ms)
--- a/fordstair/membership/swim.py
+++ b/fordstair/membership/swim.py
@@ -1,12 +1,12 @@
-"""One member of a fleet: SWIM with Lifeguard, as a state machine without clock or socket.
+"""One member of a fleet: SWIM with Lifeguard, as a state machine without a clock or socket.
 
 Das, Gupta, Motivala, "SWIM" (DSN 2002), sections 3.1 and 4.1 to 4.3; Dadgar, Phillips, Currey, "Lifeguard"
-(DSN 2018), section IV. The driver hands in what happens with its time in milliseconds (``start``,
-``receive``, ``tick``, ``leave``), carries out what ``outgoing`` and ``changes`` return, and comes back at
-``next_due``.
+(DSN 2018), section IV. The driver passes events with the current time in milliseconds (``start``,
+``receive``, ``tick``, ``leave``), sends the datagrams of ``outgoing``, reports ``changes``, and calls
+``tick`` at ``next_due``.
 
-Beyond the papers: time in which this member did not run counts against nobody (``_handle_stall``), an
-isolated member accuses nobody (``LocalHealth``), and dead members and seeds are tried from time to time
+Additions to the papers: a pause of this member does not count against other members (``_handle_stall``), an
+isolated member suspects nobody (``LocalHealth``), and dead members and seeds are contacted periodically
 (``PushPullSync``).
 """
 
@@ -40,11 +40,11 @@
 from fordstair.membership.push_pull import PushPullSync
 from fordstair.runtime.message_codec import MalformedMessageError
 
-MAX_LEAVE_NOTICES = 32  # members told of a leave at once; the rest hear of it from them
+MAX_LEAVE_NOTICES = 32  # members notified of a leave; the others learn of it by gossip
 
 
 class SwimMember:
-    """One member. It is not thread-safe, and its calls must come in order of time."""
+    """The state machine of one member; not thread-safe, and calls must be in order of time."""
 
     def __init__(self, config: MembershipConfig, incarnation: int, seed: int) -> None:
         self.config = config
@@ -59,12 +59,12 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """What was counted: probes, suspicions, refutations, deaths and the rest."""
+        """The counters: probes, suspicions, refutations, deaths and others."""
         return self.context.counts
 
     @property
     def local_health(self) -> LocalHealth:
-        """How healthy this member judges itself."""
+        """This member's estimate of its own health."""
         return self.context.local_health
 
     @property
@@ -74,11 +74,11 @@
 
     @property
     def next_due(self) -> float | None:
-        """When ``tick`` is wanted next (ms); None before the start and after a leave."""
+        """When to call ``tick`` next (ms); None before the start and after a leave."""
         return self.context.timers.next_due_ms
 
     def start(self, now_ms: float) -> None:
-        """Join the fleet through the seeds, and begin to probe within one interval."""
+        """Join the fleet through the seeds, and start probing within one interval."""
         self.context.now_ms = now_ms
         self.dissemination.add(self.local.update)
         self.push_pull.join()
@@ -86,7 +86,7 @@
         self.push_pull.start()
 
     def preload(self, now_ms: float, updates: Iterable[Update]) -> None:
-        """Take members as known before the start; nothing is spread and no change is reported."""
+        """Add known members before the start, without disseminating or reporting them."""
         self.context.now_ms = now_ms
         for update in updates:
             self.apply(update)
@@ -94,7 +94,7 @@
         self.table.take_changes()
 
     def receive(self, now_ms: float, datagram: bytes, source: str) -> None:
-        """Take a datagram in from an address; a malformed or foreign one is counted and dropped."""
+        """Handle a datagram from an address; a malformed or foreign one is counted and dropped."""
         self.context.now_ms = now_ms
         if self.local.has_left:
             return
@@ -106,14 +106,14 @@
         if message.cluster != self.config.cluster:
             self.counts["foreign"] += 1
             return
-        if message.sender == self.config.name:  # an echo, or a second member of this name
+        if message.sender == self.config.name:  # an echo, or another member with the same name
             self.counts["own_name"] += 1
             return
         self.counts["received"] += 1
-        self.failure_detector.heard_from(message.sender)
+        self.failure_detector.message_received(message.sender)
         for update in message.updates:
             self.apply(update)
-        self._dispatch(message, source)
+        self._handle_message(message, source)
 
     def tick(self, now_ms: float) -> None:
         """Run the timers that are due."""
@@ -125,7 +125,7 @@
             action()
 
     def leave(self, now_ms: float) -> None:
-        """Tell others that this member leaves; afterwards nothing is sent or taken in."""
+        """Notify other members that this one leaves; from then on, ignore datagrams and run no timers."""
         self.context.now_ms = now_ms
         self.local.has_left = True
         present = self.table.present
@@ -137,31 +137,31 @@
         self.context.timers.clear()
 
     def outgoing(self) -> list[Datagram]:
-        """Take out the datagrams to send."""
+        """Return and clear the datagrams to send."""
         return self.outbox.take()
 
     def changes(self) -> list[MemberChanged]:
-        """Take out what has changed since the last call."""
+        """Return and clear the changes since the last call."""
         return self.table.take_changes()
 
     def apply(self, update: Update) -> None:
-        """Take one update in, on this member or another."""
+        """Apply one update, on this member or another."""
         if update.name == self.config.name:
             self._apply_to_self(update)
         elif self.table.apply(update):
             self.failure_detector.member_joined(update.name)
 
     def _apply_to_self(self, update: Update) -> None:
-        """Refute what is wrong, with a greater incarnation (SWIM, section 4.2)."""
+        """Refute a wrong update on this member with a greater incarnation (SWIM, section 4.2)."""
         if update.address != self.config.address and update.state == MemberState.ALIVE:
             self.counts["name_taken"] += 1
-        if self.local.refutes(update):
+        if self.local.refute(update):
             self.counts["refutations"] += 1
             if update.state == MemberState.SUSPECT:
                 self.local_health.add(1)
-            self.table.local_changed()
+            self.table.disseminate_local_state()
 
-    def _dispatch(self, message: Message, source: str) -> None:
+    def _handle_message(self, message: Message, source: str) -> None:
         match message:
             case Ping():
                 self._answer_ping(message, source)
@@ -183,7 +183,7 @@
             self.outbox.put_with_gossip(source, ping.sender, ack)
 
     def _handle_stall(self, late_ms: float) -> None:
-        """This member did not run for a while: nobody could have answered it or refuted anything to it."""
+        """Compensate for a pause of this member, in which no answer or refutation could reach it."""
         self.counts["stalls"] += 1
         self.local_health.add(1)
         self.failure_detector.stop()
--- a/fordstair/membership/timers.py
+++ b/fordstair/membership/timers.py
@@ -1,4 +1,4 @@
-"""Timers without a clock of their own: whoever drives them hands in the time."""
+"""Timers without a clock; the driver passes the current time."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from sortedcontainers import SortedDict
 
-TimerHandle: TypeAlias = tuple[float, int]  # due time (ms) and a number that keeps the order of setting
+TimerHandle: TypeAlias = tuple[float, int]  # due time (ms), and a number that keeps equal times in order
 Action: TypeAlias = Callable[[], None]
 
 
 class Timers:
-    """Actions in the order of the times (ms) at which they are due."""
+    """Actions ordered by due time (ms)."""
 
     def __init__(self) -> None:
         self._due: SortedDict[TimerHandle, Action] = SortedDict()
@@ -23,18 +23,18 @@
 
     @property
     def next_due_ms(self) -> float | None:
-        """The time of the first timer; None where there is none."""
+        """The due time of the first timer; None without timers."""
         return self._due.peekitem(0)[0][0] if self._due else None
 
     def add(self, due_ms: float, action: Action) -> TimerHandle:
-        """Set a timer; the handle cancels it."""
+        """Set a timer; return the handle that cancels it."""
         self._number += 1
         handle = (due_ms, self._number)
         self._due[handle] = action
         return handle
 
     def cancel(self, handle: TimerHandle | None) -> None:
-        """Cancel a timer; None, and one that has fired, are no errors."""
+        """Cancel a timer; do nothing for None or a timer that has fired."""
         if handle is not None:
             self._due.pop(handle, None)
 
@@ -43,7 +43,7 @@
         self._due.clear()
 
     def pop_due(self, now_ms: float) -> Action | None:
-        """Take out the first timer that is due; None where none is."""
+        """Remove the first timer that is due and return its action; None if none is due."""
         due_ms = self.next_due_ms
         if due_ms is None or due_ms > now_ms:
             return None
--- a/fordstair/membership/transport.py
+++ b/fordstair/membership/transport.py
@@ -1,4 +1,4 @@
-"""One member on a UDP socket: the state machine driven by trio, with its log lines and counters."""
+"""Runs one member's state machine on a UDP socket with trio; logs the changes and keeps the counters."""
 
 from __future__ import annotations
 
@@ -17,16 +17,21 @@
 
 log = EventLog(__name__)
 
-LEAVE_NOTICES = 2  # a datagram may be lost
-LEAVE_INTERVAL_MS = 50.0  # between them
-IDLE_WAIT_MS = 60_000.0  # with no timer set
+LEAVE_NOTICE_COUNT = 2  # a datagram may be lost
+LEAVE_NOTICE_INTERVAL_MS = 50.0
+IDLE_WAIT_MS = 60_000.0  # while no timer is set
 
 
 class Membership:
-    """The fleet as this coordinator sees it; ``listeners`` are called with each change."""
+    """The fleet's membership as this coordinator sees it.
+
+    Attributes:
+        swim: The state machine; None until the socket is open.
+        listeners: Called with each change of another member's state.
+    """
 
     def __init__(self, config: MembershipConfig, bind: tuple[str, int], seed: int) -> None:
-        self.swim: SwimMember | None = None  # once the socket is open
+        self.swim: SwimMember | None = None
         self.listeners: list[Callable[[MemberChanged], None]] = []
         self._config = config
         self._bind = bind
@@ -36,39 +41,39 @@
 
     @property
     def counts(self) -> Mapping[str, int]:
-        """What was counted: probes, suspicions, refutations, deaths and the rest."""
+        """The counters: probes, suspicions, refutations, deaths and others."""
         return self.swim.counts if self.swim is not None else {}
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Take part until cancelled; raise OSError where the address cannot be bound."""
+        """Take part in the membership until cancelled; raise OSError if the address cannot be bound."""
         async with open_udp_endpoint(self._bind, MAX_DATAGRAM_BYTES) as endpoint:
             self._endpoint = endpoint
             swim = self._create_member(endpoint)
             self.swim = swim
             swim.start(monotonic_now())
-            await self._carry_out(swim, endpoint)
+            await self._send_and_report(swim, endpoint)
             task_status.started()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._receive, swim, endpoint)
                 nursery.start_soon(self._tick, swim, endpoint)
 
     async def leave(self) -> None:
-        """Tell the others that this member leaves."""
+        """Notify other members that this one leaves; do nothing before the start or after a leave."""
         swim = self.swim
         if swim is None or self._endpoint is None or swim.local.has_left:
             return
         log.info("fleet.leave_started", member=self._config.name)
-        for notice in range(LEAVE_NOTICES):
+        for notice in range(LEAVE_NOTICE_COUNT):
             if notice:
-                await trio.sleep(LEAVE_INTERVAL_MS / 1000.0)
+                await trio.sleep(LEAVE_NOTICE_INTERVAL_MS / 1000.0)
             swim.leave(monotonic_now())
-            await self._carry_out(swim, self._endpoint)
+            await self._send_and_report(swim, self._endpoint)
 
     def _create_member(self, endpoint: UdpEndpoint) -> SwimMember:
         bound = endpoint.bound
         address = self._config.address or address_text(bound)
-        # Unix time is greater than the incarnation of an earlier process, which is not stored. If the clock
-        # was stepped back, others' updates on the earlier process are refuted with a greater incarnation.
+        # The incarnation of an earlier process is not stored, but Unix time is greater. If the clock was
+        # stepped back, others' updates on the earlier process are refuted with a greater incarnation.
         incarnation = int(unix_now().value)
         swim = SwimMember(replace(self._config, address=address), incarnation, self._seed)
         endpoint.counts = swim.counts
@@ -89,9 +94,9 @@
             datagram, source = await endpoint.receive()
             try:
                 swim.receive(monotonic_now(), datagram, source)
-            except Exception:  # no peer's message may end this member
-                self._count_internal_error(swim)
-            await self._carry_out(swim, endpoint)
+            except Exception:  # no message of a peer may end this member
+                self._record_internal_error(swim)
+            await self._send_and_report(swim, endpoint)
 
     async def _tick(self, swim: SwimMember, endpoint: UdpEndpoint) -> None:
         while True:
@@ -104,28 +109,28 @@
                 continue
             try:
                 swim.tick(monotonic_now())
-            except Exception:  # a timer's fault may not end this member
-                self._count_internal_error(swim)
-            await self._carry_out(swim, endpoint)
+            except Exception:  # no fault of a timer may end this member
+                self._record_internal_error(swim)
+            await self._send_and_report(swim, endpoint)
 
-    def _count_internal_error(self, swim: SwimMember) -> None:
+    def _record_internal_error(self, swim: SwimMember) -> None:
         swim.counts["internal_errors"] += 1
         log.exception("fleet.internal_error", member=self._config.name)
 
-    async def _carry_out(self, swim: SwimMember, endpoint: UdpEndpoint) -> None:
-        """Send what there is to send, and report what has changed."""
+    async def _send_and_report(self, swim: SwimMember, endpoint: UdpEndpoint) -> None:
+        """Send the outgoing datagrams, and report the changes."""
         await endpoint.send(swim.outgoing())
         for change in swim.changes():
-            self._report(change)
+            self._report_change(change)
         self._wake.set()
 
-    def _report(self, change: MemberChanged) -> None:
+    def _report_change(self, change: MemberChanged) -> None:
         write = log.warning if change.state == MemberState.DEAD else log.info
         write(
             "fleet.member_changed",
             name=change.name,
             state=change.state.label,
-            before=change.before.label if change.before is not None else "unknown",
+            before=change.previous_state.label if change.previous_state is not None else "unknown",
             incarnation=change.incarnation,
             by=change.reporter,
             address=change.address,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -229,7 +229,7 @@
 
 
 def test_dead_members_are_forgotten_and_no_table_keeps_them() -> None:
-    network, addresses = fleet(4, told=replace(CONFIG, forget_after_ms=30_000.0))
+    network, addresses = fleet(4, told=replace(CONFIG, dead_retention_ms=30_000.0))
     network.run(5_000.0)
     network.kill(addresses[3])
     network.run(90_000.0)
