--- a/fordstair/program/fronts.py
+++ b/fordstair/program/fronts.py
@@ -55,7 +55,9 @@
                 log.info("listening", name=self._program_name, front=front, host=host, port=port)
                 async with trio.open_nursery() as accepting:
                     for listener in listeners:
-                        accepting.start_soon(self._client_listener(listener, serve, max_clients).run, clients)
+                        accepting.start_soon(
+                            self._add_client_listener(listener, serve, max_clients).run, clients
+                        )
 
     async def _open(self, front: str, host: str, port: int) -> list[trio.SocketListener]:
         try:
@@ -63,7 +65,7 @@
         except OSError as error:
             raise ConfigError(f"{front}: {host}:{port}: {error}") from None
 
-    def _client_listener(
+    def _add_client_listener(
         self, opened: trio.SocketListener, serve: Serve, max_clients: Callable[[], int]
     ) -> ClientListener:
         listener = ClientListener(
--- a/fordstair/program/optional_parts.py
+++ b/fordstair/program/optional_parts.py
@@ -135,7 +135,7 @@
 
 
 def build_membership(operator: Operator | None, config: Config, counters: Counters) -> Membership | None:
-    """Join the fleet's membership."""
+    """Take part in the fleet's membership."""
     if operator is None or operator.fleet is None:
         return None
     from fordstair.membership.transport import Membership
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership state machine in virtual time and under arbitrary news, and its messages."""
+"""Tests the membership state machine in virtual time and under arbitrary updates, and its messages."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from fordstair.runtime.message_codec import MalformedMessageError
 
 CONFIG = MembershipConfig("gardens", "x", "x:1")
-FIXED = settings(
+DETERMINISTIC = settings(
     max_examples=60,
     deadline=None,
     derandomize=True,
@@ -39,22 +39,22 @@
 
 
 def fleet(
-    count: int, seed: int = 1, *, loss: float = 0.0, told: MembershipConfig = CONFIG
+    count: int, seed: int = 1, *, loss: float = 0.0, config: MembershipConfig = CONFIG
 ) -> tuple[Network, list[str]]:
     network = Network(seed, loss=loss)
-    return network, swim_fleet(network, count, told, seed)
+    return network, swim_fleet(network, count, config, seed)
 
 
 def deaths(network: Network, since: float = 0.0) -> list[tuple[str, str]]:
     return [
-        (seen.observer, seen.change.name)
-        for seen in network.observations
-        if seen.change.state == MemberState.DEAD and seen.at >= since
+        (observation.observer, observation.change.name)
+        for observation in network.observations
+        if observation.change.state == MemberState.DEAD and observation.at >= since
     ]
 
 
-def agree(network: Network) -> bool:
-    """Whether all running members hold all running members for alive, at the same incarnations."""
+def members_agree(network: Network) -> bool:
+    """Return whether exactly the running members are alive to each of them, at equal incarnations."""
     swims = {name: node for name, node in network.nodes.items() if isinstance(node, SwimMember)}
     own = {name.split(":")[0]: node.local.incarnation for name, node in swims.items()}
     return all(
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.1])
-def test_five_members_hold_no_healthy_one_for_dead_in_an_hour(loss: float) -> None:
+def test_no_healthy_member_of_five_is_declared_dead_in_an_hour(loss: float) -> None:
     network, _ = fleet(5, loss=loss)
     network.run(3_600_000.0)
     assert not deaths(network)
@@ -78,16 +78,16 @@
 
 
 @pytest.mark.parametrize("loss", [0.3, 0.5])
-def test_heavy_loss_may_cost_a_member_its_name_but_never_for_good(loss: float) -> None:
+def test_all_members_agree_again_after_heavy_loss(loss: float) -> None:
     network, _ = fleet(5, loss=loss)
     network.run(600_000.0)
     network.loss = 0.0
     network.run(network.now + 60_000.0)
-    assert agree(network)
+    assert members_agree(network)
 
 
 @pytest.mark.parametrize("count", [2, 5, 30])
-def test_a_killed_member_is_dead_for_all_and_nobody_else_is(count: int) -> None:
+def test_all_others_declare_a_killed_member_dead_and_no_other_member(count: int) -> None:
     network, addresses = fleet(count)
     network.run(20_000.0)
     network.kill(addresses[-1])
@@ -96,80 +96,82 @@
 
 
 @pytest.mark.parametrize(("pause_ms", "dies"), [(2_000.0, False), (10_000.0, False), (60_000.0, True)])
-def test_a_paused_member_dies_only_after_its_suspicion_and_refutes_on_return(
+def test_a_paused_member_is_declared_dead_only_after_its_suspicion_and_refutes_afterwards(
     pause_ms: float, dies: bool
 ) -> None:
-    network, addresses = fleet(5, told=replace(CONFIG, suspicion_factor=15.0))
+    network, addresses = fleet(5, config=replace(CONFIG, suspicion_factor=15.0))
     network.run(20_000.0)
     network.pause(addresses[2], pause_ms)
     network.run(network.now + pause_ms + 1.0)
     dead = deaths(network)
     assert {name for _, name in dead} == ({addresses[2][:-2]} if dies else set())
-    back = network.now
-    network.run(back + 25_000.0)
-    assert agree(network)
-    assert not deaths(network, back)  # what it had missed made it accuse nobody
+    resumed_ms = network.now
+    network.run(resumed_ms + 25_000.0)
+    assert members_agree(network)
+    assert not deaths(network, resumed_ms)  # a pause must not make the paused member suspect others
     paused = network.nodes[addresses[2]]
     assert paused.counts["stalls"] >= 1
     assert paused.counts["refutations"] >= 1 or pause_ms < 5_000.0
 
 
-def test_a_member_that_one_other_does_not_hear_stays_alive_and_the_cut_is_found() -> None:
+def test_a_member_behind_a_cut_link_stays_alive_and_the_cut_is_detected() -> None:
     network, addresses = fleet(5)
     a, b = addresses[:2]
     network.run(10_000.0)
     network.cut = lambda source, to: (source, to) == (a, b)
     network.run(network.now + 120_000.0)
     assert not deaths(network)
-    for one, other in ((a, b), (b, a)):  # a ping or its answer is lost, whoever asks
+    for one, other in ((a, b), (b, a)):  # the cut loses either the ping or its ack
         node = network.nodes[one]
         assert isinstance(node, SwimMember)
         assert node.members[other[:-2]].link_cut
         assert sum(each.link_cut for each in node.members.values()) == 1
     network.cut = lambda source, to: False
     network.run(network.now + 30_000.0)
-    assert agree(network)
+    assert members_agree(network)
     node = network.nodes[a]
     assert isinstance(node, SwimMember)
     assert not node.members[b[:-2]].link_cut
 
 
-def test_a_member_that_nobody_hears_is_found_and_accuses_nobody() -> None:
+def test_a_member_that_cannot_send_detects_its_isolation_and_the_others_declare_only_it_dead() -> None:
     network, addresses = fleet(5)
-    mute = addresses[3]
+    isolated_address = addresses[3]
     network.run(10_000.0)
-    network.cut = lambda source, to: source == mute
+    network.cut = lambda source, to: source == isolated_address
     network.run(network.now + 15_000.0)
-    node = network.nodes[mute]
+    node = network.nodes[isolated_address]
     assert isinstance(node, SwimMember)
     assert node.local_health.isolated
     network.run(network.now + 30_000.0)
-    assert {name for observer, name in deaths(network) if observer != mute} == {mute[:-2]}
+    assert {name for observer, name in deaths(network) if observer != isolated_address} == {
+        isolated_address[:-2]
+    }
     network.cut = lambda source, to: False
     network.run(network.now + 40_000.0)
-    assert agree(network)
+    assert members_agree(network)
     assert not node.local_health.isolated
 
 
-def test_the_halves_of_a_partition_become_one_view_again() -> None:
+def test_the_halves_of_a_partition_agree_again_after_it_heals() -> None:
     network, addresses = fleet(6)
     network.run(10_000.0)
-    one = set(addresses[:3])
-    network.cut = lambda source, to: (source in one) != (to in one)
+    half = set(addresses[:3])
+    network.cut = lambda source, to: (source in half) != (to in half)
     network.run(network.now + 60_000.0)
     for address in addresses:
         node = network.nodes[address]
         assert isinstance(node, SwimMember)
-        other = {each[:-2] for each in addresses if (each in one) != (address in one)}
+        other = {each[:-2] for each in addresses if (each in half) != (address in half)}
         assert {each.name for each in node.members.values() if each.state == MemberState.DEAD} == other
     network.cut = lambda source, to: False
     network.run(
         network.now + 2.0 * CONFIG.push_pull_interval_ms + 5.0 * CONFIG.probe_interval_ms
-    )  # the bound that is told
-    assert agree(network)
+    )  # the documented bound
+    assert members_agree(network)
 
 
-def test_a_member_killed_and_started_anew_is_known_by_its_greater_incarnation() -> None:
+def test_a_restarted_member_is_recognized_by_its_greater_incarnation() -> None:
     network, addresses = fleet(5)
     network.run(10_000.0)
     network.kill(addresses[4])
@@ -181,9 +183,9 @@
         ),
     )
     network.run(30_000.0)
-    assert agree(network)
+    assert members_agree(network)
     assert not deaths(network)
-    # one that starts with a smaller one, its clock being behind, is told and goes above
+    # Restarted with a smaller incarnation, as its clock is behind, it learns of the greater and exceeds it.
     network.kill(addresses[4])
     network.run(network.now + 60_000.0)
     network.add(
@@ -196,11 +198,11 @@
     node = network.nodes[addresses[4]]
     assert isinstance(node, SwimMember)
     assert node.local.incarnation > 500
-    assert agree(network)
+    assert members_agree(network)
 
 
-def test_a_slow_member_accuses_no_healthy_one_to_death() -> None:
-    """Its own processor is short: it runs for a moment, and then stands still for longer."""
+def test_a_slow_member_causes_no_death_of_a_healthy_one() -> None:
+    """The member is short of CPU time: it repeatedly runs for a moment and then stalls for longer."""
     network, addresses = fleet(10)
     network.run(10_000.0)
 
@@ -215,7 +217,7 @@
     assert network.nodes[addresses[0]].counts["stalls"] > 50
 
 
-def test_a_leave_is_told_and_is_no_death() -> None:
+def test_a_leave_is_disseminated_and_is_not_a_death() -> None:
     network, addresses = fleet(6)
     network.run(10_000.0)
     node = network.nodes[addresses[1]]
@@ -228,8 +230,8 @@
     assert all(view[addresses[1][:-2]] == MemberState.LEFT for view in member_states(network).values())
 
 
-def test_dead_members_are_forgotten_and_no_table_keeps_them() -> None:
-    network, addresses = fleet(4, told=replace(CONFIG, dead_retention_ms=30_000.0))
+def test_dead_members_are_removed_with_their_updates_and_timers() -> None:
+    network, addresses = fleet(4, config=replace(CONFIG, dead_retention_ms=30_000.0))
     network.run(5_000.0)
     network.kill(addresses[3])
     network.run(90_000.0)
@@ -241,47 +243,49 @@
         assert not len(node.probe_relay)
 
 
-names = st.sampled_from(["a", "b", "c", "me"])
-hosts = st.sampled_from(["h:1", "h:2"])
+member_names = st.sampled_from(["a", "b", "c", "me"])
+member_addresses = st.sampled_from(["h:1", "h:2"])
 
 
 def updates_on(name: str) -> st.SearchStrategy[Update]:
-    return st.builds(Update, st.just(name), hosts, st.integers(0, 6), st.sampled_from(MemberState), names)
+    return st.builds(
+        Update, st.just(name), member_addresses, st.integers(0, 6), st.sampled_from(MemberState), member_names
+    )
 
 
-updates = names.flatmap(updates_on)
+any_updates = member_names.flatmap(updates_on)
 
 
-def believed(news: list[Update]) -> dict[str, tuple[int, int]]:
+def table_after(updates: list[Update]) -> dict[str, tuple[int, int]]:
     swim = SwimMember(MembershipConfig("c", "me", "h:9"), 1, 1)
     swim.preload(1.0, [Update(name, "h:1", 0, MemberState.ALIVE, name) for name in ("a", "b", "c")])
-    least = swim.local.incarnation
-    for number, update in enumerate(news):
+    previous_incarnation = swim.local.incarnation
+    for number, update in enumerate(updates):
         swim.receive(2.0 + number * 1e-6, encode(TablePart("c", "z", (update,), False)), "h:5")
-        assert swim.local.incarnation >= least  # incarnations only grow
-        least = swim.local.incarnation
+        assert swim.local.incarnation >= previous_incarnation  # incarnations never decrease
+        previous_incarnation = swim.local.incarnation
     return {name: (member.incarnation, member.state) for name, member in swim.members.items()}
 
 
-@FIXED
-@given(st.lists(updates, max_size=25), st.randoms(use_true_random=False))
-def test_views_depend_on_the_news_alone_and_not_on_its_order(news: list[Update], random: object) -> None:
-    shuffled = list(news)
+@DETERMINISTIC
+@given(st.lists(any_updates, max_size=25), st.randoms(use_true_random=False))
+def test_tables_depend_on_the_updates_and_not_on_their_order(updates: list[Update], random: object) -> None:
+    shuffled = list(updates)
     random.shuffle(shuffled)  # type: ignore[attr-defined]
-    assert believed(news) == believed(shuffled) == believed(news + news)
+    assert table_after(updates) == table_after(shuffled) == table_after(updates + updates)
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.lists(updates_on("me"), max_size=25))
-def test_a_member_is_never_less_than_alive_in_its_own_word(news: list[Update]) -> None:
+def test_a_member_refutes_every_update_that_does_not_call_it_alive(updates: list[Update]) -> None:
     swim = SwimMember(MembershipConfig("c", "me", "h:9"), 1, 1)
-    for update in news:
+    for update in updates:
         swim.receive(2.0, encode(TablePart("c", "z", (update,), False)), "h:5")
         assert swim.local.update.precedence > update.precedence or update.state == MemberState.ALIVE
         assert swim.local.update.state == MemberState.ALIVE
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.integers(1, 5), st.integers(0, 3), st.floats(0.0, 9_000.0))
 def test_a_refuted_suspicion_never_ends_in_death(incarnation: int, accusers: int, refuted_at: float) -> None:
     swim = SwimMember(MembershipConfig("c", "me", "h:9"), 1, 1)
@@ -294,12 +298,12 @@
             ),
             "h:5",
         )
-    least = swim.members["a"].suspicion
-    assert least is not None
-    assert least.expires_ms >= 1.0 + 5_000.0
-    swim.tick(min(refuted_at, least.expires_ms - 1.0))
+    suspicion = swim.members["a"].suspicion
+    assert suspicion is not None
+    assert suspicion.expires_ms >= 1.0 + 5_000.0
+    swim.tick(min(refuted_at, suspicion.expires_ms - 1.0))
     swim.receive(
-        min(refuted_at, least.expires_ms - 1.0),
+        min(refuted_at, suspicion.expires_ms - 1.0),
         encode(TablePart("c", "a", (Update("a", "h:1", incarnation + 1, MemberState.ALIVE, "a"),), False)),
         "h:5",
     )
@@ -310,7 +314,7 @@
     assert swim.members["a"].state == MemberState.ALIVE
 
 
-@FIXED
+@DETERMINISTIC
 @given(
     st.integers(0, 2**31),
     st.sampled_from([0.0, 0.1, 0.25]),
@@ -351,34 +355,34 @@
         network.cut = lambda source, to: False
     network.loss = 0.0
     network.run(network.now + 90_000.0)
-    assert agree(network)
+    assert members_agree(network)
     for node in network.nodes.values():
         assert isinstance(node, SwimMember)
         check_invariants(node)
 
 
 def test_a_suspicion_shrinks_as_members_confirm_it() -> None:
-    doubt = Suspicion(1_000.0, "a", 5_000.0, 30_000.0, 3)
-    ends = [doubt.expires_ms]
+    suspicion = Suspicion(1_000.0, "a", 5_000.0, 30_000.0, 3)
+    expiries = [suspicion.expires_ms]
     for accuser in ("a", "b", "c", "d", "e"):
-        doubt.confirm(accuser)
-        ends.append(doubt.expires_ms)
-    assert ends[0] == ends[1] == 31_000.0  # the first accuser again confirms nothing
-    assert ends[1] > ends[2] > ends[3] > ends[4] == ends[5] == 6_000.0
-    assert Suspicion(0.0, "a", 5_000.0, 30_000.0, 0).expires_ms == 5_000.0  # nobody is there to confirm
+        suspicion.confirm(accuser)
+        expiries.append(suspicion.expires_ms)
+    assert expiries[0] == expiries[1] == 31_000.0  # the first accuser cannot confirm its own accusation
+    assert expiries[1] > expiries[2] > expiries[3] > expiries[4] == expiries[5] == 6_000.0
+    assert Suspicion(0.0, "a", 5_000.0, 30_000.0, 0).expires_ms == 5_000.0  # no member could confirm it
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.binary(max_size=200))
-def test_noise_is_counted_and_dropped(noise: bytes) -> None:
+def test_random_bytes_are_counted_as_malformed_and_dropped(datagram: bytes) -> None:
     swim = SwimMember(CONFIG, 1, 1)
-    swim.receive(1.0, noise, "h:1")
+    swim.receive(1.0, datagram, "h:1")
     assert swim.counts["malformed"] == 1
     assert not swim.outgoing()
     assert not swim.members
 
 
-GOOD = Ping("gardens", "a", (Update("b", "h:1", 1, MemberState.ALIVE, "b"),), 7, "x")
+VALID_PING = Ping("gardens", "a", (Update("b", "h:1", 1, MemberState.ALIVE, "b"),), 7, "x")
 
 
 @pytest.mark.parametrize(
@@ -398,10 +402,10 @@
 def test_a_field_out_of_its_bounds_makes_a_message_malformed(message: Ping | Ack | TablePart) -> None:
     with pytest.raises(MalformedMessageError):
         decode(encode(message))
-    assert decode(encode(GOOD)) == GOOD
+    assert decode(encode(VALID_PING)) == VALID_PING
 
 
-def test_members_of_another_cluster_are_refused_and_a_full_table_takes_nobody() -> None:
+def test_members_of_another_cluster_are_dropped_and_a_full_table_adds_nobody() -> None:
     swim = SwimMember(replace(CONFIG, max_members=2), 1, 1)
     swim.receive(
         1.0, encode(TablePart("others", "a", (Update("a", "h:1", 1, MemberState.ALIVE, "a"),), True)), "h:1"
@@ -419,7 +423,7 @@
     assert swim.counts["members_rejected"] == 2
 
 
-def test_no_datagram_is_larger_than_is_read() -> None:
+def test_no_datagram_exceeds_the_size_that_is_read() -> None:
     network, addresses = fleet(60)
     node = network.nodes[addresses[0]]
     assert isinstance(node, SwimMember)
@@ -434,7 +438,7 @@
     assert max(sizes) <= MAX_DATAGRAM_BYTES
 
 
-def test_a_state_that_contradicts_itself_is_found() -> None:
+def test_an_inconsistent_state_violates_an_invariant() -> None:
     network, addresses = fleet(3)
     network.run(5_000.0)
     node = network.nodes[addresses[0]]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Draining: what is open is answered, and the process ends in time."""
+"""Tests the graceful shutdown: open requests are answered, and the process ends in time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from fordstair.net.clients.listener import ClientListener
 from fordstair.net.clients.odata_statements import PendingReply
 from fordstair.net.clients.poll_watch import PollWatch
-from fordstair.program import Program as Coordination
+from fordstair.program import Program as CoordinatorProgram
 from fordstair.program.signal_arrivals import recording_arrivals
 from fordstair.runtime.clock import monotonic_now
 from tests.scenes import ROWS, Endless, Gate, ends, hold_reads, play, until
@@ -36,12 +36,12 @@
 )
 
 
-def test_sigterm_answers_what_is_open_and_takes_more_for_a_while() -> None:
+def test_sigterm_answers_open_requests_and_accepts_new_ones_for_a_while() -> None:
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never) as stand_in, program(config(stand_in.address)) as node:
             client = await node.client()
             first = await client.ask(limit="60000")
-            while not one.posts:
+            while not stand_in.posts:
                 await trio.sleep(0.01)
             start = time.monotonic()
             async with trio.open_nursery() as nursery:
@@ -56,32 +56,34 @@
     play(scene)
 
 
-async def submit_endless(one: Coordination, nursery: trio.Nursery) -> PendingReply:
-    """Start a program's core with a request whose attempt never ends."""
-    nursery.start_soon(one.deadlines.run)
-    await nursery.start(one.coordinator.run)
+async def submit_unending(node: CoordinatorProgram, nursery: trio.Nursery) -> PendingReply:
+    """Start a program's core and submit a request whose attempt never ends."""
+    nursery.start_soon(node.deadlines.run)
+    await nursery.start(node.coordinator.run)
     reply = PendingReply()
-    one.coordinator.update_engines(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
-    one.transports["rest"] = Endless()
-    one.coordinator.submit(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
+    node.coordinator.update_engines(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
+    node.transports["rest"] = Endless()
+    node.coordinator.submit(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
     return reply
 
 
 @pytest.mark.parametrize(("longest_ms", "least_s", "most_s"), [(25_000, 2.9, 3.7), (1_200, 1.2, 1.9)])
-def test_a_drain_ends_before_the_platform_kills(longest_ms: int, least_s: float, most_s: float) -> None:
-    """SIGKILL comes after the longest deadline, at most 3 s, and 0.7 s more."""
-    told = config()
-    told["settings"] = SETTINGS | {
+def test_a_drain_ends_before_the_platform_sends_sigkill(
+    longest_ms: int, least_s: float, most_s: float
+) -> None:
+    """The platform sends SIGKILL 0.7 s after the longest client deadline, which counts as at most 3 s."""
+    document = config()
+    document["settings"] = SETTINGS | {
         "categories": [spec | {"giveUpMs": longest_ms} for spec in SETTINGS["categories"]]
     }
 
     async def scene() -> None:
-        one, clock = Coordination(parse(told), None, lambda: parse(told)), trio.current_time
-        one.deadlines.clock = lambda: clock() * 1_000.0
+        node, clock = CoordinatorProgram(parse(document), None, lambda: parse(document)), trio.current_time
+        node.deadlines.clock = lambda: clock() * 1_000.0
         async with trio.open_nursery() as nursery:
-            reply = await submit_endless(one, nursery)
+            reply = await submit_unending(node, nursery)
             start = clock()
-            await one.shutdown.drain([])
+            await node.shutdown.drain([])
             assert least_s < clock() - start < most_s
             assert reply.retry_after_ms is not None
             nursery.cancel_scope.cancel()
@@ -89,24 +91,24 @@
     trio.run(scene, clock=MockClock(autojump_threshold=0.0))
 
 
-def test_a_drain_that_begins_past_its_time_still_lets_answers_leave() -> None:
-    # Guards against a flush whose time was over before it began, after a pause: answers that never left.
+def test_a_drain_that_begins_after_its_deadline_still_flushes_answers() -> None:
+    # Guards against a flush with a deadline that a pause has already passed, so that no answer is written.
     async def scene() -> None:
-        told = config()
-        one, clock = Coordination(parse(told), None, lambda: parse(told)), trio.current_time
-        one.deadlines.clock = lambda: clock() * 1_000.0
+        document = config()
+        node, clock = CoordinatorProgram(parse(document), None, lambda: parse(document)), trio.current_time
+        node.deadlines.clock = lambda: clock() * 1_000.0
         async with trio.open_nursery() as nursery:
-            reply = await submit_endless(one, nursery)
+            reply = await submit_unending(node, nursery)
             await wait_all_tasks_blocked()
-            await one.shutdown.drain([], one.deadlines.clock() - 3_600.0)
+            await node.shutdown.drain([], node.deadlines.clock() - 3_600.0)
             assert reply.retry_after_ms is not None
-            assert not one.coordinator.live  # its task has ended, and what it answered could be written
+            assert not node.coordinator.live  # its task has ended, so its answer could be written
             nursery.cancel_scope.cancel()
 
     trio.run(scene, clock=MockClock(autojump_threshold=0.0))
 
 
-KILL_AFTER_S = 3.7  # SIGKILL at its earliest, from the moment in which SIGTERM is sent
+SIGKILL_AFTER_S = 3.7  # the earliest SIGKILL after SIGTERM was sent
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 0.3, 1.2, 2.6])
@@ -115,44 +117,44 @@
     [(signal.SIGTERM,), (signal.SIGINT,), (signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGTERM)],
     ids=["SIGTERM", "SIGINT", "series"],
 )
-def test_a_load_in_flight_is_answered_before_sigkill_though_sigterm_came_in_a_pause(
+def test_a_load_in_flight_is_answered_before_sigkill_if_sigterm_arrived_in_a_pause(
     signals: tuple[signal.Signals, ...], pause_s: float
 ) -> None:
-    # Guards against a drain that counts its time from when the signal was seen, not from when it was sent.
+    # Guards against a drain that counts its time from the handling of the signal, not from its sending.
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never) as stand_in, program(config(stand_in.address)) as node:
             client = await node.client()
             number = await client.ask("meter-load", limit="20000")
-            await until(lambda: one.posts)
+            await until(lambda: stand_in.posts)
             os.kill(node.process.pid, signal.SIGSTOP)
             start = time.monotonic()
             for each in signals:
                 os.kill(node.process.pid, each)
             await trio.sleep(pause_s)
             os.kill(node.process.pid, signal.SIGCONT)
-            with trio.fail_after(KILL_AFTER_S - (time.monotonic() - start)):
+            with trio.fail_after(SIGKILL_AFTER_S - (time.monotonic() - start)):
                 error, _ = await client.answer(number)
             assert error[0] == "Internal"
 
     play(scene)
 
 
-async def reads_and_hangs(
-    one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+async def never_answers(
+    stand_in: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
 ) -> Answered | None:
-    """Answer nothing, neither a POST nor the DELETE after it."""
+    """Answer neither a POST nor the DELETE after it."""
     await trio.sleep_forever()
     return None
 
 
 @pytest.mark.parametrize("end", [signal.SIGTERM, signal.SIGINT])
-def test_a_program_ends_though_an_engine_answers_nothing(end: signal.Signals) -> None:
-    # Guards against a bounded wait of the last tasks whose deadline nobody sweeps any more.
+def test_the_program_ends_if_an_engine_never_answers(end: signal.Signals) -> None:
+    # Guards against ending the sweep of deadlines before the last tasks, whose bounded waits then never end.
     async def scene() -> None:
-        async with engine(reads_and_hangs) as one, program(config(one.address)) as node:
+        async with engine(never_answers) as stand_in, program(config(stand_in.address)) as node:
             client = await node.client()
             number = await client.ask("meter-load", limit="20000")
-            await until(lambda: one.posts)
+            await until(lambda: stand_in.posts)
             node.process.send_signal(end)
             error, _ = await client.answer(number)
             assert error[0] == "Internal"
@@ -162,55 +164,56 @@
     play(scene)
 
 
-async def hangs_and_resets(
-    one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+async def closes_connection_on_delete(
+    stand_in: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
 ) -> Answered | None:
-    """Answer nothing, and end the connection of a DELETE."""
+    """Answer no request, and close the connection on a DELETE."""
     if method != "DELETE":
         await trio.sleep_forever()
     return None
 
 
-def test_a_query_is_given_up_on_new_connections_until_the_program_has_ended() -> None:
-    # Guards against a pool that ends before the last tasks, which connect to delete their queries.
+def test_a_query_is_deleted_over_new_connections_until_the_program_ends() -> None:
+    # Guards against a connection pool that ends before the last tasks, which connect to delete queries.
     async def scene() -> None:
-        async with engine(hangs_and_resets) as one, program(config(one.address)) as node:
+        async with engine(closes_connection_on_delete) as stand_in, program(config(stand_in.address)) as node:
             client = await node.client()
             number = await client.ask("meter-load", limit="20000")
-            await until(lambda: one.posts)
+            await until(lambda: stand_in.posts)
             node.process.send_signal(signal.SIGTERM)
             error, _ = await client.answer(number)
             assert error[0] == "Internal"
             with trio.fail_after(3.0):
                 assert await node.process.wait() == 0
             assert not any("Traceback" in line for line in node.log)
-            assert one.calls["DELETE"] > 10
+            assert stand_in.calls["DELETE"] > 10
 
     play(scene)
 
 
-def test_a_pause_that_begins_before_sigkill_and_lasts_over_it_costs_no_answer() -> None:
-    # Guards against answers given so shortly before SIGKILL that a pause of the program takes them along.
+def test_a_pause_that_spans_sigkill_loses_no_answer() -> None:
+    # Guards against answering so shortly before SIGKILL that a pause of the program loses the answers.
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never) as stand_in, program(config(stand_in.address)) as node:
             client = await node.client()
             number = await client.ask("meter-load", limit="20000")
-            await until(lambda: one.posts)
+            await until(lambda: stand_in.posts)
             start = time.monotonic()
             os.kill(node.process.pid, signal.SIGTERM)
-            await trio.sleep(KILL_AFTER_S - 0.4)
+            await trio.sleep(SIGKILL_AFTER_S - 0.4)
             os.kill(node.process.pid, signal.SIGSTOP)
-            with trio.fail_after(KILL_AFTER_S - (time.monotonic() - start)):
+            with trio.fail_after(SIGKILL_AFTER_S - (time.monotonic() - start)):
                 error, _ = await client.answer(number)
             assert error[0] == "Internal"
 
     play(scene)
 
 
-def test_a_signal_that_came_in_a_pause_is_dated_before_it_and_one_to_a_running_program_is_not(
+def test_a_signal_that_arrived_in_a_pause_is_dated_before_the_pause(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against dating a signal by the loop's turn that reports it, after which the pause is forgotten.
+    # Guards against dating a signal once its task runs: the event loop has polled again by then, so the
+    # pause before the signal can no longer be detected. A running program dates a signal when it handles it.
     now = [1_000.0]
     monkeypatch.setattr("fordstair.net.clients.poll_watch.monotonic_now", lambda: now[0])
 
@@ -222,7 +225,7 @@
             with recording_arrivals([signal.SIGUSR2], watch.earliest_arrival_ms) as arrivals:
                 signal.raise_signal(signal.SIGUSR2)
                 assert arrivals.take(signal.SIGUSR2) == now[0]
-                now[0] += 1_200.0  # the process is stopped, and the signal comes before it goes on
+                now[0] += 1_200.0  # the process is stopped, and the signal arrives before it continues
                 signal.raise_signal(signal.SIGUSR2)
                 for _ in range(3):
                     await trio.lowlevel.checkpoint()
@@ -236,19 +239,19 @@
         signal.signal(signal.SIGUSR2, before)
 
 
-BODY = b"SELECT a FROM sales_17.orders"
+STATEMENT = b"SELECT a FROM sales_17.orders"
 
 
 @pytest.mark.parametrize("taken", [False, True])
-def test_what_came_before_a_connection_is_shut_is_answered_and_not_sent_on(
+def test_a_request_received_before_its_connection_closes_is_answered_and_not_dispatched(
     monkeypatch: pytest.MonkeyPatch, taken: bool
 ) -> None:
-    """The program ends while a request lies unread, or is read and on its way to being taken."""
+    """The drain ends while a request is unread, or has been read but not been handled yet."""
     gate = hold_reads(monkeypatch, taken)
     gate.open.set()
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as stand_in, inside(config(stand_in.address)) as node:
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
             client = await connect(node)
             assert await client.answer(await client.ask()) == (None, ROWS)
@@ -266,7 +269,7 @@
             gate.open.set()
             error, _ = await client.answer(number)
             assert error[0] == "Overloaded"
-            assert len(one.posts) == 1
+            assert len(stand_in.posts) == 1
             assert await ends(client, 5.0) == b""
             await client.stream.send_eof()
             await until(lambda: not node.rpc.clients)
@@ -274,17 +277,17 @@
     play(scene)
 
 
-def test_what_comes_in_a_pause_at_the_end_of_a_drain_is_answered_after_it(
+def test_a_request_received_in_a_pause_at_the_end_of_a_drain_is_answered_afterwards(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a flush that a pause passes over, and a reset of what was written meanwhile.
+    # Guards against a flush that ends during a pause, so that requests sent meanwhile are reset.
     gate = hold_reads(monkeypatch, taken=False)
     gate.open.set()
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
-            ahead = [0.0]
-            node.deadlines.clock = lambda: monotonic_now() + ahead[0]
+        async with engine() as stand_in, inside(config(stand_in.address)) as node:
+            clock_offset_ms = [0.0]
+            node.deadlines.clock = lambda: monotonic_now() + clock_offset_ms[0]
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
             client = await connect(node)
             assert await client.answer(await client.ask()) == (None, ROWS)
@@ -294,10 +297,10 @@
             number = await client.ask()
             node.stop_request.make(node.deadlines.clock())
             await wait_all_tasks_blocked()
-            ahead[0] = 800.0  # past the time for new clients: nothing is open, and the flush begins
+            clock_offset_ms[0] = 800.0  # past the accept window: no request is open, and the flush begins
             node.deadlines.sweep()
             await until(lambda: node.rpc.closing)
-            ahead[0] = 1_800.0  # the program is paused
+            clock_offset_ms[0] = 1_800.0  # the program is paused
             node.deadlines.sweep()
             for _ in range(5):
                 await trio.lowlevel.checkpoint()
@@ -308,46 +311,46 @@
     play(scene)
 
 
-def test_a_resting_connection_is_shut_at_the_end_of_a_drain_and_what_crosses_that_is_not_sent_on() -> None:
+def test_an_idle_connection_closes_at_the_end_of_a_drain_and_later_requests_are_not_dispatched() -> None:
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as stand_in, inside(config(stand_in.address)) as node:
             client = await connect(node)
             assert await client.answer(await client.ask()) == (None, ROWS)
             node.stop_request.make(node.deadlines.clock())
-            assert await ends(client, 5.0) == b""  # a whole end, no reset
+            assert await ends(client, 5.0) == b""  # closed without a reset
             await client.ask()
             await client.stream.send_eof()
             await until(lambda: not node.rpc.clients)
-            assert len(one.posts) == 1
+            assert len(stand_in.posts) == 1
 
     play(scene)
 
 
 def hold_accepts(monkeypatch: pytest.MonkeyPatch, listener: trio.SocketListener) -> Gate:
-    """Clients of a listener are accepted once the gate is opened, but for one whose accept is under way."""
+    """Hold back a listener's accepts until the gate opens, except for an accept in progress."""
     gate, port = Gate(), listener.socket.getsockname()[1]
     run_turn = ClientListener._run_turn
 
-    async def held(one: ClientListener, clients: trio.Nursery) -> None:
-        if one._sock.getsockname()[1] == port:
+    async def held(client_listener: ClientListener, clients: trio.Nursery) -> None:
+        if client_listener._sock.getsockname()[1] == port:
             await gate()
-        await run_turn(one, clients)
+        await run_turn(client_listener, clients)
 
     monkeypatch.setattr(ClientListener, "_run_turn", held)
     return gate
 
 
-def test_who_waits_to_be_accepted_for_long_when_a_drain_ends_is_not_reset(
+def test_clients_that_wait_long_to_be_accepted_at_the_end_of_a_drain_are_not_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against closing the listener after a fixed time: a busy program has not accepted all by then.
+    # Guards against closing the listener after a fixed time, in which a busy program has not accepted all.
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
-            ahead, looks = [0.0], [0]
+        async with engine() as stand_in, inside(config(stand_in.address)) as node:
+            clock_offset_ms, clock_reads = [0.0], [0]
 
             def clock() -> float:
-                looks[0] += 1
-                return monotonic_now() + ahead[0]
+                clock_reads[0] += 1
+                return monotonic_now() + clock_offset_ms[0]
 
             node.deadlines.clock = clock
             gate = hold_accepts(monkeypatch, node.listeners[0])
@@ -355,11 +358,11 @@
             clients = [await connect(node) for _ in range(5)]
             numbers = [await client.ask(txn=f"{n:016x}") for n, client in enumerate(clients)]
             await until(lambda: gate.held)
-            for ms in (800.0, 1_400.0):  # the time for new clients, and half a second more
-                ahead[0] = ms
+            for ms in (800.0, 1_400.0):  # past the accept window, and half a second later
+                clock_offset_ms[0] = ms
                 node.deadlines.sweep()
-                seen = looks[0]
-                await until(lambda seen=seen: looks[0] > seen + 50)  # type: ignore[misc]
+                seen = clock_reads[0]
+                await until(lambda seen=seen: clock_reads[0] > seen + 50)  # type: ignore[misc]
             gate.open.set()
             for client, number in zip(clients, numbers, strict=True):
                 error, result = await client.answer(number)
@@ -368,24 +371,24 @@
     play(scene)
 
 
-def test_who_has_connected_when_a_drain_stops_accepting_is_answered() -> None:
-    """Connections and their requests lie in the backlog in the moment in which the listener is closed."""
+def test_clients_in_the_backlog_when_a_drain_stops_accepting_are_answered() -> None:
+    """Connections with requests are in the backlog at the moment when the listener is closed."""
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
-            ahead = [0.0]
-            node.deadlines.clock = lambda: monotonic_now() + ahead[0]
-            where = node.listeners[0].socket.getsockname()
+        async with engine() as stand_in, inside(config(stand_in.address)) as node:
+            clock_offset_ms = [0.0]
+            node.deadlines.clock = lambda: monotonic_now() + clock_offset_ms[0]
+            address = node.listeners[0].socket.getsockname()
             node.stop_request.make(node.deadlines.clock())
             await until(lambda: node.coordinator.draining)
-            socks, fields = [], {"limit": "3000", "team": "karri-energy"}
-            for number in range(1, 41):  # without a pause: nothing else runs meanwhile
-                sock = socket.create_connection(where)
-                sock.sendall(msgpack.packb([0, 1, "lookup", [fields | {"txn": f"{number:016x}"}, BODY]]))
-                socks.append(sock)
-            ahead[0] = 800.0
+            sockets, fields = [], {"limit": "3000", "team": "karri-energy"}
+            for number in range(1, 41):  # without a checkpoint, so that no other task runs
+                sock = socket.create_connection(address)
+                sock.sendall(msgpack.packb([0, 1, "lookup", [fields | {"txn": f"{number:016x}"}, STATEMENT]]))
+                sockets.append(sock)
+            clock_offset_ms[0] = 800.0
             node.deadlines.sweep()
-            for sock in socks:
+            for sock in sockets:
                 sock.setblocking(False)
                 stream = trio.SocketStream(trio.socket.from_stdlib_socket(sock))
                 error, result = await Client(stream).answer(1)
--- a/tests/wires/test_membership.py
+++ b/tests/wires/test_membership.py
@@ -1,4 +1,4 @@
-"""Datagrams among members: each message read and written again, and all that a fleet says in virtual time."""
+"""Tests the datagrams of the membership protocol against the messages recorded from a fleet."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 CONFIG = MembershipConfig("gardens", "x", "x:1")
 
 
-def messages() -> dict[str, str]:
-    """A fleet of eight for forty seconds, with losses, a death and a pause."""
+def sent_messages() -> dict[str, str]:
+    """Return the messages that a fleet of eight sends in 40 s, with packet loss, a death and a pause."""
     network = Network(11, loss=0.1)
-    said = Datagrams(network)
+    sent = Datagrams(network)
     addresses = swim_fleet(network, 8, replace(CONFIG, push_pull_interval_ms=3_000.0), 11)
     network.run(10_000.0)
     network.kill(addresses[3])
     network.pause(addresses[5], 4_000.0)
     network.run(40_000.0)
-    return said.messages()
+    return sent.messages()
 
 
 @pytest.mark.parametrize(("name", "datagram"), datagrams("membership").items())
-def test_a_message_is_read_and_written_again(name: str, datagram: bytes) -> None:
+def test_decoding_and_encoding_again_preserves_each_message(name: str, datagram: bytes) -> None:
     assert encode(decode(datagram)) == datagram
 
 
-def test_a_fleet_says_the_recorded_bytes() -> None:
-    assert messages() == recorded("membership")
+def test_a_fleet_sends_the_recorded_bytes() -> None:
+    assert sent_messages() == recorded("membership")
