--- a/fordstair/membership/member_table.py
+++ b/fordstair/membership/member_table.py
@@ -30,7 +30,7 @@
     """Another member, as this member sees it.
 
     Attributes:
-        changed_ms: When the state last changed.
+        changed_ms: When the state or the incarnation last changed.
         reporter: The member that reported the state.
         suspicion: The suspicion in progress, if the state is SUSPECT.
         timer: The timer of the suspicion's expiry, or of the removal from the table.
--- a/fordstair/program/engine_list_intake.py
+++ b/fordstair/program/engine_list_intake.py
@@ -53,7 +53,7 @@
         self._updated.set()
 
     def next_update(self) -> trio.Event:
-        """Return an event that the next update sets; the next call replaces it, so one task may wait."""
+        """Return an event that the next update sets; a new call replaces it: only one task may wait."""
         self._updated = trio.Event()
         return self._updated
 
--- a/fordstair/program/engine_list_persistence.py
+++ b/fordstair/program/engine_list_persistence.py
@@ -14,11 +14,11 @@
 
 log = EventLog("fordstair")
 
-MAX_STORE_INTERVAL_MS = 5_000.0  # also without an update, to store when discovery was last received
+MAX_STORE_INTERVAL_MS = 5_000.0  # also without an update, to store when discovery last answered
 
 
 class EngineListPersistence:
-    """Stores the engine list; applies the stored one until discovery is received, if none is configured."""
+    """Stores the engine list; applies the stored one until discovery answers, if none is configured."""
 
     def __init__(
         self,
--- a/fordstair/program/fronts.py
+++ b/fordstair/program/fronts.py
@@ -42,7 +42,7 @@
         max_clients: Callable[[], int],
         scope: trio.CancelScope,
     ) -> None:
-        """Accept clients until the scope is cancelled; open connections are then served to their end.
+        """Accept clients until the scope is cancelled; connections already accepted outlive it.
 
         ``max_clients`` returns the limit on the front's open connections. Raise ConfigError naming the front
         if its address cannot be bound.
