--- a/fordstair/simulator/__init__.py
+++ b/fordstair/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts the decision module on the operators' simulator: its wire format and its event loop."""
+"""Runs the decision module under the operators' simulator: its wire format and its event loop."""
--- a/fordstair/simulator/__main__.py
+++ b/fordstair/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the simulator's host: ``python -m fordstair.simulator``."""
+"""Runs the host of the simulator's instances: ``python -m fordstair.simulator``."""
 
 import sys
 
--- a/fordstair/simulator/event_decoder.py
+++ b/fordstair/simulator/event_decoder.py
@@ -1,4 +1,4 @@
-"""Reads the simulator's batches into the decision module's events."""
+"""Decodes the simulator's batches into the decision module's events."""
 
 from __future__ import annotations
 
@@ -50,10 +50,13 @@
 _ATTEMPT_NOTE = struct.Struct(">IBB4sHf")
 _STREAM_STARTED = struct.Struct(">IB4sHd")
 
-COST_KNOWN = 1  # flags of a request
+# Bits of a request's flags.
+COST_KNOWN = 1
 CLIENT_RETRY = 2
 WRITE = 4
-MEMORY_BITS = 12  # of an outcome's statistics; the bits above are work in ms
+
+# An attempt's statistics hold its memory, in units, in the low bits and its work, in ms, in the bits above.
+MEMORY_BITS = 12
 MEMORY_UNIT_MB = 4
 
 _LIST_UPDATE_KINDS = {kind.value: kind for kind in ListUpdateKind}
@@ -63,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceStarted:
-    """A coordinator starts: a gateway with these settings and this seed."""
+    """A coordinator instance has started, with these settings and this seed."""
 
     seed: int
     settings: Settings
@@ -71,41 +74,51 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceStopped:
-    """A coordinator is dead."""
+    """A coordinator instance has stopped."""
 
 
 InstanceEvent: TypeAlias = Event | InstanceStarted | InstanceStopped
 
 
 class _Record(NamedTuple):
-    """One record: its fields after the code, the batch's tail, and its place for an error's text."""
+    """One record of a batch.
+
+    Attributes:
+        fields: The record's bytes after its code.
+        tail: The tail of the batch.
+        location: The record's index and code, for error messages.
+    """
 
     fields: bytes
     tail: bytes
-    where: str
+    location: str
 
-    def slice(self, offset: int, size: int) -> bytes:
-        """Return a part of the tail."""
+    def tail_slice(self, offset: int, size: int) -> bytes:
+        """Return these bytes of the tail; raise WireError if they lie outside it."""
         if offset + size > len(self.tail):
             end = offset + size
-            raise WireError(f"{self.where}: bytes {offset}..{end} lie outside the tail of {len(self.tail)}")
+            raise WireError(
+                f"{self.location}: bytes {offset}..{end} are outside the tail of {len(self.tail)} bytes"
+            )
         return self.tail[offset : offset + size]
 
-    def value(self, values: Mapping[int, Value], code: int, name: str) -> Value:
-        """Return what a code stands for."""
+    def decode_code(self, values: Mapping[int, Value], code: int, name: str) -> Value:
+        """Return the value of a code; raise WireError if the code is unknown."""
         if code not in values:
-            raise WireError(f"{self.where}: unknown {name} {code}")
+            raise WireError(f"{self.location}: unknown {name} {code}")
         return values[code]
 
-    def report(self, count: int, values: list[float]) -> tuple[float, ...]:
-        """Return the values of a load report that are in use."""
+    def load_report(self, count: int, values: list[float]) -> tuple[float, ...]:
+        """Return the first ``count`` values of a load report; raise WireError if it cannot hold so many."""
         if count > MAX_REPORT_VALUES:
-            raise WireError(f"{self.where}: a load report of {count} values")
+            raise WireError(
+                f"{self.location}: load report of {count} values; the limit is {MAX_REPORT_VALUES}"
+            )
         return tuple(values[:count])
 
 
 class EventDecoder:
-    """Reads batches; keeps the numbered engine lists, which belong to the process and not to an instance."""
+    """Decodes batches; keeps the numbered engine lists, which the instances of a process share."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[EngineEntry, ...]] = {}
@@ -123,8 +136,8 @@
             EventCode.ATTEMPT_NOTE: _attempt_note,
         }
 
-    def batch(self, count: int, body: bytes) -> Iterator[tuple[int, InstanceEvent]]:
-        """Yield each event with its instance, in order; raise WireError."""
+    def decode_batch(self, count: int, body: bytes) -> Iterator[tuple[int, InstanceEvent]]:
+        """Yield each event with its instance, in order; raise WireError if the batch cannot be decoded."""
         records_bytes = count * EVENT_BYTES
         if records_bytes > len(body):
             raise WireError(f"batch: {count} records need {records_bytes} bytes, got {len(body)}")
@@ -137,36 +150,36 @@
             if code == EventCode.SWITCH_INSTANCE:
                 (instance,) = _UINT32.unpack_from(record.fields)
             elif code == EventCode.ENGINE_LIST:
-                self._keep_list(record)
+                self._store_list(record)
             elif instance is None:
-                raise WireError(f"{record.where}: no SwitchTo names its instance")
+                raise WireError(f"{record.location}: no SwitchTo record before it names an instance")
             elif code in self._decoders:
                 yield instance, self._decoders[code](record)
             else:
-                raise WireError(f"{record.where}: unknown event code")
+                raise WireError(f"{record.location}: unknown event code")
 
-    def _keep_list(self, record: _Record) -> None:
+    def _store_list(self, record: _Record) -> None:
         number, offset, entry_count = _ENGINE_LIST.unpack_from(record.fields)
         if number > MAX_LIST_NUMBER:
-            raise WireError(f"{record.where}: list number {number} is over {MAX_LIST_NUMBER}")
+            raise WireError(f"{record.location}: engine list number {number} exceeds {MAX_LIST_NUMBER}")
         self._lists[number] = _entries(record, offset, entry_count)
 
     def _engine_list_changed(self, record: _Record) -> EngineListChanged:
         number, version, kind_code = _LIST_CHANGED.unpack_from(record.fields)
-        kind = record.value(_LIST_UPDATE_KINDS, kind_code, "kind")
+        kind = record.decode_code(_LIST_UPDATE_KINDS, kind_code, "list update kind")
         if kind is ListUpdateKind.FAILED:
             return EngineListChanged(kind, (), version)
         if number not in self._lists:
-            raise WireError(f"{record.where}: list {number} was never sent")
+            raise WireError(f"{record.location}: engine list {number} was not sent")
         return EngineListChanged(kind, self._lists[number], version)
 
 
 def _entries(record: _Record, offset: int, count: int) -> tuple[EngineEntry, ...]:
-    data = record.slice(offset, count * ENGINE_ENTRY_BYTES)
+    data = record.tail_slice(offset, count * ENGINE_ENTRY_BYTES)
     return tuple(
         EngineEntry(
             engine=decode_engine_id(address, port),
-            state=record.value(_ENGINE_STATES, state, "readiness"),
+            state=record.decode_code(_ENGINE_STATES, state, "engine state"),
             zone=zone,
             cell=cell,
             kind=kind,
@@ -180,9 +193,9 @@
 def _instance_started(record: _Record) -> InstanceStarted:
     seed, offset, size = _INSTANCE_STARTED.unpack_from(record.fields)
     try:
-        text = record.slice(offset, size).decode()
+        text = record.tail_slice(offset, size).decode()
     except UnicodeDecodeError as error:
-        raise WireError(f"{record.where}: settings are not UTF-8: {error}") from None
+        raise WireError(f"{record.location}: settings are not UTF-8: {error}") from None
     try:
         return InstanceStarted(seed, parse_settings(text))
     except SettingsDocumentError as error:
@@ -222,18 +235,18 @@
         request=request,
         attempt=attempt,
         engine=decode_engine_id(address, port),
-        status=record.value(STATUS_BY_CODE, status, "status"),
+        status=record.decode_code(STATUS_BY_CODE, status, "status"),
         latency_ms=latency_ms,
         request_over=bool(complete),
         work_ms=float(statistics >> MEMORY_BITS),
         memory_mb=float((statistics & (1 << MEMORY_BITS) - 1) * MEMORY_UNIT_MB),
-        report=record.report(count, report),
+        report=record.load_report(count, report),
     )
 
 
 def _attempt_note(record: _Record) -> AttemptNote:
     request, kind_code, attempt, address, port, value = _ATTEMPT_NOTE.unpack_from(record.fields)
-    kind = record.value(_NOTE_KINDS, kind_code, "sort")
+    kind = record.decode_code(_NOTE_KINDS, kind_code, "note kind")
     return AttemptNote(request, attempt, decode_engine_id(address, port), kind, value)
 
 
@@ -241,9 +254,9 @@
     status, latency_ms, address, port, count, *report = _HEALTH_CHECK_ENDED.unpack_from(record.fields)
     return HealthCheckEnded(
         engine=decode_engine_id(address, port),
-        status=record.value(STATUS_BY_CODE, status, "status"),
+        status=record.decode_code(STATUS_BY_CODE, status, "status"),
         latency_ms=latency_ms,
-        report=record.report(count, report),
+        report=record.load_report(count, report),
     )
 
 
@@ -257,4 +270,4 @@
 
 def _peer_message(record: _Record) -> PeerMessage:
     sender, offset, size = _PEER_MESSAGE.unpack_from(record.fields)
-    return PeerMessage(sender, record.slice(offset, size))
+    return PeerMessage(sender, record.tail_slice(offset, size))
--- a/fordstair/simulator/frames.py
+++ b/fordstair/simulator/frames.py
@@ -1,6 +1,6 @@
-"""The simulator's wire: big-endian frames of fixed records and a shared tail. Its sizes, codes and numbers.
+"""The sizes and codes of the simulator's wire format: big-endian frames of fixed-size records and a tail.
 
-A batch is a header, its records of EVENT_BYTES each, and a tail that records point into by offset and size.
+A batch is a header, records of EVENT_BYTES each, and a tail that records refer to by offset and size.
 A reply has the same form, with records of ACTION_BYTES.
 """
 
@@ -12,8 +12,10 @@
 from fordstair.decisions.engine_list import EngineId
 from fordstair.decisions.events import Status
 
-BATCH_HEADER = struct.Struct(">IdII")  # bytes of the body, time in ms, records, number of the batch
-REPLY_HEADER = struct.Struct(">III")  # bytes of the body, records, number of the batch
+# Body size in bytes, time in ms, record count, batch number.
+BATCH_HEADER = struct.Struct(">IdII")
+# Body size in bytes, record count, batch number.
+REPLY_HEADER = struct.Struct(">III")
 EVENT_BYTES = 48
 ACTION_BYTES = 24
 ENGINE_ENTRY = struct.Struct(">HH4sHBdfH")
@@ -73,15 +75,15 @@
 
 
 class WireError(Exception):
-    """A frame or setting that cannot be read; the message says what and where."""
+    """A frame or setting cannot be decoded; the message says which one and where."""
 
 
 def decode_engine_id(address: bytes, port: int) -> EngineId:
-    """Return the engine's name, its dotted address and port, for the four bytes and the port of the wire."""
+    """Return the engine id, ``a.b.c.d:port``, for the four address bytes and the port of a record."""
     return f"{address[0]}.{address[1]}.{address[2]}.{address[3]}:{port}"
 
 
 def encode_engine_id(engine: EngineId) -> bytes:
-    """Return the six bytes of an engine's name."""
+    """Return the four address bytes and the port of an engine id, as a record holds them."""
     address, _, port = engine.partition(":")
     return bytes(int(part) for part in address.split(".")) + struct.pack(">H", int(port))
--- a/fordstair/simulator/host.py
+++ b/fordstair/simulator/host.py
@@ -1,4 +1,4 @@
-"""Hosts independent gateways on the simulator's wire: ``python -m fordstair.simulator``."""
+"""Runs independent gateways over the simulator's wire format: ``python -m fordstair.simulator``."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 
 
 class InstanceHost:
-    """The gateways of one process, by the simulator's numbers of their instances."""
+    """Runs the gateways of one process, each under the simulator's number of its instance."""
 
     def __init__(self) -> None:
         self._decoder = EventDecoder()
         self._gateways: dict[int, Gateway] = {}
 
-    def answer(self, batch_number: int, now: float, count: int, body: bytes) -> bytes:
-        """Feed a batch's events at its time; return the reply. Raise WireError where it cannot be read."""
+    def handle_batch(self, batch_number: int, now: float, count: int, body: bytes) -> bytes:
+        """Handle a batch's events at the batch's time; return the reply, or raise WireError on bad input."""
         encoder = ReplyEncoder()
         current: int | None = None
-        for instance, event in self._decoder.batch(count, body):
+        for instance, event in self._decoder.decode_batch(count, body):
             self._require_started(instance, event)
             try:
-                actions = self._feed(instance, now, event)
-            except Exception as error:  # noqa: BLE001 - the wire wants any failure of the decisions reported
-                encoder.internal_error(f"{type(error).__name__}: {error}")
+                actions = self._handle_event(instance, now, event)
+            except Exception as error:  # noqa: BLE001 - the reply reports any failure of the decision code
+                encoder.add_internal_error(f"{type(error).__name__}: {error}")
                 continue
             if actions and instance != current:
                 encoder.switch_instance(instance)
                 current = instance
             for action in actions:
-                encoder.action(action)
-        return encoder.reply(batch_number)
+                encoder.add_action(action)
+        return encoder.encode(batch_number)
 
     def _require_started(self, instance: int, event: InstanceEvent) -> None:
         if isinstance(event, InstanceStarted | InstanceStopped) or instance in self._gateways:
             return
-        raise WireError(f"event {type(event).__name__} for instance {instance}, which is not up")
+        raise WireError(f"event {type(event).__name__} for instance {instance}, which is not running")
 
-    def _feed(self, instance: int, now: float, event: InstanceEvent) -> list[Action]:
+    def _handle_event(self, instance: int, now: float, event: InstanceEvent) -> list[Action]:
         if isinstance(event, InstanceStarted):
             self._gateways[instance] = Gateway(event.settings, event.seed)
             return []
@@ -53,25 +53,25 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; raise WireError at input that cannot be read."""
+    """Reply to batches until the input ends; raise WireError if the input cannot be decoded."""
     host = InstanceHost()
     while header := _read(source, BATCH_HEADER.size, "header"):
         size, now, count, batch_number = BATCH_HEADER.unpack(header)
         body = _read(source, size, "body") if size else b""
-        sink.write(host.answer(batch_number, now, count, body))
+        sink.write(host.handle_batch(batch_number, now, count, body))
         sink.flush()
 
 
-def _read(source: BinaryIO, size: int, what: str) -> bytes:
-    """Return exactly size bytes, or none at a clean end of input."""
+def _read(source: BinaryIO, size: int, part: str) -> bytes:
+    """Return exactly ``size`` bytes, or none if the input ends before a header; raise WireError otherwise."""
     data = source.read(size)
-    if len(data) < size and (data or what == "body"):
-        raise WireError(f"{what}: input ended after {len(data)} of {size} bytes")
+    if len(data) < size and (data or part == "body"):
+        raise WireError(f"{part}: input ended after {len(data)} of {size} bytes")
     return data
 
 
 def main() -> int:
-    """Run on standard input and output; return 0 at the end of input, 1 at input that cannot be read."""
+    """Run on standard input and output; return 0 at the end of input, 1 if it cannot be decoded."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's codec and host, on the example frames of the wire's description."""
+"""Tests the simulator's codec and host on the example frames of the wire format's description."""
 
 from __future__ import annotations
 
@@ -59,8 +59,10 @@
 )
 
 
-def read(*records: bytes, tail: bytes = b"") -> list[object]:
-    return [event for _, event in EventDecoder().batch(len(records) + 1, SWITCH + b"".join(records) + tail)]
+def decode(*records: bytes, tail: bytes = b"") -> list[object]:
+    return [
+        event for _, event in EventDecoder().decode_batch(len(records) + 1, SWITCH + b"".join(records) + tail)
+    ]
 
 
 def frame(records: list[bytes], tail: bytes = b"", number: int = 1, clock: float = 242.0) -> bytes:
@@ -68,11 +70,11 @@
     return struct.pack(">IdII", len(body), clock, len(records), number) + body
 
 
-def up(settings: str = SETTINGS, offset: int = 0) -> bytes:
+def instance_started(settings: str = SETTINGS, offset: int = 0) -> bytes:
     return record(f"01 0000000000000009 {offset:08x} {len(settings):08x}")
 
 
-def play(data: bytes) -> bytes:
+def run_host(data: bytes) -> bytes:
     sink = io.BytesIO()
     host.run(io.BytesIO(data), sink)
     return sink.getvalue()
@@ -89,7 +91,7 @@
         + record("0d 00000005")
         + record("06 0e6f2b19")
     )
-    assert list(EventDecoder().batch(5, body)) == [
+    assert list(EventDecoder().decode_batch(5, body)) == [
         (3, RequestArrived(0x5D3A91C4, 0, 240.0, 0, 12.0, 384.0, 11.0, 0x91F03B7C55D20A64)),
         (3, TimerFired(77)),
         (5, ClientDisconnected(0x0E6F2B19)),
@@ -97,26 +99,26 @@
 
 
 def test_other_example_events() -> None:
-    assert read(record("04 5d3a91c4 00 0a124a07 1f43 4022800000000000")) == [
+    assert decode(record("04 5d3a91c4 00 0a124a07 1f43 4022800000000000")) == [
         StreamStarted(0x5D3A91C4, 0, "10.18.74.7:8003", 9.25)
     ]
-    assert read(record("08 0000 3ff6666666666666 0a9011f2 1f6c 01 3f1eb852")) == [
+    assert decode(record("08 0000 3ff6666666666666 0a9011f2 1f6c 01 3f1eb852")) == [
         HealthCheckEnded("10.144.17.242:8044", Status.OK, 1.4, (pytest.approx(0.62),))  # type: ignore[arg-type]
     ]
-    assert read(record("0b 5d3a91c4 01 00 0a124a07 1f43 3f000000")) == [
+    assert decode(record("0b 5d3a91c4 01 00 0a124a07 1f43 3f000000")) == [
         AttemptNote(0x5D3A91C4, 0, "10.18.74.7:8003", NoteKind.PROGRESS, 0.5)
     ]
-    assert read(record("09 00000002 00000000 00000004"), tail=b"hi 7") == [PeerMessage(2, b"hi 7")]
-    assert read(record("05 5d3a91c4 00 0a124a07 1f43 0000 4032800000000000 01 00011060 00")) == [
+    assert decode(record("09 00000002 00000000 00000004"), tail=b"hi 7") == [PeerMessage(2, b"hi 7")]
+    assert decode(record("05 5d3a91c4 00 0a124a07 1f43 0000 4032800000000000 01 00011060 00")) == [
         AttemptEnded(0x5D3A91C4, 0, "10.18.74.7:8003", Status.OK, 18.5, True, 17.0, 384.0)
     ]
-    assert read(record("0a")) == [InstanceStopped()]
+    assert decode(record("0a")) == [InstanceStopped()]
 
 
-def test_lists_are_replaced_within_a_batch() -> None:
+def test_engine_lists_are_replaced_within_a_batch() -> None:
     table, update = record("0c 0000 00000000 00000002"), record("02 0000 00000029 00")
     shorter = record("0c 0000 00000019 00000001")
-    first, second = read(table, update, shorter, update, tail=ENTRIES)
+    first, second = decode(table, update, shorter, update, tail=ENTRIES)
     assert isinstance(first, EngineListChanged)
     assert isinstance(second, EngineListChanged)
     assert first.kind is ListUpdateKind.CACHED
@@ -124,18 +126,18 @@
     assert len(second.entries) == 1
     assert second.entries[0].started_ms == 6100.0
     assert second.entries[0].state is EngineState.READY
-    assert read(record("02 0007 00000001 03")) == [EngineListChanged(ListUpdateKind.FAILED, (), 1)]
+    assert decode(record("02 0007 00000001 03")) == [EngineListChanged(ListUpdateKind.FAILED, (), 1)]
 
 
 def test_example_reply() -> None:
     encoder = ReplyEncoder()
     encoder.switch_instance(3)
-    encoder.action(SendAttempt(0x5D3A91C4, "10.18.74.7:8003", 80.0))
-    encoder.action(StartTimer(77, 500.0))
+    encoder.add_action(SendAttempt(0x5D3A91C4, "10.18.74.7:8003", 80.0))
+    encoder.add_action(StartTimer(77, 500.0))
     encoder.switch_instance(5)
-    encoder.action(LogMessage("two servers known"))
+    encoder.add_action(LogMessage("two servers known"))
     assert (
-        encoder.reply(12)
+        encoder.encode(12)
         == bytes.fromhex("00000089 00000005 0000000c")
         + b"".join(
             (
@@ -166,24 +168,24 @@
 )
 def test_example_actions(action: SendAttempt, text: str) -> None:
     encoder = ReplyEncoder()
-    encoder.action(action)
-    assert encoder.reply(0)[12:36] == record(text, 24)
+    encoder.add_action(action)
+    assert encoder.encode(0)[12:36] == record(text, 24)
 
 
-def test_settings_skip_the_unknown_and_take_the_optional() -> None:
-    told = parse_settings(
+def test_settings_ignore_unknown_keys_and_read_optional_ones() -> None:
+    parsed = parse_settings(
         SETTINGS + "obligations.furtherRatio=0.1\nobligations.budgetFree=5\n"
         "categories.0.hostTypesAllowed=0,2\nextra.loads=true\nreport.fields=util\n"
         "report.source=pull\nobligations.lookBackMs=4000.0\n"
     )
-    assert told.retry_budget is not None
-    assert told.retry_budget.window_ms == 4000.0
-    (only,) = told.classes
+    assert parsed.retry_budget is not None
+    assert parsed.retry_budget.window_ms == 4000.0
+    (only,) = parsed.classes
     assert only.allowed_machine_kinds == frozenset({0, 2})
     assert only.allowed_zones is None
     assert only.is_load
-    assert told.reports_by_health_check_only
-    assert told.load_report_fields == ("util",)
+    assert parsed.reports_by_health_check_only
+    assert parsed.load_report_fields == ("util",)
     assert parse_settings(SETTINGS).retry_budget is None
 
 
@@ -199,7 +201,7 @@
         ("categories.0.giveUpMs=-1.0", "client_timeout_ms"),
     ],
 )
-def test_settings_that_cannot_be_read_are_named(line: str, named: str) -> None:
+def test_error_names_the_setting_that_cannot_be_read(line: str, named: str) -> None:
     with pytest.raises(SettingsDocumentError, match=named):
         parse_settings(SETTINGS + line)
 
@@ -207,20 +209,20 @@
 def test_start_and_stop_within_one_batch_and_empty_batches() -> None:
     text = SETTINGS.encode()
     empty = frame([], number=1)
-    both = frame([SWITCH, up(), record("0a"), up()], text, number=2)
-    assert play(empty + both) == bytes.fromhex("000000000000000000000001" "000000000000000000000002")
+    both = frame([SWITCH, instance_started(), record("0a"), instance_started()], text, number=2)
+    assert run_host(empty + both) == bytes.fromhex("000000000000000000000001" "000000000000000000000002")
 
 
 def test_many_instances_and_a_very_large_batch() -> None:
     text = SETTINGS.encode()
     records = [record(f"0c 0000 {len(text):08x} 00000002")]
     for i in range(40):
-        records += [record(f"0d {i:08x}"), up(), record("02 0000 00000001 00")]
+        records += [record(f"0d {i:08x}"), instance_started(), record("02 0000 00000001 00")]
     records += [
         record(f"03 {n:08x} 0000" + "00" * 12 + "0000" + "00" * 8 + "0000 40a7700000000000")
         for n in range(5000)
     ]
-    reply = play(frame(records, text + ENTRIES))
+    reply = run_host(frame(records, text + ENTRIES))
     sends = {
         reply[12 + 24 * i + 1 : 12 + 24 * i + 5]
         for i in range((len(reply) - 12) // 24)
@@ -236,14 +238,14 @@
         (frame([SWITCH])[:-3], "body"),
         (frame([SWITCH, record("63")]), "code 99"),
         (frame([record("0a")]), "SwitchTo"),
-        (frame([SWITCH, up()]), "outside the tail"),
-        (frame([SWITCH, record("06 00000001")]), "not up"),
+        (frame([SWITCH, instance_started()]), "outside the tail"),
+        (frame([SWITCH, record("06 00000001")]), "not running"),
         (frame([SWITCH, record("02 0004 00000001 01")]), "list 4"),
-        (frame([SWITCH, up("instances=x")], b"instances=x"), "instances"),
+        (frame([SWITCH, instance_started("instances=x")], b"instances=x"), "instances"),
         (struct.pack(">IdII", 0, 1.0, 3, 1), "3 records"),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(data: bytes, named: str) -> None:
+def test_invalid_input_ends_with_one_line_on_stderr(data: bytes, named: str) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "fordstair.simulator"],
         input=data,
@@ -257,7 +259,7 @@
     assert named in lines[0]
 
 
-def test_end_of_input_is_a_clean_end() -> None:
+def test_end_of_input_ends_with_status_0() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "fordstair.simulator"],
         input=b"",
@@ -268,18 +270,18 @@
     assert (done.returncode, done.stdout, done.stderr) == (0, b"", b"")
 
 
-def test_a_failure_of_the_module_is_told_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> None:
+def test_failure_of_the_decision_code_is_reported_in_the_reply(monkeypatch: pytest.MonkeyPatch) -> None:
+    def fail(*_: object) -> None:
         raise KeyError("lost")
 
-    monkeypatch.setattr("fordstair.decisions.gateway.Gateway.handle", broken)
-    reply = play(frame([SWITCH, up(), record("07 0000000000000001")], SETTINGS.encode()))
+    monkeypatch.setattr("fordstair.decisions.gateway.Gateway.handle", fail)
+    reply = run_host(frame([SWITCH, instance_started(), record("07 0000000000000001")], SETTINGS.encode()))
     assert b"KeyError: 'lost'" in reply
     assert 10 in reply[12::24]
 
 
-def test_up_carries_seed_and_settings() -> None:
-    (event,) = read(up(), tail=SETTINGS.encode())
+def test_instance_started_carries_seed_and_settings() -> None:
+    (event,) = decode(instance_started(), tail=SETTINGS.encode())
     assert isinstance(event, InstanceStarted)
     assert event.seed == 9
     assert event.settings.instances == 2
