--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -21,10 +21,10 @@
 from fordstair.configuration.operator_file import decision_settings
 from fordstair.configuration.operator_validation import validate_operator_file
 from fordstair.decisions.settings import Settings
-from fordstair.lab.billing_close import TEAMS, Arrival, Shape, generate
+from fordstair.lab.billing_close import TEAMS, Arrival, TrafficShape, generate
 from fordstair.lab.machine import Machine
 from fordstair.lab.played_request import PlayedRequest
-from fordstair.lab.replay import priority_weight
+from fordstair.lab.replay import total_earned_weight
 from fordstair.lab.virtual import DAY_START_MS, World
 from fordstair.scheduling.scheduler import RELEASES_PER_OLDEST_FIRST, ArrivingRequest, Capacity, Scheduler
 
@@ -184,7 +184,7 @@
 def run(seconds: float, seed: int) -> dict[str, Any]:
     """Play and measure."""
     jumps = ((seconds * 0.5, seconds * 0.5 + 20.0),)
-    arrivals = generate(Shape(seconds=seconds, doubled=jumps), seed)
+    arrivals = generate(TrafficShape(seconds=seconds, doubled=jumps), seed)
     print(f"playing {len(arrivals)} requests of {seconds:.0f} s", file=sys.stderr, flush=True)
     settings = told()
     plain, before = play(arrivals, seed, False)
@@ -211,7 +211,7 @@
         "wait_within_20pct_after_jump": round(jump, 3),
         "longest_wait_over_bound": round(longest_over_bound(1_000, seed), 3),
         "worth_ratio": round(
-            priority_weight(after, settings) / max(1e-9, priority_weight(before, settings)), 3
+            total_earned_weight(after, settings) / max(1e-9, total_earned_weight(before, settings)), 3
         ),
         "us_per_request": {str(n): round(us, 1) for n, (us, _) in costs.items()},
         "bytes_per_waiting": {str(n): round(size) for n, (_, size) in costs.items() if size},
--- a/benchmarks/console_cost.py
+++ b/benchmarks/console_cost.py
@@ -31,12 +31,12 @@
 from fordstair.lab.appliance import Appliance, appliance
 from fordstair.lab.engine import READ_BYTES, FakeEngine
 from fordstair.lab.machine import Machine
-from fordstair.lab.traffic import Kind, Tally, Traffic
+from fordstair.lab.traffic import RequestKind, Tally, Traffic
 
 RATE_PER_S = 250.0
 SLICE_S, SETTLE_S = 1.5, 0.3
 MODES: dict[str, tuple[int, int]] = {"0": (0, 0), "1": (1, 0), "8": (8, 0), "stopped": (0, 1)}
-LOOKUP = Kind("lookup", "karri-energy", RATE_PER_S, 0.0, 6_000.0)
+LOOKUP = RequestKind("lookup", "karri-energy", RATE_PER_S, 0.0, 6_000.0)
 
 
 @contextmanager
--- a/benchmarks/fleet_service.py
+++ b/benchmarks/fleet_service.py
@@ -24,12 +24,12 @@
 from benchmarks.budgets import CORES, SHARES, THREADS_A_CORE, told, waits_within
 from benchmarks.command import run as run_command
 from fordstair.budgets.plan import BudgetPlan, FleetLimit
-from fordstair.lab.billing_close import TEAMS, Shape, generate
+from fordstair.lab.billing_close import TEAMS, TrafficShape, generate
 from fordstair.lab.clockwork import run_in_virtual_time
 from fordstair.lab.machine import Machine
 from fordstair.lab.modelled_engine import ModelledEngine
 from fordstair.lab.played_request import PlayedRequest
-from fordstair.lab.replay import in_aim
+from fordstair.lab.replay import met_objective
 from fordstair.lab.site import Queueing, Site
 
 ENGINES_EACH = 4  # of a coordinator
@@ -63,7 +63,8 @@
     weights = [5.0 if n % 10 == 0 else 1.0 for n in range(count)]
     traffic = [
         generate(
-            Shape(seconds=seconds, rate_per_s=RATE_EACH * count * weight / sum(weights)), seed * 1_000 + n
+            TrafficShape(seconds=seconds, rate_per_s=RATE_EACH * count * weight / sum(weights)),
+            seed * 1_000 + n,
         )
         for n, weight in enumerate(weights)
     ]
@@ -82,7 +83,7 @@
     share, counted = waits_within(records)
     return {
         "in_aim": {
-            team: round(statistics.mean(in_aim(record, site.settings) for record in rows), 3)
+            team: round(statistics.mean(met_objective(record, site.settings) for record in rows), 3)
             for team, rows in mine.items()
         },
         "out": {
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -22,12 +22,12 @@
 from fordstair.decisions.engine_list import ListUpdateKind
 from fordstair.decisions.events import Status
 from fordstair.decisions.settings import Settings
-from fordstair.lab.billing_close import Shape, generate
+from fordstair.lab.billing_close import TrafficShape, generate
 from fordstair.lab.clockwork import run_in_virtual_time
 from fordstair.lab.machine import Machine
 from fordstair.lab.modelled_engine import ModelledEngine
 from fordstair.lab.played_request import PlayedRequest
-from fordstair.lab.replay import priority_weight
+from fordstair.lab.replay import total_earned_weight
 from fordstair.lab.site import Site
 
 HALLS = 3
@@ -91,7 +91,7 @@
     def part(start: float, end: float) -> float:
         rows = [record for record in records if start <= record.arrival.at_ms < end]
         asked = sum(settings.classes[record.class_index].priority_weight for record in rows)
-        return round(priority_weight(rows, settings) / max(1e-9, asked), 3)
+        return round(total_earned_weight(rows, settings) / max(1e-9, asked), 3)
 
     spans = [(at, at + 5_000.0) for at in range(0, int(seconds * 1e3) - 5_000, 1_000)]
     dark = [record for record in records if DARK_MS <= record.arrival.at_ms < DARK_MS + LISTED_MS]
@@ -120,10 +120,10 @@
     coordinators: int, engines: int, seconds: float, seed: int, *, eject_silent_zones: bool
 ) -> tuple[Site, list[PlayedRequest]]:
     """Play one site; return it and all records."""
-    work = sum(part * ms for part, ms in zip(Shape().mix, Shape().work_ms, strict=True))
+    work = sum(part * ms for part, ms in zip(TrafficShape().mix, TrafficShape().work_ms, strict=True))
     rate = PART * CORES * engines * 1e3 / work / coordinators
     traffic = [
-        generate(Shape(seconds=seconds, rate_per_s=rate, shares=(0.73, 0.16, 0.11)), seed * 1_000 + n)
+        generate(TrafficShape(seconds=seconds, rate_per_s=rate, shares=(0.73, 0.16, 0.11)), seed * 1_000 + n)
         for n in range(coordinators)
     ]
     servers = [
--- a/fordstair/cli/app.py
+++ b/fordstair/cli/app.py
@@ -189,12 +189,12 @@
     seed: int = 1,
 ) -> None:
     """Write the traffic of a billing close, one request a line, without any statement's text."""
-    from fordstair.lab.billing_close import Shape, generate, write
+    from fordstair.lab.billing_close import TrafficShape, generate, write_arrivals
 
     middle = seconds / 2.0
-    arrivals = generate(Shape(seconds, rate, doubled=((middle, middle + min(20.0, middle)),)), seed)
+    arrivals = generate(TrafficShape(seconds, rate, doubled=((middle, middle + min(20.0, middle)),)), seed)
     try:
-        write(out, arrivals)
+        write_arrivals(out, arrivals)
     except OSError as error:
         end(Exit.FAILED, f"{out}: {error.strerror}")
     typer.echo(f"{out}: {len(arrivals)} requests")
--- a/fordstair/cli/demo.py
+++ b/fordstair/cli/demo.py
@@ -19,7 +19,7 @@
 from fordstair.lab.engine import FakeEngine
 from fordstair.lab.machine import Machine
 from fordstair.lab.odata_traffic import ODataTraffic
-from fordstair.lab.traffic import Tally, Traffic, mixed
+from fordstair.lab.traffic import Tally, Traffic, mixed_kinds
 
 CORES = 8.0  # of each engine
 FAULT_CYCLE_S = 12.0  # between two faults, about
@@ -88,7 +88,7 @@
         return {**self.tally.summary(), "loads_run_twice": engines["loads_run_twice"]}
 
     async def _traffic(self, ports: dict[str, int], seconds: float) -> None:
-        kinds = mixed(self.rate_per_s * (1.0 - ODATA_SHARE))
+        kinds = mixed_kinds(self.rate_per_s * (1.0 - ODATA_SHARE))
         rpc = Traffic("127.0.0.1", ports["listens"], kinds, self.seed)
         odata = ODataTraffic("127.0.0.1", ports["odata"], self.rate_per_s * ODATA_SHARE, self.seed + 1)
         rpc.tally = self.tally
--- a/fordstair/lab/appliance.py
+++ b/fordstair/lab/appliance.py
@@ -1,4 +1,4 @@
-"""An appliance as its own process, on stand-in engines: what the demo, the tests and the benchmarks start."""
+"""Runs an appliance as its own process with fake engines, for the demo, the tests and the benchmarks."""
 
 from __future__ import annotations
 
@@ -12,28 +12,36 @@
 from fordstair.lab.coordinator_process import CoordinatorProcess
 from fordstair.lab.engine import FakeEngine
 
-FRONT_COUNT = 2  # MessagePack-RPC and OData
+FRONT_COUNT = 2  # MessagePack-RPC and OData.
 
 
 @dataclass(slots=True)
 class Appliance:
-    """A running one."""
+    """A running appliance.
+
+    Attributes:
+        file: The operator's file.
+        console_socket: The path of the console's socket.
+        ports: The port of each front: ``listens`` (MessagePack-RPC) and ``odata``.
+    """
 
     process: CoordinatorProcess
     file: Path
     console_socket: str
-    ports: dict[str, int]  # by front: ``listens`` and ``odata``
+    ports: dict[str, int]
 
 
 @asynccontextmanager
-async def appliance(folder: Path, engines: Sequence[FakeEngine], more: str = "") -> AsyncIterator[Appliance]:
-    """Start engines and an appliance with the lab's settings and ``more`` TOML; end both at the end."""
+async def appliance(
+    folder: Path, engines: Sequence[FakeEngine], extra_toml: str = ""
+) -> AsyncIterator[Appliance]:
+    """Run engines and an appliance with the lab's settings and ``extra_toml``; stop them on exit."""
     async with trio.open_nursery() as nursery:
         for engine in engines:
             await nursery.start(engine.serve)
         file = folder / "appliance.toml"
         console_socket = folder / "console.sock"
-        file.write_text(operator_file(engines, console_socket) + more)
+        file.write_text(operator_file(engines, console_socket) + extra_toml)
         process = CoordinatorProcess(["-m", "fordstair.cli", "serve", str(file)], folder / "log")
         try:
             ports = await process.wait_listening(FRONT_COUNT)
@@ -45,17 +53,17 @@
 
 
 def operator_file(engines: Sequence[FakeEngine], socket: Path) -> str:
-    """Return an operator's file for stand-in engines."""
-    listed = "".join(
+    """Return an operator's file that lists the fake engines, with the console on ``socket``."""
+    engine_tables = "".join(
         f'[[engine]]\nid = "{engine.name}"\naddress = "{engine.address}"\n'
         f'cores = {engine.machine.cores}\nhall = "{engine.hall}"\n'
         for engine in engines
     )
     halls = ", ".join(f'"{hall}"' for hall in sorted({"hall-a", *(engine.hall for engine in engines)}))
-    return _FILE.format(engines=listed, socket=socket, halls=halls)
+    return _OPERATOR_FILE.format(engines=engine_tables, socket=socket, halls=halls)
 
 
-_FILE = """\
+_OPERATOR_FILE = """\
 [site]
 name = "demo"
 listen = "127.0.0.1:0"
--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -17,7 +17,7 @@
 from fordstair.lab.audit import Audit, read_audit
 from fordstair.lab.engine import FakeEngine
 from fordstair.lab.machine import Machine
-from fordstair.lab.traffic import Kind, Tally, Traffic
+from fordstair.lab.traffic import RequestKind, Tally, Traffic
 from fordstair.lab.trial_members import TrialMembers
 
 SETTLEMENT_THREADS = 4  # as the operator's file says
@@ -144,11 +144,11 @@
 
         Return what became of them, and how many threads they held at the engine, each SAMPLE_S.
         """
-        kinds: dict[str, list[Kind]] = {name: [] for name in self.names}
+        kinds: dict[str, list[RequestKind]] = {name: [] for name in self.names}
         for name, rate in rates.items():
-            kinds[name].append(Kind("settlement", KARRI, rate, work_ms, 4_000.0))
+            kinds[name].append(RequestKind("settlement", KARRI, rate, work_ms, 4_000.0))
         for name, rate in (lookups or {}).items():
-            kinds[name].append(Kind("lookup", KARRI, rate, 20.0, 4_000.0))
+            kinds[name].append(RequestKind("lookup", KARRI, rate, 20.0, 4_000.0))
         tallies: dict[str, Tally] = {}
         held: list[int] = []
 
--- a/fordstair/lab/connection_burst.py
+++ b/fordstair/lab/connection_burst.py
@@ -1,8 +1,9 @@
-"""Sends one coordinator a burst of new connections with a request each, and checks the engines' time limits.
+"""Sends one coordinator a burst of new connections, and measures the time limits that the engines get.
 
-The clients run in their own process (``python -m fordstair.lab.connection_burst``): their sockets connect
-and write one after the other within milliseconds, as all clients of a fleet do after a restart. The engines
-run in the caller's process. Both read the monotonic clock, which all processes of a machine share.
+Each connection sends one request. The clients run in their own process, ``python -m
+fordstair.lab.connection_burst``: their sockets connect and write one after the other within milliseconds, as
+all clients of a fleet do after a restart. The engines run in the caller's process. Both read the monotonic
+clock, which all processes of a machine share.
 """
 
 from __future__ import annotations
--- a/fordstair/lab/engine.py
+++ b/fordstair/lab/engine.py
@@ -138,10 +138,10 @@
         self._responding.set()
 
     def before_read(self, stream: trio.SocketStream, *, first: bool) -> None:
-        """Called before each read of a request, ``first`` for its first bytes; subclasses override it."""
+        """Called before bytes of a request are read, ``first`` for its first bytes; may be overridden."""
 
     def on_request(self, method: str, fields: Mapping[str, str], stream: trio.SocketStream) -> None:
-        """Called for each request once it is complete, before it is handled; subclasses override it."""
+        """Called for each request once it is complete, before it is handled; may be overridden."""
 
     def slow_down(self, factor: float) -> None:
         """Make all work take ``factor`` times as long; 1 is the normal speed."""
--- a/fordstair/lab/load_history.py
+++ b/fordstair/lab/load_history.py
@@ -1,4 +1,4 @@
-"""Checks histories of loads under repeatability ids, as Jepsen's checkers do; pure."""
+"""Checks histories of loads under repeatability ids, as Jepsen's checkers do; does no I/O."""
 
 from __future__ import annotations
 
@@ -7,16 +7,17 @@
 from dataclasses import dataclass
 from typing import Literal, TypeAlias
 
-# ``ok``: the response says that the load has run. ``fail``: that it has not run by this request.
-# ``unknown``: neither, or there was no response at all.
+# ``ok``: the response says that the load has run. ``fail``: it says that this request did not run it.
+# ``unknown``: it says neither, or there was no response.
 Result: TypeAlias = Literal["ok", "fail", "unknown"]
 
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """One request of a load through one member; times in seconds of one clock.
+    """One request of a load through one member; the times of all operations are from one clock.
 
-    ``after_faults``: it was sent after all faults had ended.
+    Attributes:
+        after_faults: Whether the request was sent after all faults had ended.
     """
 
     load_id: str
@@ -32,10 +33,10 @@
     run_counts: Mapping[str, int],
     stored_outcomes: Mapping[str, Mapping[str, bytes]],
 ) -> list[str]:
-    """Return what was broken; empty where every promise was kept.
+    """Return a line for each violation; none if the history is valid.
 
-    ``run_counts`` says how often engines began each load; ``stored_outcomes`` holds, by load, each replica's
-    outcome.
+    ``run_counts`` says how often engines started each load; ``stored_outcomes`` holds the outcome at each
+    replica, by load and replica.
     """
     by_load = defaultdict[str, list[Operation]](list)
     for operation in operations:
@@ -54,12 +55,12 @@
         yield f"{load_id}: ran {runs} times"
     acknowledged = [operation for operation in operations if operation.result == "ok"]
     if acknowledged and not runs:
-        yield f"{load_id}: told as run by {acknowledged[0].member}, and never ran"
+        yield f"{load_id}: acknowledged by {acknowledged[0].member}, but never ran"
     if runs and operations and all(operation.result == "fail" for operation in operations):
-        yield f"{load_id}: ran, and all were told that it has not"
+        yield f"{load_id}: ran, but every response says that it did not"
     first_acknowledged_s = min((operation.ended_s for operation in acknowledged), default=None)
     for operation in operations:
         if first_acknowledged_s is None or operation.sent_s <= first_acknowledged_s:
             continue
         if operation.result == "fail" and operation.after_faults:
-            yield f"{load_id}: acknowledged, and {operation.member} would run it again"
+            yield f"{load_id}: acknowledged, but {operation.member} would run it again"
--- a/fordstair/lab/odata_traffic.py
+++ b/fordstair/lab/odata_traffic.py
@@ -1,4 +1,4 @@
-"""Open-loop traffic over the OData front: reads by key, one request on a connection at a time."""
+"""Sends open-loop traffic to the OData front: reads by key, one request at a time on each connection."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 import h11
 import trio
 
-from fordstair.lab.traffic import GRACE_S, READ_BYTES, Kind, Tally
+from fordstair.lab.traffic import GRACE_S, READ_BYTES, RequestKind, Tally
 
-WAIT_S = 6  # preferred of the coordinator
-KIND = Kind("lookup", "pindan-retail", 0.0, 0.0, WAIT_S * 1000.0)
-MAX_IDLE = 16  # connections
+# The time limit, which each request sends in its header ``Prefer: wait``.
+WAIT_S = 6
+REQUEST_KIND = RequestKind("lookup", "pindan-retail", 0.0, 0.0, WAIT_S * 1000.0)
+MAX_IDLE_CONNECTIONS = 16
 
 
 class ODataTraffic:
-    """Asks for entities by key."""
+    """Requests entities by random keys, and counts the answers."""
 
     def __init__(
         self, host: str, port: int, rate_per_s: float, seed: int, path: str = "/odata/Accounts"
@@ -29,20 +30,20 @@
         self._idle: list[tuple[trio.SocketStream, h11.Connection]] = []
 
     async def run(self, seconds: float) -> Tally:
-        """Ask for that long; return the tally once all is answered."""
+        """Send requests for so many seconds; return the tally once all are answered or lost."""
         start = trio.current_time()
         at = 0.0
         async with trio.open_nursery() as nursery:
             while self.rate > 0.0 and (at := at + self.random.expovariate(self.rate)) < seconds:
                 await trio.sleep_until(start + at)
-                nursery.start_soon(self._ask, self.random.randrange(1_000), start + at)
+                nursery.start_soon(self._send_request, self.random.randrange(1_000), start + at)
         for stream, _ in self._idle:
             await trio.aclose_forcefully(stream)
         self._idle.clear()
         return self.tally
 
-    async def _ask(self, key: int, due_s: float) -> None:
-        self.tally.count(KIND, "asked")
+    async def _send_request(self, key: int, due_s: float) -> None:
+        self.tally.count(REQUEST_KIND, "asked")
         status = 0
         stream: trio.SocketStream | None = None
         with trio.move_on_after(WAIT_S + GRACE_S):
@@ -53,7 +54,11 @@
                     else (await trio.open_tcp_stream(self.host, self.port), h11.Connection(h11.CLIENT))
                 )
                 status = await self._exchange(stream, http, key)
-                if http.our_state is h11.DONE and http.their_state is h11.DONE and len(self._idle) < MAX_IDLE:
+                if (
+                    http.our_state is h11.DONE
+                    and http.their_state is h11.DONE
+                    and len(self._idle) < MAX_IDLE_CONNECTIONS
+                ):
                     http.start_next_cycle()
                     self._idle.append((stream, http))
                     stream = None
@@ -61,8 +66,10 @@
                 status = 0
         if stream is not None:
             await trio.aclose_forcefully(stream)
-        what = {200: "served", 404: "served", 503: "refused", 504: "refused"}.get(status)
-        self.tally.count(KIND, what or ("failed" if status else "lost"), trio.current_time() - due_s)
+        outcome = {200: "served", 404: "served", 503: "refused", 504: "refused"}.get(status)
+        self.tally.count(
+            REQUEST_KIND, outcome or ("failed" if status else "lost"), trio.current_time() - due_s
+        )
 
     async def _exchange(self, stream: trio.SocketStream, http: h11.Connection, key: int) -> int:
         out = (
--- a/fordstair/lab/platform_settings.py
+++ b/fordstair/lab/platform_settings.py
@@ -1,4 +1,4 @@
-"""A site's settings as the platform tells them, small enough for stand-ins: three classes and one team."""
+"""A site's settings as the platform sends them, reduced for fake engines: three classes and one team."""
 
 from __future__ import annotations
 
--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -173,7 +173,7 @@
                 arrival.limit_ms,
                 b"",
                 float(arrival.group),
-                arrival.told_ms,
+                arrival.estimate_ms,
                 MEMORY_MB,
             ),
             RecordingReply(record, now_ms()),
--- a/fordstair/lab/virtual.py
+++ b/fordstair/lab/virtual.py
@@ -136,7 +136,7 @@
             record.class_index,
             arrival.limit_ms,
             record.team,
-            arrival.told_ms,
+            arrival.estimate_ms,
             MEMORY_MB,
             float(arrival.group),
         )
@@ -194,7 +194,7 @@
     def _left(self, record: PlayedRequest) -> float:
         assert record.running is not None
         spec = self.settings.classes[record.class_index]
-        return max(0.0, record.arrival.told_ms / spec.threads - (self.now - record.running.since_ms))
+        return max(0.0, record.arrival.estimate_ms / spec.threads - (self.now - record.running.since_ms))
 
     def _room(self, item: QueuedRequest) -> Capacity:
         return Capacity.AVAILABLE if self.gateway.has_capacity(self._arrived[item.id]) else Capacity.FULL
--- a/fordstair/simulator/event_decoder.py
+++ b/fordstair/simulator/event_decoder.py
@@ -166,7 +166,7 @@
 
     def _engine_list_changed(self, record: _Record) -> EngineListChanged:
         number, version, kind_code = _LIST_CHANGED.unpack_from(record.fields)
-        kind = record.decode_code(_LIST_UPDATE_KINDS, kind_code, "list update kind")
+        kind = record.decode_code(_LIST_UPDATE_KINDS, kind_code, "kind")
         if kind is ListUpdateKind.FAILED:
             return EngineListChanged(kind, (), version)
         if number not in self._lists:
@@ -179,7 +179,7 @@
     return tuple(
         EngineEntry(
             engine=decode_engine_id(address, port),
-            state=record.decode_code(_ENGINE_STATES, state, "engine state"),
+            state=record.decode_code(_ENGINE_STATES, state, "readiness"),
             zone=zone,
             cell=cell,
             kind=kind,
@@ -246,7 +246,7 @@
 
 def _attempt_note(record: _Record) -> AttemptNote:
     request, kind_code, attempt, address, port, value = _ATTEMPT_NOTE.unpack_from(record.fields)
-    kind = record.decode_code(_NOTE_KINDS, kind_code, "note kind")
+    kind = record.decode_code(_NOTE_KINDS, kind_code, "sort")
     return AttemptNote(request, attempt, decode_engine_id(address, port), kind, value)
 
 
--- a/tests/replication/test_load_history.py
+++ b/tests/replication/test_load_history.py
@@ -17,7 +17,7 @@
     for broken, word in (
         (find_violations([did("a", "ok")], {"a": 2}, {}), "ran 2 times"),
         (find_violations([did("a", "ok")], {}, {}), "never ran"),
-        (find_violations([did("a", "fail")], {"a": 1}, {}), "told that it has not"),
+        (find_violations([did("a", "fail")], {"a": 1}, {}), "every response says that it did not"),
         (find_violations([did("a", "ok"), did("a", "fail", 5.0, True)], {"a": 1}, {}), "run it again"),
         (find_violations([], {}, {"a": {"m": b"x", "n": b"y"}}), "copies differ"),
     ):
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -233,7 +233,7 @@
             tallies, held = await fleet.traffic({"m0": 90.0}, 8.0, 1_600.0, lookups={"m3": 8.0})
             quiet = tallies["m3"]
             assert quiet.by_kind["lookup", "karri-energy", "served"] >= 0.9 * quiet.counts["asked"] >= 30
-            assert quiet.at(50.0) < 600.0
+            assert quiet.percentile_ms(50.0) < 600.0
             assert quiet.counts["lost"] == 0
             assert max(held) <= THREADS
             assert tallies["m0"].counts["refused"] > 50
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -26,7 +26,7 @@
 from fordstair.lab.coordinator_process import stop_process
 from fordstair.lab.engine import FakeEngine
 from fordstair.lab.machine import Machine
-from fordstair.lab.traffic import Kind, Tally, Traffic
+from fordstair.lab.traffic import RequestKind, Tally, Traffic
 from fordstair.net import console_socket
 from fordstair.snapshots.delta import apply_delta, decode
 from fordstair.snapshots.snapshot import Snapshot
@@ -34,7 +34,7 @@
 from tests.standins import ROOT, config, engine, program
 from tests.test_odata import OPERATOR
 
-LOOKUPS = Kind("lookup", "karri-energy", 60.0, 5.0, 4_000.0)
+LOOKUPS = RequestKind("lookup", "karri-energy", 60.0, 5.0, 4_000.0)
 
 
 async def command(*arguments: str) -> subprocess.CompletedProcess[bytes]:
@@ -141,12 +141,12 @@
 def test_the_view_holds_what_the_engines_hold(tmp_path: Path) -> None:
     async def scene() -> None:
         async with site(tmp_path, engines=2) as one:
-            long = Kind("settlement", "karri-energy", 0.0, 0.0, 20_000.0)
+            long = RequestKind("settlement", "karri-energy", 0.0, 0.0, 20_000.0)
             traffic = Traffic("127.0.0.1", one.ports["listens"], [long], seed=1)
             async with trio.open_nursery() as nursery:
                 for _ in range(3):
                     traffic.random.expovariate = lambda _: 60_000.0  # type: ignore[method-assign,assignment]
-                    traffic.kinds = [Kind("settlement", "karri-energy", 0.0, 60_000.0, 20_000.0)]
+                    traffic.kinds = [RequestKind("settlement", "karri-energy", 0.0, 60_000.0, 20_000.0)]
                     await traffic.send(traffic.kinds[0], trio.current_time(), nursery)
                 await one.until(lambda: sum(len(each.running_ids()) for each in one.engines) == 3)
                 rows = one.told("engines")
@@ -344,7 +344,7 @@
                     send_command(str(tmp_path / "console.sock"), "set-aside", engine=f"none-{number}")
                 tally: Tally = await Traffic("127.0.0.1", port, [LOOKUPS], seed=2).run(1.5)
                 assert tally.counts["served"] == tally.counts["asked"] > 40
-                assert tally.at(99.0) < 1_500.0
+                assert tally.percentile_ms(99.0) < 1_500.0
             finally:
                 await stop_process(process)
                 os.close(write)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from benchmarks.budgets import told
-from fordstair.lab.billing_close import Shape, generate
+from fordstair.lab.billing_close import TrafficShape, generate
 from fordstair.lab.machine import Machine
 from fordstair.lab.virtual import World
 
@@ -45,7 +45,7 @@
         # each step one engine leaves and a new one takes its place: over the day there are many names
         names = [f"e-{n}" for n in range(step, ENGINES)] + [f"new-{m}" for m in range(step)]
         world.replace(step * REPLACED_EVERY_S * 1000.0, names[-ENGINES:], CORES)
-    records = world.run(generate(Shape(seconds=seconds), seed))
+    records = world.run(generate(TrafficShape(seconds=seconds), seed))
     assert all(record.how for record in records), "every request has its answer"
     return dict(tables(world.gateway))
 
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -20,10 +20,10 @@
 from fordstair.core.send_guard import SendGuard
 from fordstair.decisions.settings import Idempotency
 from fordstair.lab.appliance import appliance
-from fordstair.lab.billing_close import Shape, generate, read, write
+from fordstair.lab.billing_close import TrafficShape, generate, read_arrivals, write_arrivals
 from fordstair.lab.engine import FakeEngine
 from fordstair.lab.machine import Machine
-from fordstair.lab.traffic import Kind, Traffic
+from fordstair.lab.traffic import RequestKind, Traffic
 from fordstair.net.clients.odata_statements import PendingReply
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
@@ -282,14 +282,14 @@
 
 
 def test_a_billing_close_in_virtual_time_answers_once_and_runs_no_load_twice(tmp_path: Path) -> None:
-    arrivals = generate(Shape(seconds=12.0, rate_per_s=60.0), 4)
-    assert arrivals == generate(Shape(seconds=12.0, rate_per_s=60.0), 4)
+    arrivals = generate(TrafficShape(seconds=12.0, rate_per_s=60.0), 4)
+    assert arrivals == generate(TrafficShape(seconds=12.0, rate_per_s=60.0), 4)
     path = tmp_path / "close.jsonl"
-    write(path, arrivals)
-    assert list(read(path)) == arrivals
+    write_arrivals(path, arrivals)
+    assert list(read_arrivals(path)) == arrivals
     path.write_text('{"at_ms": 1}\n')
     with pytest.raises(ValueError, match="line 1"):
-        list(read(path))
+        list(read_arrivals(path))
     world, records = play(arrivals, 4, True)
     assert all(record.how in ("served", "refused", "failed") for record in records)
     assert all(record.attempts <= 1 for record in records if record.arrival.class_name == "meter-load")
@@ -315,15 +315,15 @@
                 "127.0.0.1",
                 program.ports["listens"],
                 [
-                    Kind("lookup", "karri-energy", 90.0, 60.0, 4_000.0),
-                    Kind("meter-load", "karri-energy", 6.0, 200.0, 4_000.0),
+                    RequestKind("lookup", "karri-energy", 90.0, 60.0, 4_000.0),
+                    RequestKind("meter-load", "karri-energy", 6.0, 200.0, 4_000.0),
                 ],
                 1,
             )
             small = Traffic(
                 "127.0.0.1",
                 program.ports["listens"],
-                [Kind("lookup", "pindan-retail", 6.0, 30.0, 4_000.0)],
+                [RequestKind("lookup", "pindan-retail", 6.0, 30.0, 4_000.0)],
                 2,
             )
             async with trio.open_nursery() as nursery:
@@ -367,7 +367,7 @@
     async def scene() -> None:
         engines = [FakeEngine("engine-0", Machine(2.0))]
         async with appliance(tmp_path, engines, "[budgets]\nthreads_a_core = 1.0\n") as program:
-            long = Kind("meter-load", "karri-energy", 0.0, 6_000.0, 20_000.0)
+            long = RequestKind("meter-load", "karri-energy", 0.0, 6_000.0, 20_000.0)
             traffic = Traffic("127.0.0.1", program.ports["listens"], [long], 6)
             async with trio.open_nursery() as nursery:
                 for _ in range(8):
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -6,7 +6,7 @@
 
 from benchmarks.budgets import told
 from benchmarks.fleet_service import figures, lapse, plan, run
-from fordstair.lab.billing_close import Shape, generate
+from fordstair.lab.billing_close import TrafficShape, generate
 from fordstair.lab.clockwork import START_UNIX_MS, now_ms, run_in_virtual_time
 from fordstair.lab.machine import Machine
 from fordstair.lab.modelled_engine import ModelledEngine
@@ -61,11 +61,11 @@
 
 def test_a_member_that_was_idle_lets_a_lookup_through_at_once_while_others_hold_all() -> None:
     """The smallest request needs no share to move: a thread is kept for it wherever anything is wanted."""
-    busy = generate(Shape(seconds=10.0, rate_per_s=60.0, shares=(0.0, 0.0, 1.0)), 1)
+    busy = generate(TrafficShape(seconds=10.0, rate_per_s=60.0, shares=(0.0, 0.0, 1.0)), 1)
     quiet = [
         each
         for each in generate(
-            Shape(seconds=10.0, rate_per_s=2.0, mix=(1.0, 0.0, 0.0), shares=(0.0, 0.0, 1.0)), 2
+            TrafficShape(seconds=10.0, rate_per_s=2.0, mix=(1.0, 0.0, 0.0), shares=(0.0, 0.0, 1.0)), 2
         )
         if each.work_ms < 300.0
     ]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -18,7 +18,7 @@
 from fordstair.lab.appliance import appliance
 from fordstair.lab.engine import FakeEngine
 from fordstair.lab.machine import Machine
-from fordstair.lab.traffic import Kind, Traffic
+from fordstair.lab.traffic import RequestKind, Traffic
 from fordstair.routing.zone_outlier_detection import (
     BASE_EJECTION_MS,
     MAX_EJECTION_MS,
@@ -188,7 +188,7 @@
                 for n in range(3)
             ]
             async with appliance(Path(folder), engines, "[routing]\navoid_silent_halls = true\n") as node:
-                kinds = [Kind("lookup", "karri-energy", 60.0, 60.0, 5_000.0)]
+                kinds = [RequestKind("lookup", "karri-energy", 60.0, 60.0, 5_000.0)]
 
                 async def ask(seconds: float, seed: int) -> float:
                     tally = await Traffic("127.0.0.1", node.ports["listens"], kinds, seed).run(seconds)
--- a/tests/wires/test_traffic_file.py
+++ b/tests/wires/test_traffic_file.py
@@ -5,7 +5,7 @@
 import tempfile
 from pathlib import Path
 
-from fordstair.lab.billing_close import Shape, generate, read, write
+from fordstair.lab.billing_close import TrafficShape, generate, read_arrivals, write_arrivals
 from tests.wires.recordings import recorded
 
 
@@ -13,7 +13,7 @@
     """Five seconds of a billing close."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "traffic.jsonl"
-        write(path, generate(Shape(5.0, 8.0, doubled=((2.0, 3.0),)), 11))
+        write_arrivals(path, generate(TrafficShape(5.0, 8.0, doubled=((2.0, 3.0),)), 11))
         return {"traffic": path.read_text()}
 
 
@@ -24,5 +24,5 @@
 def test_a_file_is_read_and_written_again(tmp_path: Path) -> None:
     before, after = tmp_path / "before.jsonl", tmp_path / "after.jsonl"
     before.write_text(recorded("traffic_file")["traffic"])
-    write(after, read(before))
+    write_arrivals(after, read_arrivals(before))
     assert after.read_text() == before.read_text()
