--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A gateway with a clock, for tests without the bench."""
+"""Runs a gateway on a fake clock, for tests without the simulator."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from fordstair.decisions.settings import Idempotency, RequestClass, Settings
 from fordstair.decisions.tracked_engine import TrackedEngine
 
-A = TypeVar("A")
+ActionT = TypeVar("ActionT")
 SAFE, LOAD, KEYED = 0, 1, 2
 CLASSES = (
     RequestClass(
@@ -63,7 +63,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Three classes, as far as a test does not say otherwise."""
+    """Return settings with the classes of CLASSES, and with these changes applied."""
     values: dict[str, Any] = {
         "classes": CLASSES,
         "cores_by_kind": (8.0, 8.0),
@@ -84,54 +84,56 @@
 
 
 def entry(
-    number: int, state: EngineState = EngineState.READY, started: float = 0.0, **more: int
+    number: int, state: EngineState = EngineState.READY, started: float = 0.0, **fields: int
 ) -> EngineEntry:
-    return EngineEntry(f"10.0.0.{number}:80", state, started_ms=started, **more)
+    return EngineEntry(f"10.0.0.{number}:80", state, started_ms=started, **fields)
 
 
 def selection_factor(gateway: Gateway, engine: TrackedEngine) -> float:
-    """Return the factor by which the gateway draws an engine at its latest event."""
+    """Return an engine's selection factor at the time of the gateway's latest event."""
     reliability = gateway.outliers.reliability(gateway.now, engine)
     return gateway.outliers.selection_factor(reliability, engine)
 
 
-class Rig:
-    """Feeds events, runs timers when due, and remembers every action with its time."""
+class GatewayHarness:
+    """Feeds events to a gateway, fires its timers when due, and records every action with its time."""
 
     def __init__(self, config: Settings | None = None, engines: int = 3, seed: int = 1) -> None:
         self.now = 1000.0
         self.gateway = Gateway(config or settings(), seed)
-        self.log: list[tuple[float, Action]] = []
+        self.action_log: list[tuple[float, Action]] = []
         self.timers: list[tuple[float, int]] = []
-        self.ids = 0
-        self.members(*(entry(i) for i in range(1, engines + 1)), kind=ListUpdateKind.FULL)
+        self.last_request = 0
+        self.update_engine_list(*(entry(i) for i in range(1, engines + 1)), kind=ListUpdateKind.FULL)
 
     def feed(self, event: Event) -> list[Action]:
         actions = self.gateway.handle(self.now, event)
         for action in actions:
-            self.log.append((self.now, action))
+            self.action_log.append((self.now, action))
             if isinstance(action, StartTimer):
                 self.timers.append((self.now + action.delay_ms, action.token))
         return actions
 
-    def members(self, *entries: EngineEntry, kind: ListUpdateKind = ListUpdateKind.DELTA) -> list[Action]:
+    def update_engine_list(
+        self, *entries: EngineEntry, kind: ListUpdateKind = ListUpdateKind.DELTA
+    ) -> list[Action]:
         return self.feed(EngineListChanged(kind, entries))
 
-    def ask(self, class_index: int = SAFE, cost: float = 100.0, **more: Any) -> int:
-        self.ids += 1
-        budget = more.pop(
+    def send_request(self, class_index: int = SAFE, cost: float = 100.0, **fields: Any) -> int:
+        self.last_request += 1
+        time_left_ms = fields.pop(
             "time_left_ms", CLASSES[class_index].client_timeout_ms if class_index < len(CLASSES) else 3000.0
         )
-        self.feed(RequestArrived(self.ids, class_index, budget, cost_ms=cost, **more))
-        return self.ids
+        self.feed(RequestArrived(self.last_request, class_index, time_left_ms, cost_ms=cost, **fields))
+        return self.last_request
 
-    def end(
+    def end_attempt(
         self,
         request: int,
         status: Status = Status.OK,
         latency: float = 100.0,
         attempt: int | None = None,
-        **more: Any,
+        **fields: Any,
     ) -> list[Action]:
         sends = self.sends(request)
         number = len(sends) - 1 if attempt is None else attempt
@@ -143,12 +145,12 @@
                 status,
                 latency,
                 request_over=status is Status.OK,
-                **more,
+                **fields,
             )
         )
 
-    def pass_time(self, ms: float) -> None:
-        """Let time pass; timers fire when due."""
+    def advance(self, ms: float) -> None:
+        """Advance the clock, and fire timers when due."""
         until = self.now + ms
         while due := [t for t in self.timers if t[0] <= until]:
             first = min(due)
@@ -156,17 +158,17 @@
             self.now = max(self.now, first[0])
             self.feed(TimerFired(first[1]))
         self.now = until
-        self.feed(PeerMessage(0, b""))  # tells the gateway the time, and nothing else
+        self.feed(PeerMessage(0, b""))  # Has no effect but to set the gateway's time.
 
-    def of(self, kind: type[A], request: int | None = None) -> list[A]:
-        found: list[A] = [a for _, a in self.log if isinstance(a, kind)]
+    def actions_of(self, kind: type[ActionT], request: int | None = None) -> list[ActionT]:
+        found: list[ActionT] = [a for _, a in self.action_log if isinstance(a, kind)]
         return [a for a in found if request is None or getattr(a, "request", None) == request]
 
     def sends(self, request: int | None = None) -> list[SendAttempt]:
-        return self.of(SendAttempt, request)
+        return self.actions_of(SendAttempt, request)
 
     def answers(self, request: int) -> list[Action]:
-        return [*self.of(RejectRequest, request), *self.of(FailRequest, request)]
+        return [*self.actions_of(RejectRequest, request), *self.actions_of(FailRequest, request)]
 
     def cancels(self, request: int) -> list[CancelAttempt]:
-        return self.of(CancelAttempt, request)
+        return self.actions_of(CancelAttempt, request)
--- a/tests/replication/test_learned_costs.py
+++ b/tests/replication/test_learned_costs.py
@@ -5,19 +5,19 @@
 import pytest
 
 from fordstair.replication.learned_costs import differs_enough, learned_values, restore_values
-from tests.helpers import Rig
+from tests.helpers import GatewayHarness
 from tests.helpers import settings as settings_of
 
 
 def test_costs_learned_by_one_module_serve_another_that_has_seen_nothing() -> None:
-    rig = Rig(settings_of(instances=2))
+    harness = GatewayHarness(settings_of(instances=2))
     for _ in range(20):
-        request = rig.ask(0, 0.0, table_group=7.0)
-        rig.end(request, work_ms=340.0, latency=400.0, memory_mb=50.0)
-    values = dict(learned_values(rig.gateway))
+        request = harness.send_request(0, 0.0, table_group=7.0)
+        harness.end_attempt(request, work_ms=340.0, latency=400.0, memory_mb=50.0)
+    values = dict(learned_values(harness.gateway))
     assert "class|quick|mean" in values
     assert "group|quick|7" in values
-    new = Rig(settings_of(instances=2))
+    new = GatewayHarness(settings_of(instances=2))
     assert restore_values(
         new.gateway,
         values
@@ -29,8 +29,8 @@
     ) == len(values)
     assert new.gateway.cost_model.predict(0, 7.0, 0.0) == pytest.approx(340.0, rel=0.02)
     assert restore_values(new.gateway, values) == 0  # what it has goes first
-    request = new.ask(0, 0.0, table_group=7.0)
-    new.end(request, work_ms=3_400.0, latency=400.0)
+    request = new.send_request(0, 0.0, table_group=7.0)
+    new.end_attempt(request, work_ms=3_400.0, latency=400.0)
     assert new.gateway.cost_model.class_mean(0) > 400.0  # and what it sees counts at once
     old, other = values["class|quick|mean"], values["class|quick|memory"]
     assert not differs_enough(old, old)
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -14,7 +14,7 @@
 from fordstair.lab.replication_faults import kill_members, partition_members
 from fordstair.lab.replication_trial import ReplicationTrial, running_trial, stored_entries
 from fordstair.replication.claim_coordinator import SETTLE_TIMEOUT_S
-from tests.scenes import play as bounded
+from tests.scenes import run_with_timeout as bounded
 from tests.standins import config, engine, program
 
 
@@ -188,10 +188,10 @@
             )
         async with engine() as stand_in, program(config(), "--operator", str(files[1]), fronts=4) as blind:
             client = await blind.client()
-            assert (await client.answer(await client.ask()))[0] is not None  # it knows of no engine
+            assert (await client.answer(await client.send_request()))[0] is not None  # it knows of no engine
             async with program(config(stand_in.address), "--operator", str(files[0]), fronts=4):
                 with trio.fail_after(15.0):
-                    while (await client.answer(await client.ask()))[0] is not None:
+                    while (await client.answer(await client.send_request()))[0] is not None:
                         await trio.sleep(0.1)
             assert stand_in.calls["POST"] == 1
             assert any("engines.restored" in line for line in blind.log)
@@ -264,7 +264,7 @@
                 async with program(told, "--operator", str(operator), fronts=4) as node:
                     client = await node.client()
                     with trio.fail_after(10.0):
-                        while (await client.answer(await client.ask()))[0] is not None:
+                        while (await client.answer(await client.send_request()))[0] is not None:
                             await trio.sleep(0.1)
                     if told["known"]["cmds"][0]["nodes"]["servers"]:
                         await trio.sleep(0.5)  # until it is on disk
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -1,4 +1,4 @@
-"""What tests over sockets share: scenes with an end, clients that leave, a stand-in command channel."""
+"""Helpers of the tests over sockets: time limits, barriers, transports, and a fake command channel."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 from fordstair.core.ports import AttemptRequest, Call, Engine, QueryProgress
 from fordstair.net.engines.endpoint import PooledConnection
-from fordstair.program import Program as Coordination
+from fordstair.program import Program as CoordinatorProgram
 from tests.standins import Client
 
 ROWS = [b"a\tb\tc\nd\te\tf\n", {}]
 
 
-def play(scene: Callable[[], Awaitable[None]], within_s: float = 60.0) -> None:
-    """Run one scene, with an end to it in any case."""
+def run_with_timeout(scenario: Callable[[], Awaitable[None]], within_s: float = 60.0) -> None:
+    """Run a scenario; fail it after ``within_s``."""
 
     async def bounded() -> None:
         with trio.fail_after(within_s):
-            await scene()
+            await scenario()
 
     trio.run(bounded)
 
 
-class Nowhere:
-    """A transport for engines that are only listed."""
+class UnusedTransport:
+    """A transport for engines that get no attempt."""
 
     def call(self, attempt_request: AttemptRequest) -> Call:
         raise AssertionError
@@ -38,7 +38,7 @@
         pass
 
 
-class Endless(Nowhere):
+class EndlessTransport(UnusedTransport):
     """A transport whose attempts never end."""
 
     def call(self, attempt_request: AttemptRequest) -> Call:
@@ -46,7 +46,7 @@
 
 
 class EndlessCall:
-    """One of its attempts."""
+    """An attempt of EndlessTransport."""
 
     async def start(self) -> QueryProgress:
         await trio.sleep_forever()
@@ -64,17 +64,17 @@
         pass
 
 
-async def ends(client: Client, within_s: float) -> bytes:
-    """Read to the end of a connection that is closed without a reset; return what came."""
-    got = b""
+async def read_to_end(client: Client, within_s: float) -> bytes:
+    """Read until the coordinator closes the connection without a reset; return the data."""
+    data = b""
     with trio.fail_after(within_s):
         while chunk := await client.stream.receive_some(65536):
-            got += chunk
-    return got
+            data += chunk
+    return data
 
 
 def frame(number: int, *states: tuple[int, str, int], kind: int = 2) -> bytes:
-    """A frame of changes: id, address and state of each engine."""
+    """Return a frame of changes, from the id, address and state of each engine."""
     records = b""
     for name, address, state in states:
         host, _, port = address.partition(":")
@@ -84,35 +84,42 @@
 
 
 class Channel:
-    """A stand-in command channel; notes the numbers that a coordinator connects with."""
+    """A fake command channel.
+
+    Attributes:
+        cursors: The cursor that the coordinator sent on each connection.
+        frames: Sent at the start of each connection.
+        heartbeats: Whether heartbeats are sent.
+        lock: Keeps the bytes of a heartbeat and of a frame apart.
+    """
 
     def __init__(self) -> None:
         self.cursors: list[int] = []
         self.streams: list[trio.SocketStream] = []
         self.frames: list[bytes] = []
-        self.beats = True
-        self.lock = trio.Lock()  # a beat and a frame of the test must not be written at once
+        self.heartbeats = True
+        self.lock = trio.Lock()
 
     async def serve(self, stream: trio.SocketStream) -> None:
         self.cursors.append(int.from_bytes(await stream.receive_some(8), "big"))
         self.streams.append(stream)
         try:
-            for one in self.frames:
+            for data in self.frames:
                 async with self.lock:
-                    await stream.send_all(one)
+                    await stream.send_all(data)
             while True:
-                if self.beats:
+                if self.heartbeats:
                     async with self.lock:
                         await stream.send_all(frame(0, kind=0))
                 await trio.sleep(0.2)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
 
-    async def tell(self, one: bytes) -> None:
+    async def send(self, data: bytes) -> None:
         async with self.lock:
-            await self.streams[-1].send_all(one)
+            await self.streams[-1].send_all(data)
 
-    async def connected(self, times: int) -> None:
+    async def wait_connected(self, times: int) -> None:
         while len(self.streams) < times:
             await trio.sleep(0.01)
 
@@ -126,19 +133,19 @@
         nursery.cancel_scope.cancel()
 
 
-async def until(true: Callable[[], object], within_s: float = 10.0) -> None:
-    """Wait for a state, not for a time."""
+async def until(condition: Callable[[], object], within_s: float = 10.0) -> None:
+    """Wait until a condition holds; fail after ``within_s``."""
     with trio.fail_after(within_s):
-        while not true():
+        while not condition():
             await trio.sleep(0.002)
 
 
-def cancels(client: Client, number: int) -> Awaitable[None]:
+def send_cancel(client: Client, number: int) -> Awaitable[None]:
     return client.send([2, "cancelRequest", [number]])
 
 
 class Gate:
-    """Holds whoever comes to it until it is opened."""
+    """Blocks its callers until it is open; ``held`` counts those that had to wait."""
 
     def __init__(self) -> None:
         self.open, self.held = trio.Event(), 0
@@ -148,36 +155,37 @@
         await self.open.wait()
 
 
-def hold_connects(one: Coordination) -> Gate:
-    """Connections to engines come up once the gate is opened."""
-    gate, connects = Gate(), one.pool.connector.connect
+def hold_connects(program: CoordinatorProgram) -> Gate:
+    """Delay new connections to engines until the gate is open."""
+    gate, connect = Gate(), program.pool.connector.connect
 
-    async def late(endpoint: Any, timeout_ms: float) -> PooledConnection:
+    async def connect_late(endpoint: Any, timeout_ms: float) -> PooledConnection:
         await gate()
-        return await connects(endpoint, timeout_ms)
+        return await connect(endpoint, timeout_ms)
 
-    one.pool.connector.connect = late  # type: ignore[method-assign]
+    program.pool.connector.connect = connect_late  # type: ignore[method-assign]
     return gate
 
 
 def hold_reads(monkeypatch: pytest.MonkeyPatch, taken: bool) -> Gate:
-    """What clients send is read once the gate is opened; or it is read before, and on its way until then.
+    """Delay the reads from clients until the gate is open; with ``taken``, delay them after the data is read.
 
-    The second is what trio does as well: between a read that succeeds at once and its return others run.
+    Only reads from connections to the ports in ``gate.ports`` are delayed. The delay after a read also occurs
+    in trio: other tasks run between a read that succeeds at once and its return.
     """
-    gate, reads = Gate(), trio.SocketStream.receive_some
+    gate, receive_some = Gate(), trio.SocketStream.receive_some
 
-    async def held(stream: trio.SocketStream, most: int | None = None) -> bytes:
-        if most != 65_536 or stream.socket.getsockname()[1] not in gate.ports:  # type: ignore[attr-defined]
-            return await reads(stream, most)
+    async def receive_late(stream: trio.SocketStream, max_bytes: int | None = None) -> bytes:
+        if max_bytes != 65_536 or stream.socket.getsockname()[1] not in gate.ports:  # type: ignore[attr-defined]
+            return await receive_some(stream, max_bytes)
         if taken:
-            data = await reads(stream, most)
-            with trio.move_on_after(10.0, shield=True):  # a test that has failed must end
+            data = await receive_some(stream, max_bytes)
+            with trio.move_on_after(10.0, shield=True):  # A failed test must still end.
                 await gate()
             return data
         await gate()
-        return await reads(stream, most)
+        return await receive_some(stream, max_bytes)
 
     gate.ports = set[int]()  # type: ignore[attr-defined]
-    monkeypatch.setattr(trio.SocketStream, "receive_some", held)
+    monkeypatch.setattr(trio.SocketStream, "receive_some", receive_late)
     return gate
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what a coordinator talks to, written from the protocol page: an engine and a client."""
+"""A fake engine and a client, written from the protocol's specification, and ways to run the program."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from fordstair.configuration.platform import parse
 from fordstair.lab import platform_settings
 from fordstair.lab.coordinator_process import CoordinatorProcess
-from fordstair.program import Program as Coordination
+from fordstair.program import Program as CoordinatorProgram
 
 ROOT = Path(__file__).parent.parent
 SETTINGS: dict[str, Any] = platform_settings.SETTINGS | {
@@ -26,14 +26,20 @@
     "extra": platform_settings.SETTINGS["extra"] | {"cpuOfKind": [12]},
 }
 
-Answered = tuple[int, dict[str, str], bytes]
-Script = Callable[["RestEngine", str, str, dict[str, str], bytes], Awaitable[Answered | bytes | None]]
+Response = tuple[int, dict[str, str], bytes]
+Script = Callable[["RestEngine", str, str, dict[str, str], bytes], Awaitable[Response | bytes | None]]
 
 
 class RestEngine:
-    """Answers as its script says; None breaks the connection, bytes go out as they are and are its last.
+    """Responds as its script says.
 
-    Counts calls, and keeps the POSTs.
+    If the script returns None, the connection is closed. If it returns bytes, they are sent as they are, and
+    nothing is sent after them.
+
+    Attributes:
+        calls: The number of requests by method, of ``connections``, and of reads ``after raw bytes``.
+        posts: The headers and the body of each POST.
+        deleted: The path of each DELETE.
     """
 
     def __init__(self, script: Script) -> None:
@@ -58,18 +64,18 @@
                 elif isinstance(event, h11.Data):
                     body += bytes(event.data)
                 elif isinstance(event, h11.EndOfMessage) and request is not None:
-                    answered = await self._answer(request, body)
-                    if answered is None:
+                    response = await self._answer(request, body)
+                    if response is None:
                         return
-                    if isinstance(answered, bytes):
-                        await stream.send_all(answered)
+                    if isinstance(response, bytes):
+                        await stream.send_all(response)
                         while await stream.receive_some(65536):
                             self.calls["after raw bytes"] += 1
                         return
-                    status, headers, text = answered
+                    status, headers, text = response
                     fields = [*headers.items(), ("Content-Length", str(len(text)))]
-                    response = h11.Response(status_code=status, headers=fields)
-                    out = (http.send(response) or b"") + (http.send(h11.Data(data=text)) or b"")
+                    head = h11.Response(status_code=status, headers=fields)
+                    out = (http.send(head) or b"") + (http.send(h11.Data(data=text)) or b"")
                     await stream.send_all(out + (http.send(h11.EndOfMessage()) or b""))
                     http.start_next_cycle()
                 else:
@@ -79,7 +85,7 @@
         finally:
             await trio.aclose_forcefully(stream)
 
-    async def _answer(self, request: h11.Request, body: bytes) -> Answered | bytes | None:
+    async def _answer(self, request: h11.Request, body: bytes) -> Response | bytes | None:
         method, path = request.method.decode(), request.target.decode()
         headers = {name.decode(): value.decode() for name, value in request.headers}
         self.calls[method] += 1
@@ -90,10 +96,10 @@
         return await self.script(self, method, path, headers, body)
 
 
-async def at_once(
+async def serve_at_once(
     engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-) -> Answered | None:
-    """Serve every query at once, in two pages."""
+) -> Response | None:
+    """Serve every query without delay, in two pages."""
     if method == "POST":
         return 200, {"X-Sheets": "2", "X-Gauges": "inflight:1;util:0.10"}, b"a\tb\tc\n"
     if method == "GET" and path.endswith("/1"):
@@ -101,67 +107,67 @@
     return 204, {}, b""
 
 
-async def never(
+async def never_finish(
     engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-) -> Answered | None:
-    """Run every query for ever."""
+) -> Response | None:
+    """Report every query as still running."""
     if method in ("DELETE", "PUT"):
         return 204, {}, b""
     await trio.sleep(0.05)
     return 202, {}, b""
 
 
-async def breaks(
+async def break_connection(
     engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-) -> Answered | None:
-    """Break the connection once the query is there."""
+) -> Response | None:
+    """Close the connection after each request."""
     return None
 
 
 class Client:
-    """A MessagePack-RPC client that keeps every answer it gets."""
+    """A MessagePack-RPC client that keeps every answer that it receives."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
-        self.stream, self.last, self.answers = stream, 0, dict[int, list[Any]]()
+        self.stream, self.last_id, self.answers = stream, 0, dict[int, list[Any]]()
         self._unpacker = msgpack.Unpacker()
 
-    async def ask(
+    async def send_request(
         self, class_name: str = "lookup", body: object = b"SELECT a FROM sales_17.orders", **fields: str
     ) -> int:
         """Send a request; return its id."""
-        self.last += 1
-        told = {
-            "txn": f"{self.last:016x}",
+        self.last_id += 1
+        all_fields = {
+            "txn": f"{self.last_id:016x}",
             "limit": "3000",
             "team": "karri-energy",
             "cpu": "200.0",
             "need_mb": "96",
         } | fields
-        await self.send([0, self.last, class_name, [told, body]])
-        return self.last
+        await self.send([0, self.last_id, class_name, [all_fields, body]])
+        return self.last_id
 
     async def send(self, message: object) -> None:
-        """Send any message."""
+        """Send a message as it is."""
         await self.stream.send_all(msgpack.packb(message))
 
     async def answer(self, number: int, within_s: float = 20.0) -> tuple[Any, Any]:
-        """Wait for an answer; return its error and result. A second answer is an error here."""
+        """Wait for an answer; return its error and result. Fails if a request gets a second answer."""
         with trio.fail_after(within_s):
             while number not in self.answers:
                 chunk = await self.stream.receive_some(65536)
                 assert chunk, "the coordinator closed the connection"
                 self._unpacker.feed(chunk)
-                for kind, answered, error, result in self._unpacker:
+                for kind, answered_id, error, result in self._unpacker:
                     assert kind == 1
-                    assert answered not in self.answers
-                    self.answers[answered] = [error, result]
+                    assert answered_id not in self.answers
+                    self.answers[answered_id] = [error, result]
         error, result = self.answers[number]
         return error, result
 
 
 @asynccontextmanager
-async def engine(script: Script = at_once) -> AsyncIterator[RestEngine]:
-    """A stand-in engine on a port of its own."""
+async def engine(script: Script = serve_at_once) -> AsyncIterator[RestEngine]:
+    """Run a fake engine on a port of its own."""
     one = RestEngine(script)
     async with trio.open_nursery() as nursery:
         listeners = await nursery.start(partial(trio.serve_tcp, one.serve, 0, host="127.0.0.1"))
@@ -170,8 +176,8 @@
         nursery.cancel_scope.cancel()
 
 
-def config(*addresses: str, channel: str = "", **more: Any) -> dict[str, Any]:
-    """A configuration that lists engines at these addresses."""
+def config(*addresses: str, channel: str = "", **fields: Any) -> dict[str, Any]:
+    """Return a configuration that lists engines at these addresses."""
     servers = [
         {
             "id": f"s-{number:08x}",
@@ -194,26 +200,31 @@
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": known,
         "settings": SETTINGS,
-        **more,
+        **fields,
     }
 
 
 class Program:
-    """The real program, started with a configuration."""
+    """The real program, as a process with a configuration.
+
+    Attributes:
+        path: The path of its configuration.
+        ports: The port of each front.
+    """
 
     def __init__(self, process: CoordinatorProcess, path: Path) -> None:
         self.process = process
-        self.path = path  # of its configuration
+        self.path = path
         self.ports: dict[str, int] = {}
         self._last_log: list[str] | None = None
 
     @property
     def log(self) -> list[str]:
-        """The lines of its log so far, after its end as well."""
+        """The lines of its log so far; also available after it has stopped."""
         return self.process.log_lines() if self._last_log is None else self._last_log
 
     def close_log(self) -> None:
-        """Keep the lines: the file goes with its folder."""
+        """Keep the log's lines, because its file is deleted with the folder."""
         self._last_log = self.process.log_lines()
 
     async def client(self) -> Client:
@@ -221,7 +232,7 @@
         return Client(await trio.open_tcp_stream("127.0.0.1", self.ports["listens"]))
 
     async def stop(self) -> int:
-        """Send SIGTERM and wait for the end."""
+        """Send SIGTERM, wait until the process exits, and return its exit status."""
         self.process.terminate()
         with trio.fail_after(20.0):
             return await self.process.wait()
@@ -229,19 +240,19 @@
 
 @asynccontextmanager
 async def program(
-    told: dict[str, Any],
+    configuration: dict[str, Any],
     *arguments: str,
     fronts: int | None = None,
     module: str = "fordstair",
     environ: dict[str, str] | None = None,
 ) -> AsyncIterator[Program]:
-    """Run ``python -m fordstair`` on a configuration, until so many fronts listen.
+    """Run ``python -m fordstair`` on a configuration, and wait until ``fronts`` fronts listen.
 
-    By default these are the platform's, and OData's where there is an operator's file.
+    By default these are the platform's front, and OData's if the arguments name an operator's file.
     """
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
-        path.write_text(ujson.dumps(told))
+        path.write_text(ujson.dumps(configuration))
         process = CoordinatorProcess(
             ["-m", module, *arguments],
             Path(folder) / "log",
@@ -257,9 +268,9 @@
 
 
 @asynccontextmanager
-async def inside(told: dict[str, Any]) -> AsyncIterator[Coordination]:
-    """The program within this process, so that a test can hold its parts at a barrier."""
-    one = Coordination(parse(told), None, lambda: parse(told))
+async def run_in_process(configuration: dict[str, Any]) -> AsyncIterator[CoordinatorProgram]:
+    """Run the program in this process, so that a test can hold its parts at a barrier."""
+    one = CoordinatorProgram(parse(configuration), None, lambda: parse(configuration))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(one.run)
         with trio.fail_after(20.0):
@@ -269,6 +280,6 @@
         nursery.cancel_scope.cancel()
 
 
-async def connect(one: Coordination) -> Client:
-    """Connect a client to a program within this process."""
+async def connect(one: CoordinatorProgram) -> Client:
+    """Connect a client to a program that runs in this process."""
     return Client(await trio.open_tcp_stream(*one.listeners[0].socket.getsockname()))
--- a/tests/test_budgets_processes.py
+++ b/tests/test_budgets_processes.py
@@ -13,7 +13,7 @@
 
 from fordstair.lab.budget_trial import THREADS, RunningFleet, running_fleet
 from fordstair.lab.relay import Faults
-from tests.scenes import play as run_with_timeout
+from tests.scenes import run_with_timeout as run_with_timeout
 
 
 def run_scene(scene: Callable[[Path], Awaitable[None]]) -> None:
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -15,8 +15,18 @@
 from fordstair.net.clients.rpc_front import RpcFront
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
-from tests.scenes import ROWS, Endless, ends, hold_reads, play, until
-from tests.standins import Answered, RestEngine, at_once, config, connect, engine, inside, never, program
+from tests.scenes import ROWS, EndlessTransport, hold_reads, read_to_end, run_with_timeout, until
+from tests.standins import (
+    Response,
+    RestEngine,
+    config,
+    connect,
+    engine,
+    never_finish,
+    program,
+    run_in_process,
+    serve_at_once,
+)
 
 HALF = msgpack.packb([0, 1, "lookup", [{}, b"x" * 50]])[:-9]
 
@@ -29,34 +39,34 @@
     async def scene() -> None:
         async with engine() as one, program(config(one.address)) as node:
             client, asked = await node.client(), await node.client()
-            assert await asked.answer(await asked.ask()) == (None, ROWS)
+            assert await asked.answer(await asked.send_request()) == (None, ROWS)
             await client.stream.send_all(sent)
-            assert await ends(client, 10.0) == b""
+            assert await read_to_end(client, 10.0) == b""
             # one that has asked may hold its connection in silence, but not stop in a message
-            assert await asked.answer(await asked.ask()) == (None, ROWS)
+            assert await asked.answer(await asked.send_request()) == (None, ROWS)
             await asked.stream.send_all(HALF.replace(b"\x00\x01", b"\x00\x09", 1))
-            assert await ends(asked, 10.0) == b""
+            assert await read_to_end(asked, 10.0) == b""
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("noise", [b"\xc1", msgpack.packb([0, 1, "lookup", [{}, b""]]), ENDLESS])
 def test_what_cannot_be_read_closes_the_connection_whatever_else_is_open(noise: bytes) -> None:
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never_finish) as one, program(config(one.address)) as node:
             client = await node.client()
-            await client.ask(limit="20000")
+            await client.send_request(limit="20000")
             while not one.posts:
                 await trio.sleep(0.01)
             await client.stream.send_all(noise)
             unread = b"x" * 200_000  # still on its way: a plain close would send a reset
             await client.stream.send_all(unread)
-            got = await ends(client, 5.0)
+            got = await read_to_end(client, 5.0)
             assert (b"Invalid" in got) == (noise != b"\xc1")
             while not one.deleted:  # its query is given up
                 await trio.sleep(0.01)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_large_body_is_refused_by_its_head() -> None:
@@ -64,9 +74,9 @@
         async with engine() as one, program(config(one.address)) as node:
             client = await node.client()
             await client.stream.send_all(ENDLESS)
-            assert b"Invalid" in await ends(client, 5.0)
+            assert b"Invalid" in await read_to_end(client, 5.0)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_silent_connections_make_room_for_clients_that_ask() -> None:
@@ -74,15 +84,16 @@
         limits = {"cores": 1.0, "memory_mb": 64, "sockets": 128}  # room for 51 clients
         async with engine() as one, program(config(one.address, limits=limits)) as node:
             first = await node.client()
-            assert await first.answer(await first.ask()) == (None, ROWS)
+            assert await first.answer(await first.send_request()) == (None, ROWS)
             silent = [await node.client() for _ in range(45)]
             await trio.sleep(0.5)
             for client in [await node.client() for _ in range(20)]:
-                assert await client.answer(await client.ask()) == (None, ROWS)
-            assert await first.answer(await first.ask()) == (None, ROWS)  # it asked, and was not shed
+                assert await client.answer(await client.send_request()) == (None, ROWS)
+            # The first client has sent a request, so it was not shed.
+            assert await first.answer(await first.send_request()) == (None, ROWS)
             assert len(silent) == 45
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_new_connection_has_time_to_ask_while_there_are_idle_ones() -> None:
@@ -123,7 +134,7 @@
         assert not front.coordinator.counters["client.rejected"]
         assert front.coordinator.counters["client.connections"] == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_connection_whose_request_is_read_and_not_handled_yet_is_not_shed(
@@ -134,21 +145,21 @@
     gate.open.set()
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
             client = await connect(node)
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             node.rpc.max_clients = 1
             gate.open = trio.Event()
-            number = await client.ask()
+            number = await client.send_request()
             await until(lambda: gate.held)
             other = await connect(node)
-            assert await ends(other, 5.0) == b""  # there is no room: the first is not idle
+            assert await read_to_end(other, 5.0) == b""  # there is no room: the first is not idle
             gate.open.set()
             assert await client.answer(number) == (None, ROWS)
             assert not any("internal_error" in name for name in node.counters.snapshot())
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_messages_in_pieces_are_timed_each_by_itself() -> None:
@@ -181,7 +192,9 @@
 
     async def scene() -> None:
         deadlines = Deadlines(lambda: trio.current_time() * 1_000.0)
-        coordinator = Coordinator(parse(config()).settings, 1, {"rest": Endless()}, deadlines, Counters())
+        coordinator = Coordinator(
+            parse(config()).settings, 1, {"rest": EndlessTransport()}, deadlines, Counters()
+        )
         front = RpcFront(coordinator)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(deadlines.run)
@@ -227,7 +240,7 @@
         assert not front.clients
         assert coordinator.counters["client.write_stalled"] == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 0.3])
@@ -237,19 +250,19 @@
 
         async def later(
             one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-        ) -> Answered | bytes | None:
+        ) -> Response | bytes | None:
             if not done.is_set():
                 await trio.sleep(0.05)
                 return 202, {}, b""
             return (
-                await at_once(one, method, path, headers, body)
+                await serve_at_once(one, method, path, headers, body)
                 if method != "GET" or path.endswith("/1")
                 else (200, {"X-Sheets": "2"}, b"a\tb\tc\n")
             )
 
-        async with engine(later) as one, inside(config(one.address)) as node:
+        async with engine(later) as one, run_in_process(config(one.address)) as node:
             client = await connect(node)
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: one.posts)
             second = HALF.replace(b"\x00\x01", b"\x00\x02", 1)
             if pause_s:  # some bytes at a time
@@ -262,4 +275,4 @@
             done.set()
             assert await client.answer(number) == (None, ROWS)
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -18,16 +18,26 @@
 from fordstair.net.clients.odata_statements import PendingReply
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
-from tests.scenes import ROWS, cancels, hold_connects, hold_reads, play, until
-from tests.standins import Answered, Client, RestEngine, config, connect, engine, inside, never, program
+from tests.scenes import ROWS, hold_connects, hold_reads, run_with_timeout, send_cancel, until
+from tests.standins import (
+    Client,
+    Response,
+    RestEngine,
+    config,
+    connect,
+    engine,
+    never_finish,
+    program,
+    run_in_process,
+)
 
 
 def test_queries_given_up_one_after_the_other_cost_no_new_connections() -> None:
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never_finish) as one, program(config(one.address)) as node:
             client = await node.client()
             for number in range(1, 9):
-                await client.ask("settlement", limit="20000")
+                await client.send_request("settlement", limit="20000")
                 asked = one.calls["GET"]
                 while len(one.posts) < number or one.calls["GET"] == asked:
                     await trio.sleep(0.02)
@@ -37,7 +47,7 @@
                 await trio.sleep(0.1)
             assert one.calls["connections"] <= 2  # one that asks, one beside it
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_post_that_nobody_waits_for_any_more_cannot_be_read_late() -> None:
@@ -58,7 +68,7 @@
             address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
             async with program(config(address)) as node:
                 client = await node.client()
-                await client.ask("settlement", limit="20000")
+                await client.send_request("settlement", limit="20000")
                 await trio.sleep(0.1)
                 await client.send([2, "cancelRequest", [1]])
                 while not ends:
@@ -66,7 +76,7 @@
             nursery.cancel_scope.cancel()
         assert ends == [True]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_is_withdrawn_before_its_turn_leaves_nothing_behind() -> None:
@@ -91,14 +101,14 @@
             assert gateway.engines["s-1"].own_threads == 0
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_cancelled_request_gets_no_answer_and_leaves_its_engine() -> None:
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never_finish) as one, program(config(one.address)) as node:
             client = await node.client()
-            number = await client.ask()
+            number = await client.send_request()
             while not one.posts:
                 await trio.sleep(0.01)
             await client.send([2, "cancelRequest", [number]])
@@ -108,7 +118,7 @@
             await client.answer(99)
             assert list(client.answers) == [99]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def closes(client: Client, number: int) -> Awaitable[None]:
@@ -123,17 +133,17 @@
 Leaves = Callable[[Client, int], Awaitable[None]]
 
 
-LEAVES = [cancels, closes, resets]
+LEAVES = [send_cancel, closes, resets]
 
 
 @pytest.mark.parametrize("leave", LEAVES)
 def test_nothing_is_begun_for_a_client_that_leaves_while_a_connection_comes_up(leave: Leaves) -> None:
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             gate = hold_connects(node)
             node.pool.connect_timeout_ms = 20_000.0
             client = await connect(node)
-            number = await client.ask(limit="20000")
+            number = await client.send_request(limit="20000")
             await until(lambda: gate.held)
             await leave(client, number)
             await until(lambda: not node.coordinator.live)
@@ -143,21 +153,21 @@
             assert not one.posts
             assert node.counters["client.disconnected"] == 1
             asks = await connect(node)  # what was begun for it serves another
-            assert await asks.answer(await asks.ask(txn="00000000000000aa")) == (None, ROWS)
+            assert await asks.answer(await asks.send_request(txn="00000000000000aa")) == (None, ROWS)
             assert one.calls["connections"] == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("leave", LEAVES)
 def test_nothing_is_begun_for_a_client_that_leaves_while_there_is_no_room(leave: Leaves) -> None:
     async def scene() -> None:
-        async with engine(never) as one, inside(config(one.address)) as node:
+        async with engine(never_finish) as one, run_in_process(config(one.address)) as node:
             node.pool.resize(1)
             first, client = await connect(node), await connect(node)
-            await first.ask(limit="20000", txn="00000000000000aa")
+            await first.send_request(limit="20000", txn="00000000000000aa")
             await until(lambda: one.posts)
-            number = await client.ask(limit="20000")
+            number = await client.send_request(limit="20000")
             await until(lambda: node.pool._capacity_waiters)
             await leave(client, number)
             await until(lambda: not node.pool._capacity_waiters and len(node.coordinator.live) == 1)
@@ -166,11 +176,12 @@
             await wait_all_tasks_blocked(0.05)
             assert len(one.posts) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
-    ("leave", "taken"), [(cancels, False), (cancels, True), (closes, False), (closes, True), (resets, False)]
+    ("leave", "taken"),
+    [(send_cancel, False), (send_cancel, True), (closes, False), (closes, True), (resets, False)],
 )
 def test_nothing_further_is_begun_for_a_client_whose_leaving_is_not_heeded_yet(
     monkeypatch: pytest.MonkeyPatch, leave: Leaves, taken: bool
@@ -181,15 +192,19 @@
 
     async def full(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> Answered | bytes | None:
+    ) -> Response | bytes | None:
         await answer.wait()
         return 503, {"X-Unrun": "1"}, b""
 
     async def scene() -> None:
-        async with engine(full) as one, engine(full) as two, inside(config(one.address, two.address)) as node:
+        async with (
+            engine(full) as one,
+            engine(full) as two,
+            run_in_process(config(one.address, two.address)) as node,
+        ):
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
             client = await connect(node)
-            number = await client.ask(limit="20000")
+            number = await client.send_request(limit="20000")
             await until(lambda: one.posts or two.posts)
             gate.open = trio.Event()
             await leave(client, number)
@@ -204,19 +219,19 @@
             await wait_all_tasks_blocked(0.05)
             assert len(one.posts) + len(two.posts) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("leave", LEAVES)
 def test_a_query_whose_client_has_gone_is_given_up_at_its_engine(leave: Leaves) -> None:
     async def scene() -> None:
-        async with engine(never) as one, inside(config(one.address)) as node:
+        async with engine(never_finish) as one, run_in_process(config(one.address)) as node:
             client = await connect(node)
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: one.posts)
             await leave(client, number)
             await until(lambda: one.deleted)
             await until(lambda: not node.coordinator.live)
             assert len(one.posts) == 1
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_connection_bursts.py
+++ b/tests/test_connection_bursts.py
@@ -18,8 +18,8 @@
 from fordstair.runtime.clock import monotonic_now
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
-from tests.scenes import ROWS, hold_reads, play, until
-from tests.standins import config, connect, engine, inside, never
+from tests.scenes import ROWS, hold_reads, run_with_timeout, until
+from tests.standins import config, connect, engine, never_finish, run_in_process
 
 SLACK_MS = 150.0  # by which a limit may exceed what the client has left
 ACCEPTED_WITHIN_MS = 250.0
@@ -145,19 +145,19 @@
     gate = hold_reads(monkeypatch, taken=True)
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             ahead = [0.0]
             node.deadlines.clock = lambda: monotonic_now() + ahead[0]
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
             client = await connect(node)
-            number = await client.ask(limit="3000")
+            number = await client.send_request(limit="3000")
             await until(lambda: gate.held)
             ahead[0] = 700.0
             gate.open.set()
             assert await client.answer(number) == (None, ROWS)
             assert float(one.posts[0][0]["x-limit-ms"]) <= 3_000.0 - 700.0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_timed_stream_dates_what_is_read_by_the_turn_that_reads_it(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -188,19 +188,19 @@
 def test_requests_that_come_at_once_on_open_connections_are_not_all_counted_before_one_can_end() -> None:
     # Guards against rejections after a stall: all that came in it filled the threads in one turn.
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             clients = [await connect(node) for _ in range(3)]
             for number, client in enumerate(clients):
-                assert await client.answer(await client.ask(txn=f"a{number:015x}")) == (None, ROWS)
+                assert await client.answer(await client.send_request(txn=f"a{number:015x}")) == (None, ROWS)
             for number, client in enumerate(clients):  # written before the program has a turn
                 sent = b"".join(
-                    request(client.last + 1 + each, f"{number:08x}{each:08x}") for each in range(AT_ONCE)
+                    request(client.last_id + 1 + each, f"{number:08x}{each:08x}") for each in range(AT_ONCE)
                 )
                 os.write(client.stream.socket.fileno(), sent)
             answers = [await client.answer(2 + each) for client in clients for each in range(AT_ONCE)]
             assert answers == [(None, ROWS)] * len(answers)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_request_on_an_open_connection_does_not_wait_for_a_flood_of_new_ones() -> None:
@@ -208,9 +208,9 @@
     flood = 150
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             client = await connect(node)
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             address = node.listeners[0].socket.getsockname()
             others = [socket.create_connection(address) for _ in range(flood)]
             for number, other in enumerate(others):
@@ -221,13 +221,13 @@
             for other in others:
                 other.close()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_waits_for_its_turn_when_the_program_ends_is_answered_in_the_next_one() -> None:
     # Guards against a drain whose time is over before the last of a burst has had its turn.
     async def scene() -> None:
-        async with engine(never) as one, inside(config(one.address)) as node:
+        async with engine(never_finish) as one, run_in_process(config(one.address)) as node:
             client = await connect(node)
             sent = b"".join(request(number, f"{number:016x}") for number in range(1, AT_ONCE + 1))
             os.write(client.stream.socket.fileno(), sent)
@@ -243,7 +243,7 @@
             for number in range(1, AT_ONCE + 1):
                 assert (await client.answer(number))[0][0] == "Overloaded"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def request(number: int, txn: str) -> bytes:
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -16,18 +16,18 @@
 from fordstair.net.engines.rest import RestTransport
 from fordstair.runtime.clock import monotonic_now
 from fordstair.runtime.deadlines import Deadlines
-from tests.scenes import ROWS, Gate, cancels, channel, frame, hold_connects, play, until
+from tests.scenes import ROWS, Gate, channel, frame, hold_connects, run_with_timeout, send_cancel, until
 from tests.standins import (
     SETTINGS,
-    Answered,
+    Response,
     RestEngine,
-    at_once,
-    breaks,
+    break_connection,
     config,
     connect,
     engine,
-    inside,
-    never,
+    never_finish,
+    run_in_process,
+    serve_at_once,
 )
 
 
@@ -51,7 +51,7 @@
             nursery.cancel_scope.cancel()
         assert 1 <= pool.tries <= 8
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_connection_in_use_is_not_used_again_once_another_process_has_its_address() -> None:
@@ -59,43 +59,43 @@
 
     async def held(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> Answered | bytes | None:
+    ) -> Response | bytes | None:
         if method == "GET":
             await told.wait()
-        return await never(one, method, path, headers, body)
+        return await never_finish(one, method, path, headers, body)
 
     async def scene() -> None:
         async with (
             engine(held) as one,
             channel() as (commands, where),
-            inside(config(one.address, channel=where)) as node,
+            run_in_process(config(one.address, channel=where)) as node,
         ):
             client = await connect(node)
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: one.calls["GET"])
-            await commands.connected(1)
-            await commands.tell(frame(2, (0, one.address, 2)))  # its engine is gone from the list
+            await commands.wait_connected(1)
+            await commands.send(frame(2, (0, one.address, 2)))  # its engine is gone from the list
             await until(lambda: not node.coordinator.engines)
             told.set()
             await until(lambda: one.calls["GET"] > 1)
-            await cancels(client, number)
+            await send_cancel(client, number)
             await until(lambda: one.deleted and not node.coordinator.live)
             opened = one.calls["connections"]
-            one.script = at_once
-            await commands.tell(frame(3, (9, one.address, 0)))  # a new one is at its address
+            one.script = serve_at_once
+            await commands.send(frame(3, (9, one.address, 0)))  # a new one is at its address
             await until(lambda: node.coordinator.engines)
             assert node.pool.connection_count == 0
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             assert one.calls["connections"] == opened + 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_room_that_was_meant_for_a_call_that_has_just_gone_is_passed_on() -> None:
     """The one that waited first is cancelled in the very moment in which room comes free."""
 
     async def scene() -> None:
-        async with engine(never) as one, inside(config(one.address)) as node:
+        async with engine(never_finish) as one, run_in_process(config(one.address)) as node:
             pool = node.pool
             pool.resize(1)
             held = await pool.acquire(one.address)
@@ -118,12 +118,12 @@
             pool.release(got[0])
             assert pool.connection_count == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_connection_given_to_a_call_that_has_just_gone_is_not_lost() -> None:
     async def scene() -> None:
-        async with engine(never) as one, inside(config(one.address)) as node:
+        async with engine(never_finish) as one, run_in_process(config(one.address)) as node:
             pool = node.pool
             pool.resize(1)
             held, scope = await pool.acquire(one.address), trio.CancelScope()
@@ -142,15 +142,15 @@
             assert pool.connection_count == 1
             assert one.calls["connections"] == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_connection_that_comes_up_late_serves_the_next_query() -> None:
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             gate = hold_connects(node)
             client = await connect(node)
-            error, _ = await client.answer(await client.ask())
+            error, _ = await client.answer(await client.send_request())
             assert error[0] == "Overloaded"
             assert not one.posts
             module = node.coordinator.gateway
@@ -161,10 +161,10 @@
             await until(lambda: node.pool.connection_count == node.counters["engine.connections_late"] > 0)
             await until(lambda: one.calls["connections"] == node.pool.connection_count)
             opened = one.calls["connections"]
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             assert one.calls["connections"] == opened
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_engine_to_which_no_connection_comes_up_for_seconds_counts_as_cold_after_that(
@@ -173,7 +173,7 @@
     monkeypatch.setattr("fordstair.net.engines.connection_policies.LATE_CONNECT_TIMEOUT_MS", 100.0)
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             node.pool.connect_timeout_ms = 20.0
             never_up = trio.Event()
 
@@ -190,7 +190,7 @@
             assert module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) < 1.0
             assert node.pool.connection_count == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def failing(pool: ConnectionPool, address: str) -> None:
@@ -200,17 +200,17 @@
 
 def test_few_connections_are_left_coming_up_to_a_machine_that_never_answers() -> None:
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             hold_connects(node)
             node.pool.connect_timeout_ms = 20.0
             client = await connect(node)
             for _ in range(12):
-                error, _ = await client.answer(await client.ask())
+                error, _ = await client.answer(await client.send_request())
                 assert error[0] == "Overloaded"
             await wait_all_tasks_blocked(0.05)
             assert node.pool.connection_count <= 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def keyed(window_ms: float) -> dict[str, Any]:
@@ -222,7 +222,10 @@
 @pytest.mark.parametrize("late", [False, True])
 def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent(late: bool) -> None:
     async def scene() -> None:
-        async with engine(breaks) as one, inside(config(one.address, settings=keyed(5_000.0))) as node:
+        async with (
+            engine(break_connection) as one,
+            run_in_process(config(one.address, settings=keyed(5_000.0))) as node,
+        ):
             ahead = [0.0]
             node.deadlines.clock = lambda: monotonic_now() + ahead[0]
             node.pool.connect_timeout_ms = 20_000.0
@@ -230,19 +233,21 @@
 
             async def breaks_once(
                 one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-            ) -> Answered | bytes | None:
+            ) -> Response | bytes | None:
                 if method == "GET" and len(one.posts) == 1:
                     if one.calls["GET"] == 2:  # it is asked twice before it counts as lost
                         gate.append(hold_connects(node))  # for the further attempt
                     return b"HTTP/1.1 500 Lost\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-                return await (breaks if len(one.posts) == 1 else at_once)(one, method, path, headers, body)
+                return await (break_connection if len(one.posts) == 1 else serve_at_once)(
+                    one, method, path, headers, body
+                )
 
             one.script = breaks_once
-            number = await client.ask(limit="20000", unique="55cf377728d8d2bd")
+            number = await client.send_request(limit="20000", unique="55cf377728d8d2bd")
             await until(lambda: gate and gate[0].held)
             ahead[0] = 4_700.0 if late else 0.0
             gate[0].open.set()
             error, result = await client.answer(number)
             assert (error, len(one.posts)) == (["Overloaded", error[1]], 1) if late else result == ROWS
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -30,7 +30,7 @@
 from fordstair.net import console_socket
 from fordstair.snapshots.delta import apply_delta, decode
 from fordstair.snapshots.snapshot import Snapshot
-from tests.scenes import play
+from tests.scenes import run_with_timeout
 from tests.standins import ROOT, config, engine, program
 from tests.test_odata import OPERATOR
 
@@ -135,7 +135,7 @@
             assert "Cordon" in log
             assert "verdict=done" in log
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_view_holds_what_the_engines_hold(tmp_path: Path) -> None:
@@ -159,7 +159,7 @@
                 assert one.told("teams")["karri-energy"]["threads"] == 12
                 nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_consoles_keys_and_its_truthfulness_when_the_program_stops(tmp_path: Path) -> None:
@@ -218,7 +218,7 @@
         async with site(tmp_path, engines=2) as one:
             await trio.to_thread.run_sync(lambda: asyncio.run(watched(one)))
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_eight_consoles_one_of_them_stopped_cost_one_frame_and_it_is_cut(tmp_path: Path) -> None:
@@ -258,7 +258,7 @@
             assert traffic.tally.counts["served"] == traffic.tally.counts["asked"]
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_where_the_sockets_path_is_left_behind_in_use_or_not_ours(tmp_path: Path) -> None:
@@ -282,7 +282,7 @@
         assert door.read_text() == "mine"
         assert (await command("status", "--socket", str(tmp_path / "none"))).returncode == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_consoles_path_appears_once_its_socket_listens(
@@ -311,7 +311,7 @@
             await console_socket.listen(path)
         await listener.aclose()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_blocked_log_stalls_no_request(tmp_path: Path) -> None:
@@ -351,7 +351,7 @@
                 os.close(read)
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
@@ -378,7 +378,7 @@
             await stream.send_all(line + b"\n")
             assert "error" in ujson.loads(await stream.receive_some(4096))
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_demo_says_what_became_of_every_request() -> None:
@@ -391,4 +391,4 @@
         assert told["asked"] == told["served"] + told["refused"] + told["failed"]
         assert not told["lost"] + told["answered_twice"] + told["loads_run_twice"]
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -7,23 +7,32 @@
 import pytest
 import trio
 
-from tests.scenes import ROWS, play
-from tests.standins import Answered, RestEngine, at_once, breaks, config, engine, never, program
+from tests.scenes import ROWS, run_with_timeout
+from tests.standins import (
+    Response,
+    RestEngine,
+    break_connection,
+    config,
+    engine,
+    never_finish,
+    program,
+    serve_at_once,
+)
 
 
 def test_answers_come_before_the_client_gives_up_and_the_query_is_dropped() -> None:
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never_finish) as one, program(config(one.address)) as node:
             client = await node.client()
             start = time.monotonic()
-            error, _ = await client.answer(await client.ask("meter-load", limit="900"))
+            error, _ = await client.answer(await client.send_request("meter-load", limit="900"))
             assert error[0] == "Internal"
             assert time.monotonic() - start < 10.0
             while not one.deleted:
                 await trio.sleep(0.01)
             assert len(one.posts) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
@@ -31,13 +40,13 @@
 )
 def test_a_broken_connection_proves_nothing(class_name: str, posts: int, word: str) -> None:
     async def scene() -> None:
-        async with engine(breaks) as one, program(config(one.address)) as node:
+        async with engine(break_connection) as one, program(config(one.address)) as node:
             client = await node.client()
-            error, _ = await client.answer(await client.ask(class_name))
+            error, _ = await client.answer(await client.send_request(class_name))
             assert error[0] == word
             assert 1 <= len(one.posts) <= posts
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_load_goes_out_again_where_it_never_ran() -> None:
@@ -46,15 +55,15 @@
     ) -> tuple[int, dict[str, str], bytes] | None:
         if len(one.posts) == 1 and method == "POST":
             return 503, {"X-Unrun": "1"}, b""
-        return await at_once(one, method, path, headers, body)
+        return await serve_at_once(one, method, path, headers, body)
 
     async def scene() -> None:
         async with engine(full_once) as one, program(config(one.address)) as node:
             client = await node.client()
-            assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
+            assert await client.answer(await client.send_request("meter-load")) == (None, ROWS)
             assert len(one.posts) == 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 PAGE = b"a\tb\tc\n"
@@ -69,13 +78,13 @@
 
     async def script(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> Answered | bytes | None:
+    ) -> Response | bytes | None:
         if f"{method} {path}".startswith(where) and not spoilt:
             spoilt.append(path)
             return first
         if method == "GET" and path.endswith("/0"):  # after a good end it gives that answer again
             return 200, {"X-Sheets": "2"}, PAGE
-        return await at_once(one, method, path, headers, body)
+        return await serve_at_once(one, method, path, headers, body)
 
     return spoilt, script
 
@@ -100,11 +109,11 @@
         spoilt, script = spoils(first, where)
         async with engine(script) as one, program(config(one.address)) as node:  # type: ignore[arg-type]
             client = await node.client()
-            assert await client.answer(await client.ask("meter-load", limit="20000")) == (None, ROWS)
+            assert await client.answer(await client.send_request("meter-load", limit="20000")) == (None, ROWS)
             assert spoilt
             assert len(one.posts) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
@@ -116,12 +125,12 @@
         spoilt, script = spoils(first, "POST")
         async with engine(script) as one, program(config(one.address)) as node:  # type: ignore[arg-type]
             client = await node.client()
-            assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
+            assert await client.answer(await client.send_request("meter-load")) == (None, ROWS)
             assert spoilt
             assert not one.calls["after raw bytes"]
             assert one.calls["POST"] == one.calls["GET"] == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_may_still_run_is_given_up_before_a_second_attempt() -> None:
@@ -129,38 +138,38 @@
 
     async def loses(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> Answered | bytes | None:
+    ) -> Response | bytes | None:
         order.append(method)
         if method != "DELETE" and len(one.posts) == 1:
             return None
-        return await at_once(one, method, path, headers, body)
+        return await serve_at_once(one, method, path, headers, body)
 
     async def scene() -> None:
         async with engine(loses) as one, program(config(one.address)) as node:
             client = await node.client()
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             second = order.index("POST", 1)
             assert "DELETE" in order[:second]
             assert order.count("POST") == 2
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("first", [(202, {}, b""), None])
-def test_what_may_still_run_behind_a_cut_is_followed_by_no_other_attempt(first: Answered | None) -> None:
+def test_what_may_still_run_behind_a_cut_is_followed_by_no_other_attempt(first: Response | None) -> None:
     """The engine has the query, or reset the POST's connection; then nothing of the machine is heard."""
     posts: list[str] = []
 
     async def cut_off(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> Answered | bytes | None:
+    ) -> Response | bytes | None:
         if method == "POST":
             posts.append(one.address)
             if len(posts) == 1:
                 return first
         elif one.address == posts[0]:
             await trio.sleep_forever()
-        return await at_once(one, method, path, headers, body)
+        return await serve_at_once(one, method, path, headers, body)
 
     async def scene() -> None:
         async with (
@@ -169,67 +178,67 @@
             program(config(one.address, two.address)) as node,
         ):
             client = await node.client()
-            error, _ = await client.answer(await client.ask(limit="5000"))
+            error, _ = await client.answer(await client.send_request(limit="5000"))
             assert error[0] == "Overloaded"
             assert len(posts) == 1
             assert "DELETE" in one.calls | two.calls
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(("class_name", "word"), [("lookup", "Overloaded"), ("meter-load", "Internal")])
 def test_a_machine_that_accepts_and_says_nothing_holds_no_call(class_name: str, word: str) -> None:
     async def silent(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> Answered | None:
+    ) -> Response | None:
         await trio.sleep_forever()
         raise AssertionError
 
     async def scene() -> None:
         async with engine(silent) as one, program(config(one.address)) as node:
             client = await node.client()
-            assert (await client.answer(await client.ask(class_name, limit="2500")))[0][0] == word
+            assert (await client.answer(await client.send_request(class_name, limit="2500")))[0][0] == word
             assert one.calls["POST"] == 1 or class_name == "lookup"
             assert one.calls["GET"] >= 1 or class_name == "lookup"  # it is asked again, on other connections
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(("class_name", "posts"), [("lookup", 2), ("meter-load", 1)])
 def test_a_lost_page_is_an_error_of_a_query_that_may_have_run(class_name: str, posts: int) -> None:
     async def loses(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> Answered | None:
+    ) -> Response | None:
         if path.endswith("/1") and len(one.posts) == 1:
             return 500, {}, b""
-        return await at_once(one, method, path, headers, body)
+        return await serve_at_once(one, method, path, headers, body)
 
     async def scene() -> None:
         async with engine(loses) as one, program(config(one.address)) as node:
             client = await node.client()
-            error, result = await client.answer(await client.ask(class_name))
+            error, result = await client.answer(await client.send_request(class_name))
             assert len(one.posts) == posts
             assert result == ROWS if class_name == "lookup" else error[0] == "Internal"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
     "answer", [(200, {"X-Sheets": "many"}, b""), (200, {}, b"x"), (418, {}, b""), (503, {}, b"")]
 )
-def test_an_answer_that_cannot_be_read_ends_only_its_attempt(answer: Answered) -> None:
+def test_an_answer_that_cannot_be_read_ends_only_its_attempt(answer: Response) -> None:
     async def odd(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> Answered | None:
-        return answer if len(one.posts) == 1 else await at_once(one, method, path, headers, body)
+    ) -> Response | None:
+        return answer if len(one.posts) == 1 else await serve_at_once(one, method, path, headers, body)
 
     async def scene() -> None:
         async with engine(odd) as one, program(config(one.address)) as node:
             client = await node.client()
-            assert (await client.answer(await client.ask("meter-load")))[0][0] == "Internal"
-            assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
+            assert (await client.answer(await client.send_request("meter-load")))[0][0] == "Internal"
+            assert await client.answer(await client.send_request("meter-load")) == (None, ROWS)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_refused_connection_proves_that_a_load_never_ran() -> None:
@@ -237,7 +246,7 @@
         async with engine() as one, program(config("127.0.0.1:1", one.address)) as node:
             client = await node.client()
             for _ in range(6):
-                assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
+                assert await client.answer(await client.send_request("meter-load")) == (None, ROWS)
             assert len(one.posts) == 6
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -15,24 +15,26 @@
 from fordstair.decisions.engine_list import EngineEntry, EngineState, ListUpdateKind
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
-from tests.scenes import ROWS, Nowhere, channel, frame, play, until
+from tests.scenes import ROWS, UnusedTransport, channel, frame, run_with_timeout, until
 from tests.standins import (
-    Answered,
     Program,
+    Response,
     RestEngine,
-    at_once,
     config,
     connect,
     engine,
-    inside,
-    never,
+    never_finish,
     program,
+    run_in_process,
+    serve_at_once,
 )
 
 
 def test_engines_that_have_gone_are_forgotten() -> None:
     async def scene() -> None:
-        coordinator = Coordinator(parse(config()).settings, 1, {"rest": Nowhere()}, Deadlines(), Counters())
+        coordinator = Coordinator(
+            parse(config()).settings, 1, {"rest": UnusedTransport()}, Deadlines(), Counters()
+        )
         for number in range(20):
             coordinator.update_engines(
                 ListUpdateKind.DELTA, [Engine(EngineEntry(f"s-{number}"), "127.0.0.1:1")]
@@ -41,7 +43,7 @@
             coordinator.update_engines(ListUpdateKind.DELTA, [Engine(gone, "127.0.0.1:1")])
         assert list(coordinator.engines) == list(coordinator.gateway.engines) == ["s-19"]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def reload(node: Program, text: str, times: int) -> None:
@@ -60,12 +62,12 @@
             channel() as (discovery, address),
             program(config(one.address, channel=address)) as node,
         ):
-            await discovery.connected(1)
+            await discovery.wait_connected(1)
             client = await node.client()
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             node.process.send_signal(signal.SIGSTOP)
-            waiting = [await client.ask() for _ in range(20)]
-            await discovery.tell(frame(2, (0, one.address, 1)))
+            waiting = [await client.send_request() for _ in range(20)]
+            await discovery.send(frame(2, (0, one.address, 1)))
             await trio.sleep(1.2)
             node.process.send_signal(signal.SIGCONT)
             for number in waiting:
@@ -73,7 +75,7 @@
                 assert error[0] == "Overloaded"
             assert len(one.posts) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_sighup_moves_the_channel_keeps_its_engines_and_refuses_a_bad_file() -> None:
@@ -85,28 +87,28 @@
             channel() as (new, after),
             program(config(one.address, channel=before)) as node,
         ):
-            await old.connected(1)
+            await old.wait_connected(1)
             client = await node.client()
             await reload(node, "{", 1)
             await reload(node, ujson.dumps(config(one.address, channel="nowhere")), 2)
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             assert len(old.cursors) == 1
-            await old.tell(frame(2, (7, two.address, 0)))
+            await old.send(frame(2, (7, two.address, 0)))
             await trio.sleep(0.1)
             await reload(node, ujson.dumps(config(one.address, channel=after)), 3)
-            await new.connected(1)
+            await new.wait_connected(1)
             assert new.cursors == [2]
-            await new.tell(frame(3, (0, one.address, 1)))
+            await new.send(frame(3, (0, one.address, 1)))
             await trio.sleep(0.1)
             already = len(one.posts)
             for _ in range(4):
-                assert await client.answer(await client.ask()) == (None, ROWS)
+                assert await client.answer(await client.send_request()) == (None, ROWS)
             assert len(two.posts) >= 4
             assert len(one.posts) == already
             assert sum(line.startswith("ERROR") for line in node.log) == 2
             assert await node.stop() == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_moved_channel_and_a_planned_end_under_traffic_lose_no_request_and_answer_none_twice() -> None:
@@ -114,9 +116,9 @@
 
     async def takes_a_while(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> Answered | bytes | None:
+    ) -> Response | bytes | None:
         await trio.sleep(0.03 if method == "POST" else 0.0)
-        return await at_once(one, method, path, headers, body)
+        return await serve_at_once(one, method, path, headers, body)
 
     async def scene() -> None:
         asked, ended = Counter[str](), trio.Event()
@@ -124,7 +126,7 @@
         async def ask(node: Program, number: int) -> None:
             client, mine = await node.client(), list[int]()
             while not ended.is_set():
-                mine.append(await client.ask(txn=f"{number:08x}{len(mine):08x}", limit="20000"))
+                mine.append(await client.send_request(txn=f"{number:08x}{len(mine):08x}", limit="20000"))
                 await trio.sleep(0.02)
             for one in mine:  # a second answer to any, or an end without one, is an error there
                 error, result = await client.answer(one)
@@ -138,13 +140,13 @@
             channel() as (new, after),
             program(config(one.address, two.address, channel=before)) as node,
         ):
-            await old.connected(1)
+            await old.wait_connected(1)
             async with trio.open_nursery() as nursery:
                 for number in range(4):
                     nursery.start_soon(ask, node, number)
                 await trio.sleep(0.5)
                 await reload(node, ujson.dumps(config(one.address, two.address, channel=after)), 1)
-                await new.connected(1)
+                await new.wait_connected(1)
                 await trio.sleep(0.3)
                 node.process.send_signal(signal.SIGTERM)
                 await trio.sleep(0.1)
@@ -156,25 +158,25 @@
         assert asked["refused"] < 0.1 * asked.total(), asked
         assert len({headers["x-txn"] for headers, _ in (*one.posts, *two.posts)}) >= asked["served"]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_whole_list_under_the_number_at_hand_holds() -> None:
     async def scene() -> None:
         async with (
-            engine(never) as one,
+            engine(never_finish) as one,
             engine() as two,
             channel() as (commands, where),
             program(config(one.address, channel=where)) as node,
         ):
-            await commands.connected(1)
-            await commands.tell(frame(1, (7, two.address, 0), kind=1))
+            await commands.wait_connected(1)
+            await commands.send(frame(1, (7, two.address, 0), kind=1))
             await trio.sleep(0.1)
             client = await node.client()
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             assert not one.posts
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_channel_is_followed_and_taken_up_again_from_the_last_number() -> None:
@@ -185,59 +187,59 @@
             channel() as (commands, where),
             program(config(one.address, channel=where)) as node,
         ):
-            await commands.connected(1)
-            await commands.tell(frame(2, (0, one.address, 1), (7, two.address, 0)))
+            await commands.wait_connected(1)
+            await commands.send(frame(2, (0, one.address, 1), (7, two.address, 0)))
             client = await node.client()
             await trio.sleep(0.1)
             for _ in range(6):
-                assert await client.answer(await client.ask()) == (None, ROWS)
+                assert await client.answer(await client.send_request()) == (None, ROWS)
             assert not one.posts
             assert len(two.posts) == 6
             await commands.streams[-1].aclose()
-            await commands.connected(2)
-            commands.beats = False  # a dead connection gives no sign but its silence
-            await commands.connected(3)
+            await commands.wait_connected(2)
+            commands.heartbeats = False  # a dead connection gives no sign but its silence
+            await commands.wait_connected(3)
             assert commands.cursors == [1, 2, 2]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_channel_that_breaks_inside_a_frame_or_tells_nonsense_loses_nothing() -> None:
     async def scene() -> None:
         async with engine() as one, channel() as (commands, where), program(config(channel=where)) as node:
-            await commands.connected(1)
+            await commands.wait_connected(1)
             whole = frame(2, (7, one.address, 0))
-            await commands.tell(whole[:20])
+            await commands.send(whole[:20])
             await commands.streams[-1].aclose()
-            await commands.connected(2)
-            await commands.tell(b"\xff" * 40)
+            await commands.wait_connected(2)
+            await commands.send(b"\xff" * 40)
             commands.frames = [whole, whole]  # told twice, as after a reconnection
-            await commands.connected(3)
+            await commands.wait_connected(3)
             client = await node.client()
             await trio.sleep(0.1)
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             assert commands.cursors == [1, 1, 1]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_engine_that_took_anothers_address_is_a_new_one() -> None:
     async def scene() -> None:
         async with (
-            engine(never) as one,
+            engine(never_finish) as one,
             channel() as (commands, where),
             program(config(one.address, channel=where)) as node,
         ):
-            await commands.connected(1)
+            await commands.wait_connected(1)
             client = await node.client()
-            number = await client.ask("meter-load", limit="1200")
+            number = await client.send_request("meter-load", limit="1200")
             while not one.posts:
                 await trio.sleep(0.01)
-            await commands.tell(frame(2, (0, one.address, 2), (9, one.address, 0)))
+            await commands.send(frame(2, (0, one.address, 2), (9, one.address, 0)))
             assert (await client.answer(number))[0][0] == "Internal"
             assert len(one.posts) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("kind", [1, 2])
@@ -247,30 +249,30 @@
 
         async def later(
             one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-        ) -> Answered | bytes | None:
+        ) -> Response | bytes | None:
             if method == "GET" and path.endswith("/0") and done.is_set():
                 return 200, {"X-Sheets": "2"}, b"a\tb\tc\n"
             if method == "GET" and path.endswith("/1"):
-                return await at_once(one, method, path, headers, body)
-            return await never(one, method, path, headers, body)
+                return await serve_at_once(one, method, path, headers, body)
+            return await never_finish(one, method, path, headers, body)
 
         async with (
             engine(later) as one,
             engine() as two,
             channel() as (commands, where),
-            inside(config(one.address, channel=where)) as node,
+            run_in_process(config(one.address, channel=where)) as node,
         ):
             client = await connect(node)
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: one.posts)
-            await commands.connected(1)
-            await commands.tell(
+            await commands.wait_connected(1)
+            await commands.send(
                 frame(2, (7, two.address, 0), kind=1)
                 if kind == 1
                 else frame(2, (0, one.address, 2), (7, two.address, 0))
             )
             await until(lambda: list(node.coordinator.engines) == ["s-00000007"])
-            assert await client.answer(await client.ask()) == (None, ROWS)  # new work goes elsewhere
+            assert await client.answer(await client.send_request()) == (None, ROWS)  # new work goes elsewhere
             done.set()
             assert await client.answer(number) == (None, ROWS)
             assert len(one.posts) == 1
@@ -278,4 +280,4 @@
             assert not module.attempts
             assert not module.requests
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -13,7 +13,7 @@
 from fordstair.decisions.settings import Idempotency, RequestClass, RetryBudget, Tenant
 from fordstair.decisions.tracked_engine import TrackedEngine
 from fordstair.decisions.tracked_request import TrackedRequest
-from tests.helpers import CLASSES, LOAD, SAFE, Rig, entry, selection_factor, settings
+from tests.helpers import CLASSES, LOAD, SAFE, GatewayHarness, entry, selection_factor, settings
 
 HEAVY = RequestClass(
     "heavy",
@@ -27,312 +27,330 @@
 )
 
 
-def engine(rig: Rig, number: int) -> TrackedEngine:
-    return rig.gateway.engines[f"10.0.0.{number}:80"]
+def engine(harness: GatewayHarness, number: int) -> TrackedEngine:
+    return harness.gateway.engines[f"10.0.0.{number}:80"]
 
 
-def serve(rig: Rig, rounds: int, slow: dict[int, float] | None = None) -> Counter[int]:
+def serve(harness: GatewayHarness, rounds: int, slow: dict[int, float] | None = None) -> Counter[int]:
     """Serve quick requests one by one; the engines named take so many times as long."""
     chosen: Counter[int] = Counter()
     for _ in range(rounds):
-        r = rig.ask(SAFE, 100.0)
-        number = int(rig.sends(r)[-1].engine[7])
+        r = harness.send_request(SAFE, 100.0)
+        number = int(harness.sends(r)[-1].engine[7])
         chosen[number] += 1
-        rig.pass_time(20.0)
-        rig.end(r, Status.OK, 100.0 * (slow or {}).get(number, 1.0), work_ms=100.0)
+        harness.advance(20.0)
+        harness.end_attempt(r, Status.OK, 100.0 * (slow or {}).get(number, 1.0), work_ms=100.0)
     return chosen
 
 
-def choices(rig: Rig, count: int = 300) -> Counter[int]:
+def choices(harness: GatewayHarness, count: int = 300) -> Counter[int]:
     """Where requests of no load would go now."""
     request = TrackedRequest.from_event(RequestArrived(0, SAFE, 3000.0), CLASSES[SAFE])
-    picks = [rig.gateway.selector.select(rig.gateway.now, request) for _ in range(count)]
+    picks = [harness.gateway.selector.select(harness.gateway.now, request) for _ in range(count)]
     return Counter(int(e.entry.engine[7]) for e in picks if e is not None)
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.RESET, Status.CONNECT_FAILED, Status.FULL])
 def test_fast_failures_lose_the_draw_and_come_back(status: Status) -> None:
-    rig = Rig()
-    serve(rig, 30)
-    means = rig.gateway.cost_model.class_mean(SAFE)
+    harness = GatewayHarness()
+    serve(harness, 30)
+    means = harness.gateway.cost_model.class_mean(SAFE)
     for _ in range(60):
-        r = rig.ask(SAFE, 100.0)
-        while not rig.answers(r) and rig.sends(r)[-1].engine == "10.0.0.1:80":
-            rig.end(r, status, 1.0)
-        if not rig.answers(r):
-            rig.end(r, Status.OK, 100.0, work_ms=100.0)
-        rig.now += 5.0
-    assert choices(rig)[1] < 30
-    assert rig.gateway.cost_model.class_mean(SAFE) == pytest.approx(
+        r = harness.send_request(SAFE, 100.0)
+        while not harness.answers(r) and harness.sends(r)[-1].engine == "10.0.0.1:80":
+            harness.end_attempt(r, status, 1.0)
+        if not harness.answers(r):
+            harness.end_attempt(r, Status.OK, 100.0, work_ms=100.0)
+        harness.now += 5.0
+    assert choices(harness)[1] < 30
+    assert harness.gateway.cost_model.class_mean(SAFE) == pytest.approx(
         means, rel=0.05
     )  # quick errors teach no cost
-    rig.pass_time(30000.0)
-    assert choices(rig)[1] > 50
+    harness.advance(30000.0)
+    assert choices(harness)[1] > 50
 
 
 def test_silence_marks_the_engine_and_moves_what_it_holds() -> None:
-    rig = Rig(settings(max_attempts=4))
-    serve(rig, 30)
-    asked = [rig.ask(SAFE, 100.0) for _ in range(12)]
-    hung = [r for r in asked if rig.sends(r)[0].engine == "10.0.0.1:80"]
+    harness = GatewayHarness(settings(max_attempts=4))
+    serve(harness, 30)
+    asked = [harness.send_request(SAFE, 100.0) for _ in range(12)]
+    hung = [r for r in asked if harness.sends(r)[0].engine == "10.0.0.1:80"]
     assert hung
     for r in asked:
         if r not in hung:
-            rig.end(r, Status.OK, 100.0, work_ms=100.0)
-    rig.pass_time(400.0)
-    assert all(rig.cancels(r) for r in hung)
+            harness.end_attempt(r, Status.OK, 100.0, work_ms=100.0)
+    harness.advance(400.0)
+    assert all(harness.cancels(r) for r in hung)
     for r in hung:
-        rig.end(r, Status.CANCELLED, 400.0)
-        assert rig.sends(r)[-1].engine != "10.0.0.1:80"
-    assert engine(rig, 1).silence_score >= 1.0 or len(hung) < 2
-    rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.1,)))
-    assert engine(rig, 1).silence_score > 0.0  # a shallow probe proves only a live process
+        harness.end_attempt(r, Status.CANCELLED, 400.0)
+        assert harness.sends(r)[-1].engine != "10.0.0.1:80"
+    assert engine(harness, 1).silence_score >= 1.0 or len(hung) < 2
+    harness.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.1,)))
+    assert engine(harness, 1).silence_score > 0.0  # a shallow probe proves only a live process
 
 
 def test_a_slow_engine_gets_less_and_forgiveness_brings_it_back() -> None:
-    rig = Rig()
-    chosen = serve(rig, 300, {1: 6.0})
+    harness = GatewayHarness()
+    chosen = serve(harness, 300, {1: 6.0})
     assert chosen[1] < 0.6 * min(chosen[2], chosen[3])
-    rig.pass_time(40000.0)
-    assert choices(rig)[1] > 50
+    harness.advance(40000.0)
+    assert choices(harness)[1] > 50
 
 
 def test_all_slow_at_once_is_no_engines_fault() -> None:
-    rig = Rig()
-    serve(rig, 60)
-    serve(rig, 120, {1: 3.0, 2: 3.0, 3: 3.0})
-    assert all(selection_factor(rig.gateway, e) > 0.4 for e in rig.gateway.engines.values())
+    harness = GatewayHarness()
+    serve(harness, 60)
+    serve(harness, 120, {1: 3.0, 2: 3.0, 3: 3.0})
+    assert all(selection_factor(harness.gateway, e) > 0.4 for e in harness.gateway.engines.values())
 
 
 def test_most_engines_silent_still_count_in_pressure() -> None:
-    rig = Rig()
+    harness = GatewayHarness()
     for number in (1, 2):
-        engine(rig, number).silence_score = 3.0
-        engine(rig, number).own_threads = 80
-    assert rig.gateway.admission.pressure(rig.gateway.now, SAFE) == 1.0
+        engine(harness, number).silence_score = 3.0
+        engine(harness, number).own_threads = 80
+    assert harness.gateway.admission.pressure(harness.gateway.now, SAFE) == 1.0
 
 
 def test_reports_steer_the_draw_and_their_age_fades() -> None:
-    rig = Rig(settings(instances=3))
+    harness = GatewayHarness(settings(instances=3))
     for _ in range(10):
-        rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.9,)))
-        rig.feed(HealthCheckEnded("10.0.0.2:80", Status.OK, 1.0, (0.05,)))
-        rig.feed(HealthCheckEnded("10.0.0.3:80", Status.OK, 1.0, (0.05,)))
-    assert choices(rig)[1] < 30
-    rig.pass_time(60000.0)
+        harness.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.9,)))
+        harness.feed(HealthCheckEnded("10.0.0.2:80", Status.OK, 1.0, (0.05,)))
+        harness.feed(HealthCheckEnded("10.0.0.3:80", Status.OK, 1.0, (0.05,)))
+    assert choices(harness)[1] < 30
+    harness.advance(60000.0)
     assert (
-        rig.gateway.load.threads_per_core(rig.gateway.now, engine(rig, 1)) < 0.01
+        harness.gateway.load.threads_per_core(harness.gateway.now, engine(harness, 1)) < 0.01
     )  # own threads alone, and there are none
 
 
 def test_own_sends_count_at_once_without_any_report() -> None:
-    rig = Rig(settings(load_report_fields=()))
+    harness = GatewayHarness(settings(load_report_fields=()))
     for _ in range(24):
-        rig.ask(SAFE, 100.0)
-    threads = [e.own_threads for e in rig.gateway.engines.values()]
+        harness.send_request(SAFE, 100.0)
+    threads = [e.own_threads for e in harness.gateway.engines.values()]
     assert min(threads) >= 3
 
 
 @pytest.mark.parametrize("odd", [math.nan, math.inf, -1.0, 1e30])
 def test_odd_figures_neither_crash_nor_poison(odd: float) -> None:
-    rig = Rig()
-    serve(rig, 20)
-    before = rig.gateway.cost_model.class_mean(SAFE)
-    rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, odd, (odd,)))
-    r = rig.ask(SAFE, odd if not math.isfinite(odd) or odd < 0 else 100.0, memory_mb=odd, table_group=odd)
-    rig.end(r, Status.OK, odd if not math.isfinite(odd) else 100.0, work_ms=0.0, memory_mb=0.0)
-    rig.members(entry(5, started=odd if math.isfinite(odd) else 0.0, kind=9), kind=ListUpdateKind.DELTA)
+    harness = GatewayHarness()
+    serve(harness, 20)
+    before = harness.gateway.cost_model.class_mean(SAFE)
+    harness.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, odd, (odd,)))
+    r = harness.send_request(
+        SAFE, odd if not math.isfinite(odd) or odd < 0 else 100.0, memory_mb=odd, table_group=odd
+    )
+    harness.end_attempt(r, Status.OK, odd if not math.isfinite(odd) else 100.0, work_ms=0.0, memory_mb=0.0)
+    harness.update_engine_list(
+        entry(5, started=odd if math.isfinite(odd) else 0.0, kind=9), kind=ListUpdateKind.DELTA
+    )
     for _ in range(10):
-        rig.feed(AttemptNote(rig.ask(SAFE), 0, "10.0.0.1:80", NoteKind.PROGRESS, odd))
-    assert rig.gateway.cost_model.class_mean(SAFE) == pytest.approx(before, rel=0.2)
+        harness.feed(AttemptNote(harness.send_request(SAFE), 0, "10.0.0.1:80", NoteKind.PROGRESS, odd))
+    assert harness.gateway.cost_model.class_mean(SAFE) == pytest.approx(before, rel=0.2)
     assert all(
-        math.isfinite(rig.gateway.load.threads_per_core(rig.gateway.now, e))
-        for e in rig.gateway.engines.values()
+        math.isfinite(harness.gateway.load.threads_per_core(harness.gateway.now, e))
+        for e in harness.gateway.engines.values()
     )
 
 
 def test_a_still_clock_a_start_ahead_of_it_and_one_engine() -> None:
-    rig = Rig(settings(slow_start_ms=0.0), engines=0)
-    rig.members(entry(1, started=9e9), kind=ListUpdateKind.FULL)
+    harness = GatewayHarness(settings(slow_start_ms=0.0), engines=0)
+    harness.update_engine_list(entry(1, started=9e9), kind=ListUpdateKind.FULL)
     for _ in range(50):
-        rig.end(rig.ask(), Status.OK, 0.0)
-    assert len(rig.sends()) == 50
+        harness.end_attempt(harness.send_request(), Status.OK, 0.0)
+    assert len(harness.sends()) == 50
 
 
 def test_bad_plan_told_by_notes_is_cut_and_tried_elsewhere() -> None:
-    rig = Rig(settings(classes=(HEAVY,), progress_interval_ms=1000.0))
-    r = rig.ask(0, 2000.0, time_left_ms=20000.0)
-    first = rig.sends(r)[0].engine
-    rig.pass_time(1000.0)
-    rig.feed(AttemptNote(r, 0, first, NoteKind.PROGRESS, 0.5))
-    assert not rig.cancels(r)
-    rig.pass_time(1000.0)
-    rig.feed(AttemptNote(r, 0, first, NoteKind.PROGRESS, 0.1))
-    assert rig.cancels(r)
-    rig.end(r, Status.CANCELLED, 2000.0)
-    assert rig.sends(r)[-1].engine != first
+    harness = GatewayHarness(settings(classes=(HEAVY,), progress_interval_ms=1000.0))
+    r = harness.send_request(0, 2000.0, time_left_ms=20000.0)
+    first = harness.sends(r)[0].engine
+    harness.advance(1000.0)
+    harness.feed(AttemptNote(r, 0, first, NoteKind.PROGRESS, 0.5))
+    assert not harness.cancels(r)
+    harness.advance(1000.0)
+    harness.feed(AttemptNote(r, 0, first, NoteKind.PROGRESS, 0.1))
+    assert harness.cancels(r)
+    harness.end_attempt(r, Status.CANCELLED, 2000.0)
+    assert harness.sends(r)[-1].engine != first
 
 
 def test_bad_plan_without_notes_is_cut_by_elapsed_time() -> None:
-    rig = Rig(settings(classes=(HEAVY,)))
-    r = rig.ask(0, 2000.0, time_left_ms=20000.0)
-    rig.gateway.engines[rig.sends(r)[0].engine].last_activity_at = rig.now + 1.0  # it answers others
-    rig.pass_time(2900.0)
-    assert not rig.cancels(r)
-    rig.pass_time(2500.0)
-    assert rig.cancels(r)
+    harness = GatewayHarness(settings(classes=(HEAVY,)))
+    r = harness.send_request(0, 2000.0, time_left_ms=20000.0)
+    # The engine answers other requests.
+    harness.gateway.engines[harness.sends(r)[0].engine].last_activity_at = harness.now + 1.0
+    harness.advance(2900.0)
+    assert not harness.cancels(r)
+    harness.advance(2500.0)
+    assert harness.cancels(r)
 
 
 def test_pressure_refuses_the_heavy_first_and_at_once() -> None:
-    rig = Rig(settings(classes=(HEAVY,)))
+    harness = GatewayHarness(settings(classes=(HEAVY,)))
     for _ in range(30):
-        r = rig.ask(0, 2000.0, time_left_ms=20000.0)
-        rig.end(r, Status.OK, 1000.0, work_ms=2000.0)
-    for e in rig.gateway.engines.values():
+        r = harness.send_request(0, 2000.0, time_left_ms=20000.0)
+        harness.end_attempt(r, Status.OK, 1000.0, work_ms=2000.0)
+    for e in harness.gateway.engines.values():
         e.own_threads = 13  # 1.6 threads a core
-    heavy, light = rig.ask(0, 8000.0, time_left_ms=20000.0), rig.ask(0, 100.0, time_left_ms=20000.0)
-    while not rig.of(RejectRequest, heavy):
-        heavy = rig.ask(0, 8000.0, time_left_ms=20000.0)
+    heavy, light = (
+        harness.send_request(0, 8000.0, time_left_ms=20000.0),
+        harness.send_request(0, 100.0, time_left_ms=20000.0),
+    )
+    while not harness.actions_of(RejectRequest, heavy):
+        heavy = harness.send_request(0, 8000.0, time_left_ms=20000.0)
         assert heavy < 60, "the bucket never empties"
-    assert rig.sends(light)
-    assert not rig.sends(heavy)
+    assert harness.sends(light)
+    assert not harness.sends(heavy)
 
 
 def test_a_tenants_excess_is_refused_under_pressure_only() -> None:
     config = settings(classes=(HEAVY,), tenants=(Tenant("one", 5.0), Tenant("two", 5.0)))
-    rig = Rig(config)
-    calm = [rig.ask(0, 10.0, tenant=0, time_left_ms=9000.0) for _ in range(12)]
-    assert all(rig.sends(r) for r in calm)
-    for e in rig.gateway.engines.values():
+    harness = GatewayHarness(config)
+    calm = [harness.send_request(0, 10.0, tenant=0, time_left_ms=9000.0) for _ in range(12)]
+    assert all(harness.sends(r) for r in calm)
+    for e in harness.gateway.engines.values():
         e.own_threads = 12
-    assert rig.of(RejectRequest, rig.ask(0, 10.0, tenant=0, time_left_ms=9000.0))
-    rig.ask(0, 10.0, tenant=1, time_left_ms=9000.0)
-    rig.now += 1000.0  # its bucket started at a random part and has filled
-    assert rig.sends(rig.ask(0, 10.0, tenant=1, time_left_ms=9000.0))
+    assert harness.actions_of(RejectRequest, harness.send_request(0, 10.0, tenant=0, time_left_ms=9000.0))
+    harness.send_request(0, 10.0, tenant=1, time_left_ms=9000.0)
+    harness.now += 1000.0  # its bucket started at a random part and has filled
+    assert harness.sends(harness.send_request(0, 10.0, tenant=1, time_left_ms=9000.0))
 
 
 def test_grants_follow_what_was_needed() -> None:
-    rig = Rig()
+    harness = GatewayHarness()
     for _ in range(200):
-        rig.end(rig.ask(SAFE, 100.0, memory_mb=100.0), Status.OK, 100.0, work_ms=100.0, memory_mb=200.0)
-    terms = rig.of(SetQueryResources)[-1]
+        harness.end_attempt(
+            harness.send_request(SAFE, 100.0, memory_mb=100.0),
+            Status.OK,
+            100.0,
+            work_ms=100.0,
+            memory_mb=200.0,
+        )
+    terms = harness.actions_of(SetQueryResources)[-1]
     assert 195.0 < terms.memory_mb < 230.0
-    r = rig.ask(SAFE, 100.0, memory_mb=1e9)
-    assert rig.of(SetQueryResources, r)[-1].memory_mb == 16384.0  # never more than one query may have
+    r = harness.send_request(SAFE, 100.0, memory_mb=1e9)
+    # The grant is never more than one query may have.
+    assert harness.actions_of(SetQueryResources, r)[-1].memory_mb == 16384.0
 
 
 def test_a_load_keeps_others_off_its_table_group() -> None:
-    rig = Rig(engines=3)
-    load = rig.ask(LOAD, 3000.0, table_group=4.0)
-    holder = rig.sends(load)[0].engine
-    elsewhere = [rig.ask(LOAD, 3000.0, table_group=4.0) for _ in range(2)]
-    assert sum(rig.sends(r)[0].engine != holder for r in elsewhere) >= 1
+    harness = GatewayHarness(engines=3)
+    load = harness.send_request(LOAD, 3000.0, table_group=4.0)
+    holder = harness.sends(load)[0].engine
+    elsewhere = [harness.send_request(LOAD, 3000.0, table_group=4.0) for _ in range(2)]
+    assert sum(harness.sends(r)[0].engine != holder for r in elsewhere) >= 1
 
 
 def test_a_restarted_engine_begins_without_its_old_marks() -> None:
-    rig = Rig()
-    engine(rig, 1).silence_score = 4.0
-    rig.pass_time(5000.0)
-    rig.members(entry(1, started=rig.now))
-    assert engine(rig, 1).silence_score == 0.0
-    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) < 0.5
-    rig.members(entry(1, EngineState.DRAINING, started=rig.now))
-    assert 1 not in choices(rig)
+    harness = GatewayHarness()
+    engine(harness, 1).silence_score = 4.0
+    harness.advance(5000.0)
+    harness.update_engine_list(entry(1, started=harness.now))
+    assert engine(harness, 1).silence_score == 0.0
+    assert harness.gateway.slow_start.warm_up_factor(harness.gateway.now, engine(harness, 1)) < 0.5
+    harness.update_engine_list(entry(1, EngineState.DRAINING, started=harness.now))
+    assert 1 not in choices(harness)
 
 
 def test_a_fresh_gateway_keeps_its_buckets_open() -> None:
-    rig = Rig(settings(classes=(HEAVY,)))
-    assert rig.sends(rig.ask(0, 50.0, time_left_ms=9000.0))
-    assert rig.sends(rig.ask(0, 90000.0, time_left_ms=90000.0))
+    harness = GatewayHarness(settings(classes=(HEAVY,)))
+    assert harness.sends(harness.send_request(0, 50.0, time_left_ms=9000.0))
+    assert harness.sends(harness.send_request(0, 90000.0, time_left_ms=90000.0))
 
 
 def test_same_seed_same_actions() -> None:
     logs = []
     for _ in range(2):
-        rig = Rig(seed=7)
-        serve(rig, 50)
-        logs.append(rig.log)
+        harness = GatewayHarness(seed=7)
+        serve(harness, 50)
+        logs.append(harness.action_log)
     assert logs[0] == logs[1]
 
 
 def test_an_engine_that_refused_connects_counts_as_cold_when_it_answers() -> None:
-    rig = Rig(settings(max_attempts=1))
+    harness = GatewayHarness(settings(max_attempts=1))
     for _ in range(20):
-        r = rig.ask(SAFE, 100.0)
-        rig.end(r, Status.CONNECT_FAILED if rig.sends(r)[0].engine == "10.0.0.1:80" else Status.OK, 1.0)
-    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) < 0.5
-    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 2)) == 1.0
-    rig.pass_time(11000.0)
-    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) == 1.0
+        r = harness.send_request(SAFE, 100.0)
+        harness.end_attempt(
+            r, Status.CONNECT_FAILED if harness.sends(r)[0].engine == "10.0.0.1:80" else Status.OK, 1.0
+        )
+    assert harness.gateway.slow_start.warm_up_factor(harness.gateway.now, engine(harness, 1)) < 0.5
+    assert harness.gateway.slow_start.warm_up_factor(harness.gateway.now, engine(harness, 2)) == 1.0
+    harness.advance(11000.0)
+    assert harness.gateway.slow_start.warm_up_factor(harness.gateway.now, engine(harness, 1)) == 1.0
 
 
 def test_a_connection_that_is_late_shows_no_engine_to_be_down_and_one_that_never_comes_up_does() -> None:
-    rig = Rig(settings(max_attempts=1))
+    harness = GatewayHarness(settings(max_attempts=1))
     for _ in range(20):
-        r = rig.ask(SAFE, 100.0)
-        late = rig.sends(r)[0].engine == "10.0.0.1:80"
-        rig.end(r, Status.CONNECT_FAILED if late else Status.OK, 250.0, may_connect_late=late)
-    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) == 1.0
+        r = harness.send_request(SAFE, 100.0)
+        late = harness.sends(r)[0].engine == "10.0.0.1:80"
+        harness.end_attempt(r, Status.CONNECT_FAILED if late else Status.OK, 250.0, may_connect_late=late)
+    assert harness.gateway.slow_start.warm_up_factor(harness.gateway.now, engine(harness, 1)) == 1.0
     # warm or not, it is avoided while connections to it are slow
-    assert rig.gateway.outliers.reliability(rig.gateway.now, engine(rig, 1)) < 0.6
-    rig.feed(HealthCheckEnded("10.0.0.1:80", Status.CONNECT_FAILED, 3_000.0))
-    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) < 0.5
-    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 2)) == 1.0
+    assert harness.gateway.outliers.reliability(harness.gateway.now, engine(harness, 1)) < 0.6
+    harness.feed(HealthCheckEnded("10.0.0.1:80", Status.CONNECT_FAILED, 3_000.0))
+    assert harness.gateway.slow_start.warm_up_factor(harness.gateway.now, engine(harness, 1)) < 0.5
+    assert harness.gateway.slow_start.warm_up_factor(harness.gateway.now, engine(harness, 2)) == 1.0
 
 
 def test_no_storm_of_attempts_where_no_budget_is_stated() -> None:
-    rig = Rig(settings(max_attempts=5))
+    harness = GatewayHarness(settings(max_attempts=5))
     for _ in range(100):
-        r = rig.ask(SAFE, 100.0)
-        while not rig.answers(r):
-            rig.end(r, Status.FULL, 0.2)
-    assert len(rig.sends()) <= 100 + 10 + 50
+        r = harness.send_request(SAFE, 100.0)
+        while not harness.answers(r):
+            harness.end_attempt(r, Status.FULL, 0.2)
+    assert len(harness.sends()) <= 100 + 10 + 50
 
 
 def test_a_marked_engine_does_not_win_by_looking_idle() -> None:
-    rig = Rig()
-    engine(rig, 1).error_rate.value = 0.9  # it fails at once, so nothing of it is ever out
+    harness = GatewayHarness()
+    engine(harness, 1).error_rate.value = 0.9  # it fails at once, so nothing of it is ever out
     for number in (2, 3):
-        engine(rig, number).own_threads = 16
-    assert choices(rig, 1000)[1] < 50
+        engine(harness, number).own_threads = 16
+    assert choices(harness, 1000)[1] < 50
 
 
 def test_a_full_counter_refuses_the_light_as_well_and_opens_again() -> None:
     """Light requests were let in without bound under pressure, until the engines paged and nothing ended."""
-    rig = Rig(settings(classes=(HEAVY,), instances=2), engines=2)  # 16 cores, 8 of them this gateway's part
-    asked = [rig.ask(0, 10.0, time_left_ms=20000.0) for _ in range(40)]
-    out = [r for r in asked if rig.sends(r)]
+    # The engines have 16 cores, of which this gateway's part is 8.
+    harness = GatewayHarness(settings(classes=(HEAVY,), instances=2), engines=2)
+    asked = [harness.send_request(0, 10.0, time_left_ms=20000.0) for _ in range(40)]
+    out = [r for r in asked if harness.sends(r)]
     assert 1.0 <= 2 * len(out) / 8 <= 3.0  # threads a core
-    assert all(rig.of(RejectRequest, r) for r in asked if r not in out)
-    rig.end(out[0], Status.OK, 10.0)
-    assert rig.sends(rig.ask(0, 10.0, time_left_ms=20000.0))
+    assert all(harness.actions_of(RejectRequest, r) for r in asked if r not in out)
+    harness.end_attempt(out[0], Status.OK, 10.0)
+    assert harness.sends(harness.send_request(0, 10.0, time_left_ms=20000.0))
 
 
 def test_errors_of_one_bad_statement_mark_no_engine() -> None:
     """Bad clients' statements reach engines, which answer an error each: none of them is sick for that."""
     ample = RetryBudget(100.0, 1.0, 5000.0)
-    rig = Rig(settings(retry_budget=ample), engines=4)
+    harness = GatewayHarness(settings(retry_budget=ample), engines=4)
     for _ in range(10):
-        bad = rig.ask(SAFE)
-        while not rig.answers(bad):
-            rig.end(bad, Status.ERROR, 1.0)
-        assert len(rig.sends(bad)) == 2  # a third engine would find no more use for it
-    assert all(one.error_rate.value == 0.0 for one in rig.gateway.engines.values())
-    good = rig.ask(SAFE)
-    rig.end(good, Status.ERROR, 1.0)
-    rig.end(good)
-    sick = rig.gateway.engines[rig.sends(good)[0].engine]
+        bad = harness.send_request(SAFE)
+        while not harness.answers(bad):
+            harness.end_attempt(bad, Status.ERROR, 1.0)
+        assert len(harness.sends(bad)) == 2  # a third engine would find no more use for it
+    assert all(one.error_rate.value == 0.0 for one in harness.gateway.engines.values())
+    good = harness.send_request(SAFE)
+    harness.end_attempt(good, Status.ERROR, 1.0)
+    harness.end_attempt(good)
+    sick = harness.gateway.engines[harness.sends(good)[0].engine]
     assert sick.error_rate.value == 1.0  # another engine could serve it
 
 
 @pytest.mark.parametrize("jam", [False, True])
 def test_late_work_goes_on_while_calm_and_ends_at_its_aim_in_a_jam(jam: bool) -> None:
     """What is late earns little, and what it holds keeps a jam going."""
-    rig = Rig(settings(classes=(HEAVY,), progress_interval_ms=500.0))
-    r = rig.ask(0, 100.0, time_left_ms=20000.0)
+    harness = GatewayHarness(settings(classes=(HEAVY,), progress_interval_ms=500.0))
+    r = harness.send_request(0, 100.0, time_left_ms=20000.0)
     for step in range(30):
-        rig.pass_time(100.0)
-        rig.feed(AttemptNote(r, 0, rig.sends(r)[0].engine, NoteKind.PROGRESS, 0.5 + step / 100.0))
+        harness.advance(100.0)
+        harness.feed(AttemptNote(r, 0, harness.sends(r)[0].engine, NoteKind.PROGRESS, 0.5 + step / 100.0))
         if jam:
-            rig.gateway.load.lateness.add_at(rig.gateway.now, 2.0)
-    assert bool(rig.answers(r)) == jam
+            harness.gateway.load.lateness.add_at(harness.gateway.now, 2.0)
+    assert bool(harness.answers(r)) == jam
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -47,7 +47,7 @@
 from fordstair.snapshots.publishing import HEARTBEAT_MS, MIN_INTERVAL_MS, SnapshotSchedule
 from fordstair.snapshots.snapshot import Snapshot
 from fordstair.snapshots.views import TABLES, LogLineView, TeamView
-from tests.helpers import CLASSES, Rig, entry, selection_factor
+from tests.helpers import CLASSES, GatewayHarness, entry, selection_factor
 from tests.test_settings import APPLIANCE
 
 many = settings(max_examples=150, derandomize=True, deadline=None)
@@ -185,21 +185,21 @@
 def test_a_class_can_be_limited_in_the_module_and_an_unsafe_one_is_refused_before_it_ran() -> None:
     from fordstair.decisions.events import ConcurrencyLimitSet
 
-    rig = Rig()
-    rig.feed(ConcurrencyLimitSet(1, 4))
-    first, second, third = (rig.ask(1) for _ in range(3))
-    assert len(rig.sends(first)) == len(rig.sends(second)) == 1
-    assert not rig.sends(third)
-    (refused,) = rig.answers(third)
+    harness = GatewayHarness()
+    harness.feed(ConcurrencyLimitSet(1, 4))
+    first, second, third = (harness.send_request(1) for _ in range(3))
+    assert len(harness.sends(first)) == len(harness.sends(second)) == 1
+    assert not harness.sends(third)
+    (refused,) = harness.answers(third)
     assert getattr(refused, "reason", "") == "over the limit set here"
-    rig.end(first, Status.OK)
-    assert rig.sends(rig.ask(1))
+    harness.end_attempt(first, Status.OK)
+    assert harness.sends(harness.send_request(1))
     assert CLASSES[1].threads == 2
-    rig.feed(ConcurrencyLimitSet(1, 0))
-    assert not rig.sends(rig.ask(1))
-    assert rig.sends(rig.ask(0))
-    rig.feed(ConcurrencyLimitSet(1, None))
-    assert rig.sends(rig.ask(1))
+    harness.feed(ConcurrencyLimitSet(1, 0))
+    assert not harness.sends(harness.send_request(1))
+    assert harness.sends(harness.send_request(0))
+    harness.feed(ConcurrencyLimitSet(1, None))
+    assert harness.sends(harness.send_request(1))
 
 
 STANDING = ProgramState(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,72 +10,76 @@
 from fordstair.decisions.engine_list import ListUpdateKind
 from fordstair.decisions.events import Status
 from fordstair.lab.machine import Job, Machine
-from tests.helpers import SAFE, Rig, entry, settings
+from tests.helpers import SAFE, GatewayHarness, entry, settings
 
 REPORTS = settings(load_report_fields=("util", "inflight"), instances=40)
 
 
-def answered(rig: Rig, util: float, inflight: float, slow: tuple[float, float] | None = None) -> None:
+def answered(
+    harness: GatewayHarness, util: float, inflight: float, slow: tuple[float, float] | None = None
+) -> None:
     """Ask once; the engine's report is the same everywhere but on engine 1, if that one is slow."""
-    request = rig.ask(SAFE, 100.0)
-    on_slow = slow is not None and rig.sends(request)[0].engine == "10.0.0.1:80"
-    rig.end(request, Status.OK, 100.0, work_ms=100.0, report=slow if on_slow and slow else (util, inflight))
-    rig.pass_time(20.0)
+    request = harness.send_request(SAFE, 100.0)
+    on_slow = slow is not None and harness.sends(request)[0].engine == "10.0.0.1:80"
+    harness.end_attempt(
+        request, Status.OK, 100.0, work_ms=100.0, report=slow if on_slow and slow else (util, inflight)
+    )
+    harness.advance(20.0)
 
 
 def test_an_engine_that_fills_up_while_its_cores_idle_is_not_drawn_as_an_idle_one() -> None:
     # Slow disks or a machine gone slow: nothing uses the cores, and all that was sent is still there.
-    rig = Rig(REPORTS, engines=8)
+    harness = GatewayHarness(REPORTS, engines=8)
     for _ in range(40):
-        answered(rig, 0.5, 6.0)
-    before = len(rig.sends())
+        answered(harness, 0.5, 6.0)
+    before = len(harness.sends())
     for _ in range(200):
-        answered(rig, 0.5, 6.0, slow=(0.15, 30.0))
-    drawn = Counter(send.engine for send in rig.sends()[before:])
+        answered(harness, 0.5, 6.0, slow=(0.15, 30.0))
+    drawn = Counter(send.engine for send in harness.sends()[before:])
     assert drawn["10.0.0.1:80"] < 200 / 8 / 3
 
 
 def test_an_attempt_that_was_cut_tells_how_slow_its_engine_is() -> None:
     # All that runs there is stopped at its aim, so no answer ever says how long it would have taken.
-    rig = Rig(settings(instances=40), engines=8)
+    harness = GatewayHarness(settings(instances=40), engines=8)
     slow = "10.0.0.1:80"
     for _ in range(160):
-        request = rig.ask(SAFE, 100.0)
-        while (engine := rig.sends(request)[-1].engine) == slow and not rig.answers(request):
-            rig.pass_time(100.0)
-            if rig.cancels(request):
-                rig.end(request, Status.CANCELLED, 900.0)
+        request = harness.send_request(SAFE, 100.0)
+        while (engine := harness.sends(request)[-1].engine) == slow and not harness.answers(request):
+            harness.advance(100.0)
+            if harness.cancels(request):
+                harness.end_attempt(request, Status.CANCELLED, 900.0)
                 break
         else:
             if engine != slow:
-                rig.end(request, Status.OK, 100.0, work_ms=100.0)
-        rig.pass_time(20.0)
-    late = Counter(send.engine for send in rig.sends()[-100:])
-    assert rig.gateway.engines[slow].slowness.value > 1.5
+                harness.end_attempt(request, Status.OK, 100.0, work_ms=100.0)
+        harness.advance(20.0)
+    late = Counter(send.engine for send in harness.sends()[-100:])
+    assert harness.gateway.engines[slow].slowness.value > 1.5
     assert late[slow] < 100 / 8 / 3
 
 
 def test_one_error_that_another_engine_disproves_is_enough_to_turn_most_away() -> None:
-    rig = Rig(settings(instances=40), engines=8)
+    harness = GatewayHarness(settings(instances=40), engines=8)
     for _ in range(60):
-        rig.end(rig.ask(SAFE, 100.0), Status.OK, 100.0, work_ms=100.0)
-        rig.pass_time(20.0)
-    request = rig.ask(SAFE, 100.0)
-    sick = rig.sends(request)[0].engine
-    rig.end(request, Status.ERROR, 20.0)
-    rig.end(request, Status.OK, 100.0, work_ms=100.0)
-    assert rig.gateway.outliers.reliability(rig.gateway.now, rig.gateway.engines[sick]) < 0.25
+        harness.end_attempt(harness.send_request(SAFE, 100.0), Status.OK, 100.0, work_ms=100.0)
+        harness.advance(20.0)
+    request = harness.send_request(SAFE, 100.0)
+    sick = harness.sends(request)[0].engine
+    harness.end_attempt(request, Status.ERROR, 20.0)
+    harness.end_attempt(request, Status.OK, 100.0, work_ms=100.0)
+    assert harness.gateway.outliers.reliability(harness.gateway.now, harness.gateway.engines[sick]) < 0.25
 
 
 def test_gateways_prefer_different_engines_and_cover_all_of_them_evenly() -> None:
     drawn, first = Counter[str](), Counter[str]()
     for seed in range(40):
-        rig, mine = Rig(settings(instances=40), engines=30, seed=seed), Counter[str]()
+        harness, mine = GatewayHarness(settings(instances=40), engines=30, seed=seed), Counter[str]()
         for _ in range(30):
-            request = rig.ask(SAFE, 100.0, table_group=7.0)  # the same tables everywhere
-            rig.end(request, Status.OK, 100.0, work_ms=100.0)
-            rig.pass_time(100.0)
-            mine[rig.sends(request)[0].engine] += 1
+            request = harness.send_request(SAFE, 100.0, table_group=7.0)  # the same tables everywhere
+            harness.end_attempt(request, Status.OK, 100.0, work_ms=100.0)
+            harness.advance(100.0)
+            mine[harness.sends(request)[0].engine] += 1
         drawn += mine
         first[mine.most_common(1)[0][0]] += 1
     assert max(drawn.values()) < 3.0 * 40 * 30 / 30
@@ -83,56 +87,56 @@
     assert max(first.values()) <= 8  # no engine is the favourite of a fifth of them
 
 
-def after_a_release(seed: int) -> Rig:
+def after_a_release(seed: int) -> GatewayHarness:
     """Twelve warm engines, and eighteen that have just started."""
-    rig = Rig(settings(instances=40), engines=0, seed=seed)
-    rig.members(
+    harness = GatewayHarness(settings(instances=40), engines=0, seed=seed)
+    harness.update_engine_list(
         *(entry(i) for i in range(1, 13)),
         *(entry(i, started=990.0) for i in range(13, 31)),
         kind=ListUpdateKind.FULL,
     )
-    return rig
+    return harness
 
 
 def test_new_engines_start_up_with_light_work_within_their_budget() -> None:
     sent, light, heavy = Counter[str](), Counter[bool](), Counter[bool]()
     for seed in range(40):
-        rig = after_a_release(seed)
+        harness = after_a_release(seed)
         for number in range(24):  # one second of full load: 30 engines of 8 cores, over 40 gateways
             cost = 1_500.0 if number % 12 == 0 else 100.0
-            request = rig.ask(SAFE, cost)
-            for send in rig.sends(request):
+            request = harness.send_request(SAFE, cost)
+            for send in harness.sends(request):
                 cold = int(send.engine.split(".")[3].split(":")[0]) > 12
                 (light if cost < 200.0 else heavy)[cold] += 1
                 sent[send.engine] += int(cost) if cold else 0
-            rig.pass_time(40.0)
-            if rig.sends(request):
-                rig.end(request, Status.OK, 40.0, work_ms=cost)
+            harness.advance(40.0)
+            if harness.sends(request):
+                harness.end_attempt(request, Status.OK, 40.0, work_ms=cost)
     assert light[True] > 0.15 * light.total(), (light, heavy, sent)
     assert not heavy[True]  # a few of those would spend the whole budget
     assert max(sent.values()) < 3.0 * 0.3 * 0.85 * 8.0 * 2_000.0  # thread-milliseconds within the window
 
 
 def test_cold_cores_count_by_their_warmth_where_pressure_is_judged() -> None:
-    rig = after_a_release(1)
-    for engine in list(rig.gateway.engines.values())[:12]:
+    harness = after_a_release(1)
+    for engine in list(harness.gateway.engines.values())[:12]:
         engine.other_threads.value = 2.0 * engine.cores
-        engine.reported_at = rig.now
+        engine.reported_at = harness.now
     assert (
-        rig.gateway.admission.pressure(rig.gateway.now, SAFE) > 0.1
+        harness.gateway.admission.pressure(harness.gateway.now, SAFE) > 0.1
     )  # 24 threads a core on 12 engines, and 5.4 engines' worth beside
-    assert rig.gateway.load.capacity(rig.gateway.now, list(rig.gateway.engines.values())) < 8.0 * (
-        12 + 18 * 0.31
-    )
+    assert harness.gateway.load.capacity(
+        harness.gateway.now, list(harness.gateway.engines.values())
+    ) < 8.0 * (12 + 18 * 0.31)
 
 
 def test_an_attempt_that_may_begin_yet_is_followed_by_no_other() -> None:
-    rig = Rig(settings(instances=40), engines=8)
+    harness = GatewayHarness(settings(instances=40), engines=8)
     for may_still_run in (False, True):
-        request = rig.ask(SAFE, 100.0)
-        rig.end(request, Status.CANCELLED, 900.0, may_still_run=may_still_run)
-        assert len(rig.sends(request)) == (1 if may_still_run else 2)
-        assert bool(rig.answers(request)) == may_still_run
+        request = harness.send_request(SAFE, 100.0)
+        harness.end_attempt(request, Status.CANCELLED, 900.0, may_still_run=may_still_run)
+        assert len(harness.sends(request)) == (1 if may_still_run else 2)
+        assert bool(harness.answers(request)) == may_still_run
 
 
 class Site:
@@ -152,17 +156,17 @@
         )
         self.entries = {f"10.0.0.{n}:80": entry(n) for n in range(1, engines + 1)}
         self.machines = {name: Machine(8.0, cold_part=0.32, warm_ms=15_000.0) for name in self.entries}
-        self.rigs = [self.started(seed * 1_000 + number) for number in range(gateways)]
+        self.harnesses = [self.started(seed * 1_000 + number) for number in range(gateways)]
         self.read = [0] * gateways  # how much of each log was carried out
-        self.jobs: dict[str, tuple[Rig, int, int, float]] = {}  # rig, request, attempt, since
+        self.jobs: dict[str, tuple[GatewayHarness, int, int, float]] = {}  # harness, request, attempt, since
         self.sent: list[tuple[float, str, float]] = []  # time, engine, thread-milliseconds
-        self.asked: list[tuple[Rig, int]] = []
+        self.asked: list[tuple[GatewayHarness, int]] = []
 
-    def started(self, seed: int) -> Rig:
-        rig = Rig(self.config, engines=0, seed=seed)
-        rig.now = self.now
-        rig.members(*self.entries.values(), kind=ListUpdateKind.FULL)
-        return rig
+    def started(self, seed: int) -> GatewayHarness:
+        harness = GatewayHarness(self.config, engines=0, seed=seed)
+        harness.now = self.now
+        harness.update_engine_list(*self.entries.values(), kind=ListUpdateKind.FULL)
+        return harness
 
     def restart(self, gateways: int, cold: int) -> None:
         """Kill the first gateways and start them anew, while the first engines come back cold."""
@@ -173,36 +177,42 @@
         self.jobs = {
             job: held
             for job, held in self.jobs.items()
-            if held[0] not in self.rigs[:gateways]
+            if held[0] not in self.harnesses[:gateways]
             and any(job in machine.jobs for machine in self.machines.values())
         }
-        self.asked = [(rig, request) for rig, request in self.asked if rig not in self.rigs[:gateways]]
+        self.asked = [
+            (harness, request) for harness, request in self.asked if harness not in self.harnesses[:gateways]
+        ]
         for number in range(gateways):
-            self.rigs[number], self.read[number] = self.started(900_000 + number), 0
-        for rig in self.rigs[gateways:]:
-            rig.members(*list(self.entries.values())[:cold])
-            for request in {send.request for send in rig.sends() if send.engine in list(self.entries)[:cold]}:
-                if not rig.answers(request) and request in rig.gateway.requests:
-                    rig.end(request, Status.RESET)
+            self.harnesses[number], self.read[number] = self.started(900_000 + number), 0
+        for harness in self.harnesses[gateways:]:
+            harness.update_engine_list(*list(self.entries.values())[:cold])
+            for request in {
+                send.request for send in harness.sends() if send.engine in list(self.entries)[:cold]
+            }:
+                if not harness.answers(request) and request in harness.gateway.requests:
+                    harness.end_attempt(request, Status.RESET)
 
     def run(self, seconds: float, per_s: float) -> None:
         """Let clients ask at that rate."""
         for _ in range(int(seconds * 1_000.0 / self.STEP_MS)):
             self.now += self.STEP_MS
-            for rig in self.rigs:
-                rig.pass_time(self.now - rig.now)
+            for harness in self.harnesses:
+                harness.advance(self.now - harness.now)
             for _ in range(int(per_s * self.STEP_MS / 1_000.0 + self.random.random())):
-                rig = self.random.choice(self.rigs)
-                self.asked.append((rig, rig.ask(SAFE, self.random.choice((60.0, 120.0, 300.0)))))
+                harness = self.random.choice(self.harnesses)
+                self.asked.append(
+                    (harness, harness.send_request(SAFE, self.random.choice((60.0, 120.0, 300.0))))
+                )
             for name, machine in self.machines.items():
                 for job in machine.advance(self.now):
                     self.ended(name, machine, job)
             self.carry_out()
 
     def ended(self, name: str, machine: Machine, job: Job) -> None:
-        rig, request, attempt, since = self.jobs.pop(job.id, (None, 0, 0, 0.0))
-        if rig is not None:
-            rig.end(
+        harness, request, attempt, since = self.jobs.pop(job.id, (None, 0, 0, 0.0))
+        if harness is not None:
+            harness.end_attempt(
                 request,
                 Status.OK,
                 self.now - since,
@@ -213,26 +223,29 @@
 
     def carry_out(self) -> None:
         """Do what the gateways ordered since the last step."""
-        for number, rig in enumerate(self.rigs):
-            for _, action in itertools.islice(rig.log, self.read[number], None):
+        for number, harness in enumerate(self.harnesses):
+            for _, action in itertools.islice(harness.action_log, self.read[number], None):
                 match action:
                     case SendAttempt(request, engine):
-                        cost, job = rig.gateway.requests[request].cost, f"{number}.{id(rig)}.{request}"
+                        cost, job = (
+                            harness.gateway.requests[request].cost,
+                            f"{number}.{id(harness)}.{request}",
+                        )
                         self.jobs[job] = (
-                            rig,
+                            harness,
                             request,
-                            rig.gateway.requests[request].attempts_sent - 1,
+                            harness.gateway.requests[request].attempts_sent - 1,
                             self.now,
                         )
                         self.machines[engine].start(Job(job, cost, 1), self.now)
                         self.sent.append((self.now, engine, cost))
                     case CancelAttempt(request, _):
-                        job = f"{number}.{id(rig)}.{request}"
+                        job = f"{number}.{id(harness)}.{request}"
                         for machine in self.machines.values():
                             machine.drop(job, self.now)
                         if (held := self.jobs.pop(job, None)) is not None:
-                            rig.end(request, Status.CANCELLED, self.now - held[3], held[2])
-            self.read[number] = len(rig.log)
+                            harness.end_attempt(request, Status.CANCELLED, self.now - held[3], held[2])
+            self.read[number] = len(harness.action_log)
 
 
 def test_when_most_gateways_start_anew_beside_cold_engines_all_together_spare_them() -> None:
@@ -256,6 +269,6 @@
     assert min(warm) > 0
     site.run(4.0, 0.0)
     # every request of those that live got its answer, and no table of theirs holds anything more
-    assert not any(rig.gateway.requests or rig.gateway.attempts for rig in site.rigs)
-    refused = sum(bool(rig.answers(request)) for rig, request in site.asked)
+    assert not any(harness.gateway.requests or harness.gateway.attempts for harness in site.harnesses)
+    refused = sum(bool(harness.answers(request)) for harness, request in site.asked)
     assert refused < 0.2 * len(site.asked)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -19,7 +19,7 @@
 from fordstair.lab.coordinator_process import query_console
 from fordstair.lab.relay import Faults, Relay
 from fordstair.membership.messages import MemberState, TablePart, Update, encode
-from tests.scenes import play
+from tests.scenes import run_with_timeout
 from tests.standins import ROOT, Program, config, program
 
 # Times are short so that a death shows within seconds; what is asserted is in periods and suspicions.
@@ -135,7 +135,7 @@
             await members.until(members.agree, 15.0)
             assert (await members.view("m1"))["m4"]["incarnation"] > before
 
-    play(scene, 110.0)
+    run_with_timeout(scene, 110.0)
 
 
 @pytest.mark.parametrize(("pause_s", "dies"), [(2.0, False), (10.0, False), (60.0, True)])
@@ -155,7 +155,7 @@
             assert counts["fleet.refutations"] >= 1 or pause_s < 5.0
             assert {name for _, name in members.told("dead")} == ({"m2"} if dies else set())
 
-    play(scene, 110.0)
+    run_with_timeout(scene, 110.0)
 
 
 @pytest.mark.parametrize("drop", [0.1, 0.3, 0.5])
@@ -170,7 +170,7 @@
             members.relay.heal()
             await members.until(members.agree, 20.0)
 
-    play(scene, 110.0)
+    run_with_timeout(scene, 110.0)
 
 
 def test_late_doubled_and_overtaken_datagrams_cost_nothing() -> None:
@@ -181,7 +181,7 @@
             await members.until(members.agree, 10.0)
             assert not members.told("dead")
 
-    play(scene, 110.0)
+    run_with_timeout(scene, 110.0)
 
 
 def test_a_way_cut_on_one_side_costs_nobody_and_is_found() -> None:
@@ -204,7 +204,7 @@
 
             await members.until(mended, 20.0)
 
-    play(scene, 110.0)
+    run_with_timeout(scene, 110.0)
 
 
 def test_a_member_that_nobody_hears_is_found_out_and_accuses_nobody() -> None:
@@ -218,7 +218,7 @@
             members.relay.heal()
             await members.until(members.agree, 20.0)
 
-    play(scene, 110.0)
+    run_with_timeout(scene, 110.0)
 
 
 def test_two_halves_hold_each_other_for_dead_and_become_one_view_again() -> None:
@@ -231,7 +231,7 @@
             members.relay.heal()
             await members.until(members.agree, 2.0 * 2.0 + 5.0 * PROBE_MS / 1000.0 + 2.0)
 
-    play(scene, 110.0)
+    run_with_timeout(scene, 110.0)
 
 
 def test_a_slow_member_accuses_no_healthy_one_to_death() -> None:
@@ -246,7 +246,7 @@
             await members.until(members.agree, 20.0)
             assert (await members.ask("m0", "counters"))["fleet.stalls"] >= 3
 
-    play(scene, 110.0)
+    run_with_timeout(scene, 110.0)
 
 
 def test_a_member_that_ends_on_sigterm_has_left() -> None:
@@ -256,7 +256,7 @@
             await members.until(lambda: members.agree("m0", "m2", "m3", m1="left"), 10.0)
             assert not members.told("dead")
 
-    play(scene, 110.0)
+    run_with_timeout(scene, 110.0)
 
 
 def test_noise_and_strangers_are_counted_and_dropped() -> None:
@@ -277,7 +277,7 @@
             await members.until(counted, 10.0)
             assert await members.agree()
 
-    play(scene, 110.0)
+    run_with_timeout(scene, 110.0)
 
 
 def test_nothing_of_it_is_loaded_or_listens_as_the_platform_starts_the_program() -> None:
@@ -294,4 +294,4 @@
             held = {str(link.readlink()) for link in Path(f"/proc/{node.process.pid}/fd").iterdir()}
             assert not held & {f"socket:[{inode}]" for inode in inodes}
 
-    play(scene, 110.0)
+    run_with_timeout(scene, 110.0)
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -21,7 +21,7 @@
 from fordstair.net.spiffe import IdentityError, parse_id, spiffe_id
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
-from tests.scenes import play
+from tests.scenes import run_with_timeout
 from tests.standins import RestEngine, config, program
 from tests.test_odata import OPERATOR, runs
 
@@ -214,4 +214,4 @@
             assert len(one.posts) == (1 if status == 200 else 0)
             assert status != 200 or len(ujson.loads(body)["value"]) == 2
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_odata.py
+++ b/tests/test_odata.py
@@ -19,19 +19,19 @@
 from fordstair.net.clients.odata_model import EntitySet
 from fordstair.net.clients.odata_results import Result, StoredResults
 from fordstair.runtime.deadlines import Deadlines
-from tests.scenes import ROWS, play
+from tests.scenes import ROWS, run_with_timeout
 from tests.standins import (
     SETTINGS,
-    Answered,
     Program,
+    Response,
     RestEngine,
     Script,
-    at_once,
-    breaks,
+    break_connection,
     config,
     engine,
-    never,
+    never_finish,
     program,
+    serve_at_once,
 )
 
 OPERATOR = """
@@ -99,7 +99,7 @@
 
     async def script(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> Answered | None:
+    ) -> Response | None:
         if method == "POST":
             txn = ujson.loads(body)["Txn"]
             return 202, {"Location": f"/odata/monitors/{txn}", "X-Gauges": "inflight:1;util:0.10"}, b""
@@ -118,7 +118,7 @@
 
 async def five_rows(
     one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-) -> Answered | None:
+) -> Response | None:
     if method == "POST":
         return 200, {"X-Sheets": "1"}, b"".join(b"a%d\tp\t%d\n" % (n, n) for n in range(5))
     return 204, {}, b""
@@ -150,7 +150,7 @@
             assert (await ask(node, "GET", "/odata/"))[2]["value"][1]["name"] == "Readings"
             assert b'Name="SettlementsRow"' in (await ask(node, "GET", "/odata/$metadata"))[2]
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
@@ -174,7 +174,7 @@
             assert (got, told["error"]["code"], headers["OData-Version"]) == (status, code, "4.01")
             assert not one.posts
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_paged_result_that_outlives_the_clients_patience(tmp_path: Path) -> None:
@@ -194,7 +194,7 @@
             assert told["error"]["code"] == "ResultGone"
             assert len(one.posts) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_kept_results_stay_within_their_number_and_memory(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -224,7 +224,7 @@
             while not one.deleted:
                 await trio.sleep(0.01)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("odata", [(), (0,)])
@@ -232,7 +232,7 @@
     tmp_path: Path, odata: tuple[int, ...]
 ) -> None:
     async def scene() -> None:
-        async with engine(breaks) as one, appliance(tmp_path, one, odata=odata) as node:
+        async with engine(break_connection) as one, appliance(tmp_path, one, odata=odata) as node:
             part = {
                 "id": "1",
                 "method": "POST",
@@ -246,12 +246,12 @@
                 assert told["responses"][0]["status"] == 502
             assert len(one.posts) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_client_that_drops_mid_batch_starts_nothing_more(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with engine(never) as one, appliance(tmp_path, one) as node:
+        async with engine(never_finish) as one, appliance(tmp_path, one) as node:
             parts = [{"id": str(n), "method": "POST", "url": "Readings", "body": READING} for n in range(3)]
             body = ujson.dumps({"requests": parts}).encode()
             stream = await trio.open_tcp_stream("127.0.0.1", node.ports["odata"])
@@ -268,7 +268,7 @@
             assert len(one.posts) == 1
             assert any("sent.meter-load=1 " in line + " " for line in node.log)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_batch_answers_part_by_part(tmp_path: Path) -> None:
@@ -288,7 +288,7 @@
                 b"VALUES ('m''1', '2026-01-01', '3.5')"
             )
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 PAUSE_S = 1.5
@@ -310,7 +310,7 @@
         )
 
     async def scene() -> None:
-        async with engine(never) as one, appliance(tmp_path, one) as node:
+        async with engine(never_finish) as one, appliance(tmp_path, one) as node:
             port = node.ports["odata"]
             if connected_before:  # it is accepted, and rests
                 stream = await trio.open_tcp_stream("127.0.0.1", port)
@@ -329,7 +329,7 @@
             assert trio.current_time() - start > WAIT_S - 0.5
             assert int(one.posts[0][0]["x-limit-ms"]) <= (WAIT_S - PAUSE_S) * 1000.0 + 150.0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_refusal_says_when_to_come_back(tmp_path: Path) -> None:
@@ -339,16 +339,16 @@
             assert (status, told["error"]["code"]) == (503, "Overloaded")
             assert int(headers["Retry-After"]) >= 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("script", ["served", "silent", "broken"])
 def test_both_protocols_get_the_same_answers_at_the_same_time(tmp_path: Path, script: str) -> None:
     """Each kind of client asks the same of the same engines, one of which expects OData."""
     scripts: dict[str, tuple[Script, Script]] = {
-        "served": (at_once, runs(0)),
-        "silent": (never, runs(10_000)),
-        "broken": (breaks, breaks),
+        "served": (serve_at_once, runs(0)),
+        "silent": (never_finish, runs(10_000)),
+        "broken": (break_connection, break_connection),
     }
 
     # Where all is to be served, a machine short of time must not make the module refuse: neither what is
@@ -371,7 +371,7 @@
 
             async def by_msgpack(number: int, class_name: str) -> None:
                 client, start = await node.client(), time.monotonic()
-                asked = await client.ask(class_name, limit=str(wait_s * 1000), txn=f"{number:016x}")
+                asked = await client.send_request(class_name, limit=str(wait_s * 1000), txn=f"{number:016x}")
                 error, result = await client.answer(asked)
                 assert error or result == ROWS
                 counts["msgpack"][
@@ -409,7 +409,7 @@
             ]
             assert len(loads) == len(set(loads)) == 8  # each once
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /odata/Settlements HTTP/1.1\r\nHost: a\r\n"])
@@ -421,7 +421,7 @@
             with trio.fail_after(20.0):
                 assert await stream.receive_some(65536) == b""
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_body_that_is_too_large_is_refused_and_its_refusal_arrives(tmp_path: Path) -> None:
@@ -437,4 +437,4 @@
                     got += chunk
             assert b" 413 " in got
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -13,7 +13,7 @@
 import trio
 import ujson
 
-from tests.scenes import play
+from tests.scenes import run_with_timeout
 from tests.standins import ROOT, config, engine, program
 
 
@@ -21,12 +21,12 @@
     async def scene() -> None:
         async with engine() as one, program(config(one.address)) as node:
             client = await node.client()
-            await client.answer(await client.ask())
+            await client.answer(await client.send_request())
             node.process.send_signal(signal.SIGUSR1)
             while not any("taken.lookup=1" in line and "sent.lookup=1" in line for line in node.log):
                 await trio.sleep(0.01)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("text", ["{", "[]", ujson.dumps(config() | {"listen": "nowhere"})])
--- a/tests/test_rpc_requests.py
+++ b/tests/test_rpc_requests.py
@@ -9,8 +9,17 @@
 import pytest
 import trio
 
-from tests.scenes import ROWS, ends, play
-from tests.standins import SETTINGS, Answered, RestEngine, at_once, config, engine, never, program
+from tests.scenes import ROWS, read_to_end, run_with_timeout
+from tests.standins import (
+    SETTINGS,
+    Response,
+    RestEngine,
+    config,
+    engine,
+    never_finish,
+    program,
+    serve_at_once,
+)
 
 EFFECTS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}  # site file, settings
 SITES = [
@@ -43,8 +52,8 @@
             client = await node.client()
             await client.send([0, 1, "alive", [{}]])
             assert await client.answer(1) == (None, [True, {}])
-            client.last = 1
-            assert await client.answer(await client.ask(txn="9b1f03aa5c7e2d41")) == (None, ROWS)
+            client.last_id = 1
+            assert await client.answer(await client.send_request(txn="9b1f03aa5c7e2d41")) == (None, ROWS)
             headers, body = one.posts[0]
             assert headers["x-txn"] == "9b1f03aa5c7e2d41"
             assert headers["x-lane"] == "lookup"
@@ -53,16 +62,16 @@
             assert await node.stop() == 0
             assert any("answered.served.lookup=1" in line for line in node.log)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def full_at_first(
     one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-) -> Answered | bytes | None:
+) -> Response | bytes | None:
     """Say that there is no room, until each query has come twice."""
     if method == "POST" and len(one.posts) % 2:
         return 503, {"X-Unrun": "1"}, b""
-    return await at_once(one, method, path, headers, body)
+    return await serve_at_once(one, method, path, headers, body)
 
 
 @pytest.mark.parametrize("spec", CLASSES, ids=lambda spec: spec["name"])
@@ -82,7 +91,7 @@
             program(config(one.address, settings=told["settings"])) as node,
         ):
             client = await node.client()
-            number = await client.ask(
+            number = await client.send_request(
                 spec["name"], body=statement, txn=txn, unique=key, item=item, limit="1500"
             )
             assert await client.answer(number) == (None, ROWS)
@@ -94,7 +103,7 @@
                 assert headers["x-name"] == item
                 assert body == statement
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("key", ["", "a\r\nX-Lane: b", "\u00e9"])
@@ -103,12 +112,12 @@
     async def scene() -> None:
         async with engine() as one, program(config(one.address)) as node:
             client = await node.client()
-            error, _ = await client.answer(await client.ask(item=key))
+            error, _ = await client.answer(await client.send_request(item=key))
             assert error[0] == "Invalid"
             assert "item" in error[1]["reason"]
             assert not one.posts
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize("key", [None, "", " a", "a ", "a\r\nX-Lane: b", "\u00e9", "a" * 257])
@@ -120,12 +129,12 @@
         async with engine() as one, program(config(one.address, settings=settings_of(spec))) as node:
             client = await node.client()
             fields = {} if key is None else {"unique": key}
-            error, _ = await client.answer(await client.ask(spec["name"], **fields))
+            error, _ = await client.answer(await client.send_request(spec["name"], **fields))
             assert error[0] == "Invalid"
             assert "unique" in error[1]["reason"]
             assert not one.posts
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_cannot_be_used_is_answered_and_harms_nobody_else() -> None:
@@ -133,15 +142,15 @@
         async with engine() as one, program(config(one.address)) as node:
             client, other = await node.client(), await node.client()
             bad = [
-                await client.ask("nonsense"),
-                await client.ask(limit="soon"),
-                await client.ask(txn="xyz"),
-                await client.ask(team="nobody"),
-                await client.ask(body=7),
-                await client.ask(cpu="1e3"),
-                await client.ask(need_mb="nan"),
-                await client.ask(cpu="-1"),
-                await client.ask(limit=""),
+                await client.send_request("nonsense"),
+                await client.send_request(limit="soon"),
+                await client.send_request(txn="xyz"),
+                await client.send_request(team="nobody"),
+                await client.send_request(body=7),
+                await client.send_request(cpu="1e3"),
+                await client.send_request(need_mb="nan"),
+                await client.send_request(cpu="-1"),
+                await client.send_request(limit=""),
             ]
             for number in bad:
                 error, _ = await client.answer(number)
@@ -149,9 +158,9 @@
             await client.stream.send_all(b"\x94\x00\x63\xc1\xc1")
             error, _ = await client.answer(0x63)
             assert error[0] == "Invalid"
-            assert await other.answer(await other.ask()) == (None, ROWS)
+            assert await other.answer(await other.send_request()) == (None, ROWS)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_site_without_teams_serves_whatever_team_is_named() -> None:
@@ -159,40 +168,40 @@
         told = {name: value for name, value in SETTINGS.items() if name != "projects"}
         async with engine() as one, program(config(one.address, settings=told)) as node:
             client = await node.client()
-            assert await client.answer(await client.ask(team="whoever")) == (None, ROWS)
-            client.last += 1
-            fields = {"txn": f"{client.last:016x}", "limit": "3000"}  # and where none is named
-            await client.send([0, client.last, "lookup", [fields, b"SELECT a FROM sales_17.orders"]])
-            assert await client.answer(client.last) == (None, ROWS)
+            assert await client.answer(await client.send_request(team="whoever")) == (None, ROWS)
+            client.last_id += 1
+            fields = {"txn": f"{client.last_id:016x}", "limit": "3000"}  # and where none is named
+            await client.send([0, client.last_id, "lookup", [fields, b"SELECT a FROM sales_17.orders"]])
+            assert await client.answer(client.last_id) == (None, ROWS)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_ids_count_up_and_a_txn_is_open_once() -> None:
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never_finish) as one, program(config(one.address)) as node:
             client, other = await node.client(), await node.client()
-            await client.ask(limit="5000", txn="00000000000000AA")
+            await client.send_request(limit="5000", txn="00000000000000AA")
             while not one.posts:  # of two connections either may be read first
                 await trio.sleep(0.01)
-            again = await other.ask(limit="5000", txn="00000000000000aa", body=b"SELECT 2")
+            again = await other.send_request(limit="5000", txn="00000000000000aa", body=b"SELECT 2")
             assert (await other.answer(again))[0][0] == "Invalid"
             await client.send([0, 2, "nonsense", [{}, b""]])
             assert (await client.answer(2))[0][0] == "Invalid"
             await client.send([0, 2, "lookup", [{}, b""]])  # answered already: a second answer would be wrong
-            assert b"Invalid" not in await ends(client, 5.0)
+            assert b"Invalid" not in await read_to_end(client, 5.0)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_33rd_open_request_fails_and_the_others_go_on() -> None:
     async def scene() -> None:
         # so many engines that the module lets all of them in
-        async with engine(never) as one, program(config(*[one.address] * 16)) as node:
+        async with engine(never_finish) as one, program(config(*[one.address] * 16)) as node:
             client = await node.client()
-            numbers = [await client.ask("meter-load", limit="5000") for _ in range(33)]
+            numbers = [await client.send_request("meter-load", limit="5000") for _ in range(33)]
             assert (await client.answer(numbers[-1]))[0][0] == "Invalid"
             for number in numbers[:-1]:
                 assert (await client.answer(number))[0][0] in ("Internal", "Overloaded")
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -44,7 +44,7 @@
 )
 from fordstair.scheduling.shedding import CostShedding
 from fordstair.scheduling.wait_estimation import ForecastCalibration, ReleaseRate, fluid_work
-from tests.scenes import play as run_scene
+from tests.scenes import run_with_timeout as run_scene
 from tests.test_console import command
 
 FIXED_EXAMPLES = settings(max_examples=120, derandomize=True, deadline=None)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -21,39 +21,39 @@
 from fordstair.program import Program as Coordination
 from fordstair.program.signal_arrivals import noting_arrivals
 from fordstair.runtime.clock import monotonic_now
-from tests.scenes import ROWS, Endless, Gate, ends, hold_reads, play, until
+from tests.scenes import ROWS, EndlessTransport, Gate, hold_reads, read_to_end, run_with_timeout, until
 from tests.standins import (
     SETTINGS,
-    Answered,
     Client,
+    Response,
     RestEngine,
     config,
     connect,
     engine,
-    inside,
-    never,
+    never_finish,
     program,
+    run_in_process,
 )
 
 
 def test_sigterm_answers_what_is_open_and_takes_more_for_a_while() -> None:
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never_finish) as one, program(config(one.address)) as node:
             client = await node.client()
-            first = await client.ask(limit="60000")
+            first = await client.send_request(limit="60000")
             while not one.posts:
                 await trio.sleep(0.01)
             start = time.monotonic()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(node.stop)
                 await trio.sleep(0.1)
-                late = await (other := await node.client()).ask(limit="60000", txn="f" * 16)
+                late = await (other := await node.client()).send_request(limit="60000", txn="f" * 16)
                 assert (await client.answer(first))[0][0] == "Overloaded"
                 assert (await other.answer(late))[0][0] == "Overloaded"
             assert time.monotonic() - start < 15.0
             assert node.process.returncode == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def submit_endless(one: Coordination, nursery: trio.Nursery) -> PendingReply:
@@ -62,7 +62,7 @@
     await nursery.start(one.coordinator.run)
     reply = PendingReply()
     one.coordinator.update_engines(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
-    one.transports["rest"] = Endless()
+    one.transports["rest"] = EndlessTransport()
     one.coordinator.submit(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
     return reply
 
@@ -120,9 +120,9 @@
 ) -> None:
     # Guards against a drain that counts its time from when the signal was seen, not from when it was sent.
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never_finish) as one, program(config(one.address)) as node:
             client = await node.client()
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: one.posts)
             os.kill(node.process.pid, signal.SIGSTOP)
             start = time.monotonic()
@@ -134,12 +134,12 @@
                 error, _ = await client.answer(number)
             assert error[0] == "Internal"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def reads_and_hangs(
     one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-) -> Answered | None:
+) -> Response | None:
     """Answer nothing, neither a POST nor the DELETE after it."""
     await trio.sleep_forever()
     return None
@@ -151,7 +151,7 @@
     async def scene() -> None:
         async with engine(reads_and_hangs) as one, program(config(one.address)) as node:
             client = await node.client()
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: one.posts)
             node.process.send_signal(end)
             error, _ = await client.answer(number)
@@ -159,12 +159,12 @@
             with trio.fail_after(3.0):
                 assert await node.process.wait() == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def hangs_and_resets(
     one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-) -> Answered | None:
+) -> Response | None:
     """Answer nothing, and end the connection of a DELETE."""
     if method != "DELETE":
         await trio.sleep_forever()
@@ -176,7 +176,7 @@
     async def scene() -> None:
         async with engine(hangs_and_resets) as one, program(config(one.address)) as node:
             client = await node.client()
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: one.posts)
             node.process.send_signal(signal.SIGTERM)
             error, _ = await client.answer(number)
@@ -186,15 +186,15 @@
             assert not any("Traceback" in line for line in node.log)
             assert one.calls["DELETE"] > 10
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_pause_that_begins_before_sigkill_and_lasts_over_it_costs_no_answer() -> None:
     # Guards against answers given so shortly before SIGKILL that a pause of the program takes them along.
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never_finish) as one, program(config(one.address)) as node:
             client = await node.client()
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: one.posts)
             start = time.monotonic()
             os.kill(node.process.pid, signal.SIGTERM)
@@ -204,7 +204,7 @@
                 error, _ = await client.answer(number)
             assert error[0] == "Internal"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_signal_that_came_in_a_pause_is_dated_before_it_and_one_to_a_running_program_is_not(
@@ -248,18 +248,18 @@
     gate.open.set()
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
             client = await connect(node)
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             gate.open = trio.Event()
             if taken:
-                number = await client.ask()
+                number = await client.send_request()
                 await until(lambda: gate.held)
             else:
-                await client.ask("nonsense")
+                await client.send_request("nonsense")
                 await until(lambda: gate.held)
-                number = await client.ask()
+                number = await client.send_request()
             node.coordinator.withdraw_all()
             node.rpc.close()
             await wait_all_tasks_blocked(0.05)
@@ -267,11 +267,11 @@
             error, _ = await client.answer(number)
             assert error[0] == "Overloaded"
             assert len(one.posts) == 1
-            assert await ends(client, 5.0) == b""
+            assert await read_to_end(client, 5.0) == b""
             await client.stream.send_eof()
             await until(lambda: not node.rpc.clients)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_what_comes_in_a_pause_at_the_end_of_a_drain_is_answered_after_it(
@@ -282,16 +282,16 @@
     gate.open.set()
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             ahead = [0.0]
             node.deadlines.clock = lambda: monotonic_now() + ahead[0]
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
             client = await connect(node)
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             gate.open = trio.Event()
-            await client.ask("nonsense")
+            await client.send_request("nonsense")
             await until(lambda: gate.held)
-            number = await client.ask()
+            number = await client.send_request()
             node.stop.make(node.deadlines.clock())
             await wait_all_tasks_blocked()
             ahead[0] = 800.0  # past the time for new clients: nothing is open, and the flush begins
@@ -305,22 +305,22 @@
             error, _ = await client.answer(number)
             assert error[0] == "Overloaded"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_resting_connection_is_shut_at_the_end_of_a_drain_and_what_crosses_that_is_not_sent_on() -> None:
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             client = await connect(node)
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             node.stop.make(node.deadlines.clock())
-            assert await ends(client, 5.0) == b""  # a whole end, no reset
-            await client.ask()
+            assert await read_to_end(client, 5.0) == b""  # a whole end, no reset
+            await client.send_request()
             await client.stream.send_eof()
             await until(lambda: not node.rpc.clients)
             assert len(one.posts) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def hold_accepts(monkeypatch: pytest.MonkeyPatch, listener: trio.SocketListener) -> Gate:
@@ -342,7 +342,7 @@
 ) -> None:
     # Guards against closing the listener after a fixed time: a busy program has not accepted all by then.
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             ahead, looks = [0.0], [0]
 
             def clock() -> float:
@@ -353,7 +353,7 @@
             gate = hold_accepts(monkeypatch, node.listeners[0])
             node.stop.make(node.deadlines.clock())
             clients = [await connect(node) for _ in range(5)]
-            numbers = [await client.ask(txn=f"{n:016x}") for n, client in enumerate(clients)]
+            numbers = [await client.send_request(txn=f"{n:016x}") for n, client in enumerate(clients)]
             await until(lambda: gate.held)
             for ms in (800.0, 1_400.0):  # the time for new clients, and half a second more
                 ahead[0] = ms
@@ -365,14 +365,14 @@
                 error, result = await client.answer(number)
                 assert result == ROWS or error[0] == "Overloaded"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_who_has_connected_when_a_drain_stops_accepting_is_answered() -> None:
     """Connections and their requests lie in the backlog in the moment in which the listener is closed."""
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as one, run_in_process(config(one.address)) as node:
             ahead = [0.0]
             node.deadlines.clock = lambda: monotonic_now() + ahead[0]
             where = node.listeners[0].socket.getsockname()
@@ -391,4 +391,4 @@
                 error, result = await Client(stream).answer(1)
                 assert result == ROWS or error[0] == "Overloaded"
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_soak_stand_ins.py
+++ b/tests/test_soak_stand_ins.py
@@ -14,7 +14,7 @@
 from fordstair.lab.machine import Machine
 from fordstair.lab.soak.engines import WatchedEngine
 from fordstair.lab.soak.records import SoakRecord
-from tests.scenes import play, until
+from tests.scenes import run_with_timeout, until
 
 FIELDS = b"Host: a\r\nX-Txn: 0f\r\nX-Lane: lookup\r\nX-Limit-Ms: 900\r\nContent-Length: 1\r\n\r\n"
 POST = b"POST /o HTTP/1.1\r\n" + FIELDS + b"x"
@@ -41,7 +41,7 @@
                 assert not one.started
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_engine_that_resets_a_connection_between_two_reads_goes_on_with_the_others(
@@ -70,7 +70,7 @@
             assert one.started["0f"] == 1
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_attempt_is_dated_by_its_arrival_though_the_soak_is_late_to_read_it() -> None:
@@ -92,4 +92,4 @@
             nursery.cancel_scope.cancel()
         assert record.attempts[0].read_s + one._start_s - sent_s < late_s / 3
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -24,7 +24,17 @@
 from fordstair.replication.stored_records import claim_record, load_state
 from fordstair.runtime.clock import AnchoredClock, MonotonicMs, UnixMs, WallClock
 from fordstair.store.record_file import RecordFile
-from tests.standins import Answered, Program, RestEngine, at_once, config, connect, engine, inside, program
+from tests.standins import (
+    Program,
+    Response,
+    RestEngine,
+    config,
+    connect,
+    engine,
+    program,
+    run_in_process,
+    serve_at_once,
+)
 
 HOUR_MS = 3_600_000.0
 STEPS_MS = (-HOUR_MS, -5_000.0, 5_000.0, HOUR_MS)
@@ -62,16 +72,16 @@
 class HeldEngine:
     """The script of an engine whose queries run until the gate opens, and then end as told."""
 
-    def __init__(self, end: Answered) -> None:
+    def __init__(self, end: Response) -> None:
         self.end, self.gate, self.begun = end, trio.Event(), trio.Event()
 
     async def __call__(
         self, one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-    ) -> Answered | bytes | None:
+    ) -> Response | bytes | None:
         if method == "POST":
             self.begun.set()
         if method == "GET" and path.endswith("/1"):
-            return await at_once(one, method, path, headers, body)
+            return await serve_at_once(one, method, path, headers, body)
         if method not in ("POST", "GET"):
             return 204, {}, b""
         if not self.gate.is_set():
@@ -80,8 +90,8 @@
         return self.end if self.gate.is_set() else (202, {}, b"")
 
 
-LOST: Answered = (500, {}, b"")
-SERVED: Answered = (200, {"X-Sheets": "2"}, b"a\tb\tc\n")
+LOST: Response = (500, {}, b"")
+SERVED: Response = (200, {"X-Sheets": "2"}, b"a\tb\tc\n")
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
@@ -96,7 +106,7 @@
             faulty_program(config(one.address, two.address)) as (node, faults),
         ):
             client = await node.client()
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await held.begun.wait()
             await faults.apply(wall_step_ms=step_ms)
             held.gate.set()
@@ -112,13 +122,13 @@
         held = HeldEngine(SERVED)
         async with engine(held) as one, faulty_program(config(one.address)) as (node, faults):
             client = await node.client()
-            number = await client.ask("settlement", limit="20000")
+            number = await client.send_request("settlement", limit="20000")
             await held.begun.wait()
             await faults.apply(wall_step_ms=step_ms)
             await trio.sleep(0.5)  # a deadline that the step has passed would end it now
             held.gate.set()
             assert await client.answer(number, 3.0) == (None, ROWS)
-            assert await client.answer(await client.ask(), 3.0) == (None, ROWS)
+            assert await client.answer(await client.send_request(), 3.0) == (None, ROWS)
 
     trio.run(scene)
 
@@ -130,7 +140,7 @@
         async with engine(held) as one, faulty_program(config(one.address)) as (node, faults):
             client = await node.client()
             start = trio.current_time()
-            number = await client.ask("meter-load", limit="2000")
+            number = await client.send_request("meter-load", limit="2000")
             await held.begun.wait()
             await faults.apply(wall_step_ms=step_ms)
             error, _ = await client.answer(number, 4.0)
@@ -235,7 +245,7 @@
         server["started_ms"] = started_ms  # years ago by any clock: the clock may be years ahead
 
     async def scene() -> None:
-        async with inside(told) as node:
+        async with run_in_process(told) as node:
             entries = [engine.entry for engine in node.coordinator.engines.values()]
             assert entries[0].started_ms == 0.0
             assert entries[2].started_ms - entries[1].started_ms == pytest.approx(9_000.0, abs=50.0)
@@ -299,9 +309,13 @@
     async def scene() -> None:
         held = HeldEngine(LOST)
         held.gate.set()
-        async with engine(held) as one, engine(held) as two, inside(config(one.address, two.address)) as node:
+        async with (
+            engine(held) as one,
+            engine(held) as two,
+            run_in_process(config(one.address, two.address)) as node,
+        ):
             client = await connect(node)
-            error, _ = await client.answer(await client.ask("meter-load", limit="20000"))
+            error, _ = await client.answer(await client.send_request("meter-load", limit="20000"))
             assert (error[0], len(one.posts) + len(two.posts)) == ("Internal", 1)
             assert node.counters["violation.unsafe_repeat"] == 1
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -14,7 +14,7 @@
 import ujson
 
 from fordstair.lab.soak.plan import ERRNOS
-from tests.standins import ROOT, Answered, Client, RestEngine, at_once, config, engine, program
+from tests.standins import ROOT, Client, Response, RestEngine, config, engine, program, serve_at_once
 from tests.test_stepped_clock import ROWS, faulty_program
 
 SLACK_MS = 150.0
@@ -30,16 +30,18 @@
     async def scene() -> None:
         async with engine() as one, faulty_program(config(one.address)) as (node, faults):
             client = await node.client()
-            assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
+            assert await client.answer(await client.send_request("meter-load")) == (None, ROWS)
             await faults.apply(calls={"open": {"errno": errno}, "recv": {"short": 7}})
             one.script = at_once_on_fresh_connections  # the pooled connection serves no further call
-            asked = [await client.ask(class_name) for class_name in ("lookup", "settlement", "meter-load")]
+            asked = [
+                await client.send_request(class_name) for class_name in ("lookup", "settlement", "meter-load")
+            ]
             for number in asked:
                 error, result = await client.answer(number, 4.0)
                 assert result == ROWS or error[0] in ("Overloaded", "Internal")
             await faults.apply()
-            one.script = at_once
-            assert await client.answer(await client.ask("meter-load"), 4.0) == (None, ROWS)
+            one.script = serve_at_once
+            assert await client.answer(await client.send_request("meter-load"), 4.0) == (None, ROWS)
             assert node.process.returncode is None
             assert not any("Traceback" in line for line in node.log)
 
@@ -52,7 +54,7 @@
         async with engine() as one, faulty_program(config(one.address), **faults) as (node, shim):
             await shim.apply()
             client = await node.client()
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             assert any("listen.failed" in line for line in node.log)
 
     trio.run(scene)
@@ -87,7 +89,7 @@
 
 async def at_once_on_fresh_connections(
     one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-) -> Answered | bytes | None:
+) -> Response | bytes | None:
     """Serve in one page, and end the connection after each answer."""
     head = b"HTTP/1.1 200 OK\r\nX-Sheets: 1\r\nConnection: close\r\nContent-Length: 12\r\n\r\n"
     return head + b"a\tb\tc\nd\te\tf\n"
@@ -100,7 +102,7 @@
             await faults.apply(calls={"accept": {"errno": errno}})
             client = await node.client()  # the system has it; the program has not
             sent_s = trio.current_time()
-            number = await client.ask(limit="3000")
+            number = await client.send_request(limit="3000")
             await trio.sleep(0.5)
             failed_until_s = trio.current_time()  # from the signal on, accept may succeed at any moment
             await faults.apply()
@@ -118,13 +120,13 @@
     async def scene() -> None:
         async with engine() as one, program(config(one.address)) as node:
             client = await node.client()
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             os.kill(node.process.pid, signal.SIGSTOP)
             if new:
                 client = await node.client()
-                client.last = 1  # its ids go on where the other's ended
+                client.last_id = 1  # its ids go on where the other's ended
             sent_s = trio.current_time()
-            number = await client.ask(limit="3000")
+            number = await client.send_request(limit="3000")
             await trio.sleep(0.7)
             os.kill(node.process.pid, signal.SIGCONT)
             assert await client.answer(number, 4.0) == (None, ROWS)
@@ -133,8 +135,8 @@
             # A pause is over once it is over.
             await trio.sleep(0.3)
             fresh: Client = await node.client()
-            fresh.last = 10
-            assert await fresh.answer(await fresh.ask(limit="3000"), 4.0) == (None, ROWS)
+            fresh.last_id = 10
+            assert await fresh.answer(await fresh.send_request(limit="3000"), 4.0) == (None, ROWS)
             assert limit_told(one, -1) > 2_800.0
 
     trio.run(scene)
@@ -147,7 +149,7 @@
             client = await node.client()
             for _ in range(2):
                 await trio.sleep(1.5)  # the program rests: that is what is tested
-                assert await client.answer(await client.ask(limit="3000"), 4.0) == (None, ROWS)
+                assert await client.answer(await client.send_request(limit="3000"), 4.0) == (None, ROWS)
                 assert limit_told(one, -1) > 2_800.0
 
     trio.run(scene)
@@ -159,7 +161,7 @@
     async def scene() -> None:
         async def silent_then_gone(
             one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-        ) -> Answered | bytes | None:
+        ) -> Response | bytes | None:
             if method == "POST":
                 await trio.sleep(0.4)
                 return None
@@ -171,7 +173,7 @@
             program(config(one.address, two.address)) as node,
         ):
             client = await node.client()
-            error, _ = await client.answer(await client.ask(limit="3000"))
+            error, _ = await client.answer(await client.send_request(limit="3000"))
             assert (error[0], len(one.posts) + len(two.posts)) == ("Overloaded", 1)
 
     trio.run(scene)
@@ -183,16 +185,16 @@
     async def scene() -> None:
         async def asks_first(
             one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-        ) -> Answered | bytes | None:
+        ) -> Response | bytes | None:
             if method == "POST":
                 return None
             if path.endswith("/0") and one.calls["GET"] == 1:
                 return 500, {}, b""
-            return await at_once(one, "POST" if path.endswith("/0") else method, path, headers, body)
+            return await serve_at_once(one, "POST" if path.endswith("/0") else method, path, headers, body)
 
         async with engine(asks_first) as one, program(config(one.address)) as node:
             client = await node.client()
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             assert len(one.posts) == 1
 
     trio.run(scene)
@@ -206,7 +208,7 @@
 
         async def hangs(
             one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-        ) -> Answered | bytes | None:
+        ) -> Response | bytes | None:
             if method == "POST":
                 await reset.wait()
                 return None
@@ -221,7 +223,7 @@
             program(config(one.address, two.address)) as node,
         ):
             client = await node.client()
-            number = await client.ask(limit="6000")
+            number = await client.send_request(limit="6000")
             with trio.fail_after(5.0):
                 while not one.posts and not two.posts:
                     await trio.sleep(0.005)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -29,7 +29,7 @@
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.snapshots.engine_states import engine_state
-from tests.scenes import play as bounded
+from tests.scenes import run_with_timeout as bounded
 
 ENGINES = {f"{hall}{n}": number for number, hall in enumerate("abc") for n in range(4)}
 
--- a/tests/wires/test_command_channel.py
+++ b/tests/wires/test_command_channel.py
@@ -9,7 +9,7 @@
 import trio
 
 from fordstair.net.engine_list_wire import read_frame, read_known_event, read_records
-from tests.scenes import play
+from tests.scenes import run_with_timeout
 from tests.standins import config, engine, program
 from tests.wires.recordings import Tap, recorded
 
@@ -83,7 +83,7 @@
     async def scene() -> None:
         told["connects, and connects again"] = await connected()
 
-    play(scene)
+    run_with_timeout(scene)
     told["records"] = shown(read_records(memoryview(PAYLOAD)))
     told["frame"] = shown(read_frame(memoryview(event(5) + b"more")))
     told["known"] = shown(read_known_event(KNOWN, ["hall-a", "hall-b"], ["std", "big"]))
--- a/tests/wires/test_console.py
+++ b/tests/wires/test_console.py
@@ -13,7 +13,7 @@
 
 from fordstair.snapshots.delta import apply_delta, decode, delta_between, encode
 from fordstair.snapshots.snapshot import Snapshot
-from tests.scenes import play
+from tests.scenes import run_with_timeout
 from tests.standins import config, engine, program
 from tests.wires.recordings import recorded
 
@@ -69,7 +69,7 @@
                 while not door.exists():
                     await trio.sleep(0.01)
                 client = await node.client()
-                assert (await client.answer(await client.ask()))[0] is None
+                assert (await client.answer(await client.send_request()))[0] is None
                 async with await trio.open_unix_socket(str(door)) as stream:
                     for command in COMMANDS:
                         await stream.send_all(command.encode() + b"\n")
@@ -79,7 +79,7 @@
                         told[command] = answer.decode()
 
     with tempfile.TemporaryDirectory() as folder:
-        play(lambda: scene(Path(folder)))
+        run_with_timeout(lambda: scene(Path(folder)))
     for form, steady in STEADY:
         told = {command: re.sub(form, steady, text) for command, text in told.items()}
     return told
--- a/tests/wires/test_odata_engines.py
+++ b/tests/wires/test_odata_engines.py
@@ -11,7 +11,7 @@
 
 from fordstair.core.ports import Query
 from fordstair.net.engines import odata_wire
-from tests.scenes import play
+from tests.scenes import run_with_timeout
 from tests.standins import RestEngine
 from tests.test_odata import appliance, runs
 from tests.wires.recordings import recorded, tapped_engine
@@ -35,12 +35,12 @@
     async def scene(folder: Path) -> None:
         async with tapped_engine(runs(0)) as one, appliance(folder, one, odata=(0,)) as node:
             client = await node.client()
-            error, _ = await client.answer(await client.ask(txn=TXN, body="é/'\"\n".encode()))
+            error, _ = await client.answer(await client.send_request(txn=TXN, body="é/'\"\n".encode()))
             assert error is None
             told.update(zip(("start", "poll", "next link"), one.requests, strict=True))
         async with tapped_engine(no_end) as one, appliance(folder, one, odata=(0,)) as node:
             client = await node.client()
-            number = await client.ask("meter-load", txn=TXN)
+            number = await client.send_request("meter-load", txn=TXN)
             while "GET" not in one.calls:
                 await trio.sleep(0.01)
             await client.send([2, "cancelRequest", [number]])
@@ -50,7 +50,7 @@
             told["cancel"] = next(each for each in one.requests if each.startswith("DELETE"))
 
     with tempfile.TemporaryDirectory() as folder:
-        play(lambda: scene(Path(folder)))
+        run_with_timeout(lambda: scene(Path(folder)))
     return {name: re.sub('("LimitMs":|(?<=Content-Length: ))[0-9]+', r"\1<n>", t) for name, t in told.items()}
 
 
--- a/tests/wires/test_odata_front.py
+++ b/tests/wires/test_odata_front.py
@@ -9,8 +9,8 @@
 import trio
 import ujson
 
-from tests.scenes import play
-from tests.standins import RestEngine, Script, breaks, engine
+from tests.scenes import run_with_timeout
+from tests.standins import RestEngine, Script, break_connection, engine
 from tests.test_odata import READING, appliance, five_rows
 from tests.wires.recordings import recorded
 
@@ -101,11 +101,11 @@
     async def scene() -> None:
         with tempfile.TemporaryDirectory() as folder:
             told.update(await answers(Path(folder) / "served", five_rows, SERVED))
-            told.update(await answers(Path(folder) / "broken", breaks, BROKEN))
+            told.update(await answers(Path(folder) / "broken", break_connection, BROKEN))
             refused = {"refused": ("GET", "/odata/Settlements", "", "")}
             told.update(await answers(Path(folder) / "none", None, refused))
 
-    play(scene)
+    run_with_timeout(scene)
     return told
 
 
--- a/tests/wires/test_replication.py
+++ b/tests/wires/test_replication.py
@@ -21,7 +21,7 @@
 from fordstair.replication.register_map import Register, RegisterMap
 from fordstair.replication.service import running_service
 from fordstair.replication.settings import ReplicationSettings
-from tests.scenes import play
+from tests.scenes import run_with_timeout
 from tests.wires.recordings import recorded
 
 ENGINE: list[Any] = ["s-00000001", "10.0.0.1:80", "rest", 1, 2, 3, 5.0, 0.5]
@@ -161,7 +161,7 @@
         with tempfile.TemporaryDirectory() as folder:
             told.update(await conversation(folder))
 
-    play(scene)
+    run_with_timeout(scene)
     return told | digests()
 
 
--- a/tests/wires/test_rest.py
+++ b/tests/wires/test_rest.py
@@ -6,8 +6,8 @@
 
 import trio
 
-from tests.scenes import play
-from tests.standins import RestEngine, config, connect, inside, program
+from tests.scenes import run_with_timeout
+from tests.standins import RestEngine, config, connect, program, run_in_process
 from tests.wires.recordings import recorded, tapped_engine
 
 TXN = "9b1f03aa5c7e2d41"
@@ -46,13 +46,13 @@
     async def scene() -> None:
         async with tapped_engine(two_pages) as one, program(config(one.address)) as node:
             client = await node.client()
-            error, _ = await client.answer(await client.ask(txn=TXN))
+            error, _ = await client.answer(await client.send_request(txn=TXN))
             assert error is None
             names = ("start", "poll", "further page")
             told.update(zip(names, one.requests, strict=True))
-        async with tapped_engine(no_end) as one, inside(config(one.address)) as coordination:
+        async with tapped_engine(no_end) as one, run_in_process(config(one.address)) as coordination:
             client = await connect(coordination)
-            number = await client.ask("meter-load", txn=TXN)
+            number = await client.send_request("meter-load", txn=TXN)
             await until(one, "GET")
             coordinator = coordination.coordinator
             coordinator.priorities.set_deprioritized(next(iter(coordinator.live.values())), True)
@@ -62,7 +62,7 @@
             for name, method in (("start of a load", "POST"), ("priority", "PUT"), ("cancel", "DELETE")):
                 told[name] = next(each for each in one.requests if each.startswith(method))
 
-    play(scene)
+    run_with_timeout(scene)
     return {name: re.sub("(?i)(x-limit-ms: )[0-9]+", r"\1<ms>", text) for name, text in told.items()}
 
 
--- a/tests/wires/test_rpc.py
+++ b/tests/wires/test_rpc.py
@@ -7,8 +7,8 @@
 import msgpack
 import trio
 
-from tests.scenes import play
-from tests.standins import Script, at_once, breaks, config, engine, program
+from tests.scenes import run_with_timeout
+from tests.standins import Script, break_connection, config, engine, program, serve_at_once
 from tests.wires.recordings import recorded
 
 FIELDS = {
@@ -70,10 +70,10 @@
     told = dict[str, str]()
 
     async def scene() -> None:
-        told.update(await answers(at_once, AT_ONCE))
-        told.update(await answers(breaks, BROKEN))
+        told.update(await answers(serve_at_once, AT_ONCE))
+        told.update(await answers(break_connection, BROKEN))
 
-    play(scene)
+    run_with_timeout(scene)
     return told
 
 
--- a/tests/wires/test_store.py
+++ b/tests/wires/test_store.py
@@ -18,7 +18,7 @@
 from fordstair.replication.stored_records import claim_record, engine_set_record, load_state, register_record
 from fordstair.store.record import Record
 from fordstair.store.record_file import RecordFile
-from tests.helpers import Rig, settings
+from tests.helpers import GatewayHarness, settings
 from tests.wires.recordings import FOLDER, recorded
 
 FILE = FOLDER / "store.sqlite"
@@ -58,11 +58,11 @@
 
 def messages() -> dict[str, str]:
     """What a member has learned of costs, as the store and the other members get it."""
-    rig = Rig(settings(instances=2))
+    harness = GatewayHarness(settings(instances=2))
     for _ in range(20):
-        request = rig.ask(0, 0.0, table_group=7.0)
-        rig.end(request, work_ms=340.0, latency=400.0, memory_mb=50.0)
-    return {key: value.hex() for key, value in sorted(learned_values(rig.gateway))}
+        request = harness.send_request(0, 0.0, table_group=7.0)
+        harness.end_attempt(request, work_ms=340.0, latency=400.0, memory_mb=50.0)
+    return {key: value.hex() for key, value in sorted(learned_values(harness.gateway))}
 
 
 def test_a_store_of_before_is_read(tmp_path: Path) -> None:
@@ -97,8 +97,8 @@
 def test_what_was_learned_has_the_recorded_keys_and_values() -> None:
     known = recorded("store")
     assert messages() == known
-    rig = Rig()
-    assert restore_values(rig.gateway, {key: bytes.fromhex(text) for key, text in known.items()}) == len(
+    harness = GatewayHarness()
+    assert restore_values(harness.gateway, {key: bytes.fromhex(text) for key, text in known.items()}) == len(
         known
     )
-    assert {key: value.hex() for key, value in learned_values(rig.gateway)} == known
+    assert {key: value.hex() for key, value in learned_values(harness.gateway)} == known
