--- a/fordstair/cli/app.py
+++ b/fordstair/cli/app.py
@@ -208,12 +208,12 @@
     seed: int = 1,
 ) -> None:
     """Write the traffic of a billing close, one request per line, without the text of statements."""
-    from fordstair.lab.billing_close import Shape, generate, write
+    from fordstair.lab.billing_close import TrafficShape, generate, write_arrivals
 
     middle = seconds / 2.0
-    arrivals = generate(Shape(seconds, rate, doubled=((middle, middle + min(20.0, middle)),)), seed)
+    arrivals = generate(TrafficShape(seconds, rate, doubled=((middle, middle + min(20.0, middle)),)), seed)
     try:
-        write(out, arrivals)
+        write_arrivals(out, arrivals)
     except OSError as error:
         exit_with(ExitCode.FAILED, f"{out}: {error.strerror}")
     typer.echo(f"{out}: {len(arrivals)} requests")
--- a/fordstair/cli/demo.py
+++ b/fordstair/cli/demo.py
@@ -16,10 +16,10 @@
 
 from fordstair.lab.appliance import appliance
 from fordstair.lab.coordinator_process import NotStartedError
-from fordstair.lab.engine import StandIn
+from fordstair.lab.engine import FakeEngine
 from fordstair.lab.machine import Machine
 from fordstair.lab.odata_traffic import ODataTraffic
-from fordstair.lab.traffic import Tally, Traffic, mixed
+from fordstair.lab.traffic import Tally, Traffic, mixed_kinds
 
 CORES_PER_ENGINE = 8.0
 # Scales the random times between faults, and the durations of faults.
@@ -37,7 +37,7 @@
 
     def __init__(self, engines: int, rate_per_s: float, seed: int, with_faults: bool) -> None:
         self.engines = [
-            StandIn(f"engine-{number}", Machine(CORES_PER_ENGINE)) for number in range(1, engines + 1)
+            FakeEngine(f"engine-{number}", Machine(CORES_PER_ENGINE)) for number in range(1, engines + 1)
         ]
         self.rate_per_s = rate_per_s
         self.seed = seed
@@ -102,7 +102,7 @@
         return {**self.tally.summary(), "loads_run_twice": engines["loads_run_twice"]}
 
     async def _run_traffic(self, ports: dict[str, int], seconds: float) -> None:
-        kinds = mixed(self.rate_per_s * (1.0 - ODATA_REQUEST_SHARE))
+        kinds = mixed_kinds(self.rate_per_s * (1.0 - ODATA_REQUEST_SHARE))
         rpc = Traffic("127.0.0.1", ports["listens"], kinds, self.seed)
         odata = ODataTraffic(
             "127.0.0.1", ports["odata"], self.rate_per_s * ODATA_REQUEST_SHARE, self.seed + 1
@@ -122,7 +122,7 @@
             if random.random() < SILENCE_FAULT_SHARE:
                 engine.go_silent()
                 await trio.sleep(FAULT_CYCLE_S * random.uniform(0.2, 0.5))
-                engine.come_back_cold()
+                engine.restart_cold()
             else:
                 engine.slow_down(SLOWDOWN_FACTOR)
                 await trio.sleep(FAULT_CYCLE_S * random.uniform(0.2, 0.5))
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -14,7 +14,7 @@
 from fordstair.lab.replication_faults import kill_members, partition_members
 from fordstair.lab.replication_trial import ReplicationTrial, running_trial, stored_entries
 from fordstair.replication.claim_coordinator import SETTLE_TIMEOUT_S
-from tests.scenes import play as run_with_timeout
+from tests.scenes import run_with_timeout
 from tests.standins import config, engine, program
 
 
@@ -199,10 +199,10 @@
         ):
             client = await member.client()
             # The member does not know any engine yet.
-            assert (await client.answer(await client.ask()))[0] is not None
+            assert (await client.answer(await client.send_request()))[0] is not None
             async with program(config(fake_engine.address), "--operator", str(files[0]), fronts=4):
                 with trio.fail_after(15.0):
-                    while (await client.answer(await client.ask()))[0] is not None:
+                    while (await client.answer(await client.send_request()))[0] is not None:
                         await trio.sleep(0.1)
             assert fake_engine.calls["POST"] == 1
             assert any("engines.restored" in line for line in member.log)
@@ -277,7 +277,7 @@
                 async with program(configuration, "--operator", str(operator), fronts=4) as node:
                     client = await node.client()
                     with trio.fail_after(10.0):
-                        while (await client.answer(await client.ask()))[0] is not None:
+                        while (await client.answer(await client.send_request()))[0] is not None:
                             await trio.sleep(0.1)
                     if configuration["known"]["cmds"][0]["nodes"]["servers"]:
                         # Time to write the engine to disk.
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -24,17 +24,17 @@
 from fordstair.console.connection import ConsoleConnectionError, send_command
 from fordstair.lab.appliance import Appliance, appliance, operator_file
 from fordstair.lab.coordinator_process import stop_process
-from fordstair.lab.engine import StandIn
+from fordstair.lab.engine import FakeEngine
 from fordstair.lab.machine import Machine
-from fordstair.lab.traffic import Kind, Tally, Traffic
+from fordstair.lab.traffic import RequestKind, Tally, Traffic
 from fordstair.net import console_socket
 from fordstair.snapshots.delta import apply_delta, decode
 from fordstair.snapshots.snapshot import Snapshot
-from tests.scenes import play
+from tests.scenes import run_with_timeout
 from tests.standins import ROOT, config, engine, program
 from tests.test_odata import OPERATOR
 
-LOOKUPS = Kind("lookup", "karri-energy", 60.0, 5.0, 4_000.0)
+LOOKUPS = RequestKind("lookup", "karri-energy", 60.0, 5.0, 4_000.0)
 
 
 async def run_cli(*arguments: str) -> subprocess.CompletedProcess[bytes]:
@@ -50,7 +50,7 @@
 class Site:
     """A running appliance with stand-in engines."""
 
-    def __init__(self, running: Appliance, engines: list[StandIn]) -> None:
+    def __init__(self, running: Appliance, engines: list[FakeEngine]) -> None:
         self.engines, self.console_socket = engines, running.console_socket
         self.process, self.ports = running.process, running.ports
 
@@ -68,7 +68,7 @@
 @asynccontextmanager
 async def site(folder: Path, engines: int = 3) -> AsyncIterator[Site]:
     """Run an appliance with its stand-in engines, and stop them at the end."""
-    stand_ins = [StandIn(f"engine-{n}", Machine(8.0, warm_ms=3_000.0)) for n in range(engines)]
+    stand_ins = [FakeEngine(f"engine-{n}", Machine(8.0, warm_ms=3_000.0)) for n in range(engines)]
     async with appliance(folder, stand_ins, "[cold]\nwarm_ms = 3000\n") as running:
         yield Site(running, stand_ins)
 
@@ -110,7 +110,7 @@
             await running.wait_until(lambda: running.rows("engines")[second.name]["state"] == "silent")
             # After a cold restart with the same id and address it is shown as ready or warming, once the
             # decision module has had a connection refused there.
-            second.come_back_cold()
+            second.restart_cold()
             await running.wait_until(
                 lambda: running.rows("engines")[second.name]["state"] in ("ready", "warming"), 20.0
             )
@@ -143,31 +143,33 @@
             assert "Cordon" in log
             assert "verdict=done" in log
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_console_shows_the_attempts_that_each_engine_runs(tmp_path: Path) -> None:
     async def scene() -> None:
         async with site(tmp_path, engines=2) as running:
-            long = Kind("settlement", "karri-energy", 0.0, 0.0, 20_000.0)
+            long = RequestKind("settlement", "karri-energy", 0.0, 0.0, 20_000.0)
             traffic = Traffic("127.0.0.1", running.ports["listens"], [long], seed=1)
             async with trio.open_nursery() as nursery:
                 for _ in range(3):
                     traffic.random.expovariate = lambda _: 60_000.0  # type: ignore[method-assign,assignment]
-                    traffic.kinds = [Kind("settlement", "karri-energy", 0.0, 60_000.0, 20_000.0)]
+                    traffic.kinds = [RequestKind("settlement", "karri-energy", 0.0, 60_000.0, 20_000.0)]
                     await traffic.send(traffic.kinds[0], trio.current_time(), nursery)
-                await running.wait_until(lambda: sum(len(each.held()) for each in running.engines) == 3)
+                await running.wait_until(
+                    lambda: sum(len(each.running_ids()) for each in running.engines) == 3
+                )
                 rows = running.rows("engines")
                 assert {name: row["out"] for name, row in rows.items()} == {
-                    each.name: len(each.held()) for each in running.engines
+                    each.name: len(each.running_ids()) for each in running.engines
                 }
-                held = {txn: each.name for each in running.engines for txn in each.held()}
+                running_ids = {txn: each.name for each in running.engines for txn in each.running_ids()}
                 shown = send_command(running.console_socket, "requests")["requests"]
-                assert {row["txn"]: row["engine"] for row in shown} == held
+                assert {row["txn"]: row["engine"] for row in shown} == running_ids
                 assert running.rows("teams")["karri-energy"]["threads"] == 12
                 nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_consoles_keys_and_its_staleness_when_the_program_stops(tmp_path: Path) -> None:
@@ -229,7 +231,7 @@
         async with site(tmp_path, engines=2) as running:
             await trio.to_thread.run_sync(lambda: asyncio.run(drive_console(running)))
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_of_eight_consoles_a_stopped_one_costs_one_frame_and_is_disconnected(tmp_path: Path) -> None:
@@ -274,7 +276,7 @@
             assert traffic.tally.counts["served"] == traffic.tally.counts["asked"]
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_stale_socket_is_replaced_but_no_socket_in_use_and_no_other_file(tmp_path: Path) -> None:
@@ -299,7 +301,7 @@
         assert socket_path.read_text() == "mine"
         assert (await run_cli("status", "--socket", str(tmp_path / "none"))).returncode == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_consoles_path_appears_once_its_socket_listens(
@@ -329,12 +331,12 @@
             await console_socket.listen(path)
         await listener.aclose()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_blocked_log_stalls_no_request(tmp_path: Path) -> None:
     async def scene() -> None:
-        stand_in = StandIn("engine-0", Machine(8.0))
+        stand_in = FakeEngine("engine-0", Machine(8.0))
         async with trio.open_nursery() as nursery:
             await nursery.start(stand_in.serve)
             file = tmp_path / "appliance.toml"
@@ -364,14 +366,14 @@
                     send_command(str(tmp_path / "console.sock"), "set-aside", engine=f"none-{number}")
                 tally: Tally = await Traffic("127.0.0.1", port, [LOOKUPS], seed=2).run(1.5)
                 assert tally.counts["served"] == tally.counts["asked"] > 40
-                assert tally.at(99.0) < 1_500.0
+                assert tally.percentile_ms(99.0) < 1_500.0
             finally:
                 await stop_process(process)
                 os.close(write)
                 os.close(read)
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 @pytest.mark.parametrize(
@@ -401,7 +403,7 @@
             await stream.send_all(line + b"\n")
             assert "error" in ujson.loads(await stream.receive_some(4096))
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_the_demo_accounts_for_every_request() -> None:
@@ -414,4 +416,4 @@
         assert figures["asked"] == figures["served"] + figures["refused"] + figures["failed"]
         assert not figures["lost"] + figures["answered_twice"] + figures["loads_run_twice"]
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -20,10 +20,10 @@
 from fordstair.core.send_guard import SendGuard
 from fordstair.decisions.settings import Idempotency
 from fordstair.lab.appliance import appliance
-from fordstair.lab.billing_close import Shape, generate, read, write
-from fordstair.lab.engine import StandIn
+from fordstair.lab.billing_close import TrafficShape, generate, read_arrivals, write_arrivals
+from fordstair.lab.engine import FakeEngine
 from fordstair.lab.machine import Machine
-from fordstair.lab.traffic import Kind, Traffic
+from fordstair.lab.traffic import RequestKind, Traffic
 from fordstair.net.clients.odata_statements import PendingReply
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
@@ -44,7 +44,7 @@
 )
 from fordstair.scheduling.shedding import CostShedding
 from fordstair.scheduling.wait_estimation import ForecastCalibration, ReleaseRate, fluid_work
-from tests.scenes import play as run_scene
+from tests.scenes import run_with_timeout as run_scene
 from tests.test_console import run_cli
 
 FIXED_EXAMPLES = settings(max_examples=120, derandomize=True, deadline=None)
@@ -282,14 +282,14 @@
 
 
 def test_a_billing_close_in_virtual_time_answers_once_and_runs_no_load_twice(tmp_path: Path) -> None:
-    arrivals = generate(Shape(seconds=12.0, rate_per_s=60.0), 4)
-    assert arrivals == generate(Shape(seconds=12.0, rate_per_s=60.0), 4)
+    arrivals = generate(TrafficShape(seconds=12.0, rate_per_s=60.0), 4)
+    assert arrivals == generate(TrafficShape(seconds=12.0, rate_per_s=60.0), 4)
     path = tmp_path / "close.jsonl"
-    write(path, arrivals)
-    assert list(read(path)) == arrivals
+    write_arrivals(path, arrivals)
+    assert list(read_arrivals(path)) == arrivals
     path.write_text('{"at_ms": 1}\n')
     with pytest.raises(ValueError, match="line 1"):
-        list(read(path))
+        list(read_arrivals(path))
     world, records = play(arrivals, 4, True)
     assert all(record.how in ("served", "refused", "failed") for record in records)
     assert all(record.attempts <= 1 for record in records if record.arrival.class_name == "meter-load")
@@ -309,21 +309,21 @@
 
 def test_the_program_answers_once_and_serves_a_small_team_while_another_floods_it(tmp_path: Path) -> None:
     async def scene() -> None:
-        engines = [StandIn("engine-0", Machine(4.0))]
+        engines = [FakeEngine("engine-0", Machine(4.0))]
         async with appliance(tmp_path, engines, "[budgets]\n") as program:
             flood = Traffic(
                 "127.0.0.1",
                 program.ports["listens"],
                 [
-                    Kind("lookup", "karri-energy", 90.0, 60.0, 4_000.0),
-                    Kind("meter-load", "karri-energy", 6.0, 200.0, 4_000.0),
+                    RequestKind("lookup", "karri-energy", 90.0, 60.0, 4_000.0),
+                    RequestKind("meter-load", "karri-energy", 6.0, 200.0, 4_000.0),
                 ],
                 1,
             )
             small = Traffic(
                 "127.0.0.1",
                 program.ports["listens"],
-                [Kind("lookup", "pindan-retail", 6.0, 30.0, 4_000.0)],
+                [RequestKind("lookup", "pindan-retail", 6.0, 30.0, 4_000.0)],
                 2,
             )
             async with trio.open_nursery() as nursery:
@@ -365,9 +365,9 @@
 
 def test_queued_requests_are_answered_when_the_program_ends(tmp_path: Path) -> None:
     async def scene() -> None:
-        engines = [StandIn("engine-0", Machine(2.0))]
+        engines = [FakeEngine("engine-0", Machine(2.0))]
         async with appliance(tmp_path, engines, "[budgets]\nthreads_a_core = 1.0\n") as program:
-            long = Kind("meter-load", "karri-energy", 0.0, 6_000.0, 20_000.0)
+            long = RequestKind("meter-load", "karri-energy", 0.0, 6_000.0, 20_000.0)
             traffic = Traffic("127.0.0.1", program.ports["listens"], [long], 6)
             async with trio.open_nursery() as nursery:
                 for _ in range(8):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -21,39 +21,39 @@
 from fordstair.program import Program as CoordinatorProgram
 from fordstair.program.signal_arrivals import recording_arrivals
 from fordstair.runtime.clock import monotonic_now
-from tests.scenes import ROWS, Endless, Gate, ends, hold_reads, play, until
+from tests.scenes import ROWS, EndlessTransport, Gate, hold_reads, read_to_end, run_with_timeout, until
 from tests.standins import (
     SETTINGS,
-    Answered,
     Client,
+    Response,
     RestEngine,
     config,
     connect,
     engine,
-    inside,
-    never,
+    never_finish,
     program,
+    run_in_process,
 )
 
 
 def test_sigterm_answers_open_requests_and_accepts_new_ones_for_a_while() -> None:
     async def scene() -> None:
-        async with engine(never) as stand_in, program(config(stand_in.address)) as node:
+        async with engine(never_finish) as stand_in, program(config(stand_in.address)) as node:
             client = await node.client()
-            first = await client.ask(limit="60000")
+            first = await client.send_request(limit="60000")
             while not stand_in.posts:
                 await trio.sleep(0.01)
             start = time.monotonic()
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(node.stop)
                 await trio.sleep(0.1)
-                late = await (other := await node.client()).ask(limit="60000", txn="f" * 16)
+                late = await (other := await node.client()).send_request(limit="60000", txn="f" * 16)
                 assert (await client.answer(first))[0][0] == "Overloaded"
                 assert (await other.answer(late))[0][0] == "Overloaded"
             assert time.monotonic() - start < 15.0
             assert node.process.returncode == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def submit_unending(node: CoordinatorProgram, nursery: trio.Nursery) -> PendingReply:
@@ -62,7 +62,7 @@
     await nursery.start(node.coordinator.run)
     reply = PendingReply()
     node.coordinator.update_engines(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "10.0.0.1:1")])
-    node.transports["rest"] = Endless()
+    node.transports["rest"] = EndlessTransport()
     node.coordinator.submit(Query("0" * 16, "settlement", 1, 0, 25_000.0, b""), reply)
     return reply
 
@@ -122,9 +122,9 @@
 ) -> None:
     # Guards against a drain that counts its time from the handling of the signal, not from its sending.
     async def scene() -> None:
-        async with engine(never) as stand_in, program(config(stand_in.address)) as node:
+        async with engine(never_finish) as stand_in, program(config(stand_in.address)) as node:
             client = await node.client()
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: stand_in.posts)
             os.kill(node.process.pid, signal.SIGSTOP)
             start = time.monotonic()
@@ -136,12 +136,12 @@
                 error, _ = await client.answer(number)
             assert error[0] == "Internal"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def never_answers(
     stand_in: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-) -> Answered | None:
+) -> Response | None:
     """Answer neither a POST nor the DELETE after it."""
     await trio.sleep_forever()
     return None
@@ -153,7 +153,7 @@
     async def scene() -> None:
         async with engine(never_answers) as stand_in, program(config(stand_in.address)) as node:
             client = await node.client()
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: stand_in.posts)
             node.process.send_signal(end)
             error, _ = await client.answer(number)
@@ -161,12 +161,12 @@
             with trio.fail_after(3.0):
                 assert await node.process.wait() == 0
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 async def closes_connection_on_delete(
     stand_in: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
-) -> Answered | None:
+) -> Response | None:
     """Answer no request, and close the connection on a DELETE."""
     if method != "DELETE":
         await trio.sleep_forever()
@@ -178,7 +178,7 @@
     async def scene() -> None:
         async with engine(closes_connection_on_delete) as stand_in, program(config(stand_in.address)) as node:
             client = await node.client()
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: stand_in.posts)
             node.process.send_signal(signal.SIGTERM)
             error, _ = await client.answer(number)
@@ -188,15 +188,15 @@
             assert not any("Traceback" in line for line in node.log)
             assert stand_in.calls["DELETE"] > 10
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_pause_that_spans_sigkill_loses_no_answer() -> None:
     # Guards against answering so shortly before SIGKILL that a pause of the program loses the answers.
     async def scene() -> None:
-        async with engine(never) as stand_in, program(config(stand_in.address)) as node:
+        async with engine(never_finish) as stand_in, program(config(stand_in.address)) as node:
             client = await node.client()
-            number = await client.ask("meter-load", limit="20000")
+            number = await client.send_request("meter-load", limit="20000")
             await until(lambda: stand_in.posts)
             start = time.monotonic()
             os.kill(node.process.pid, signal.SIGTERM)
@@ -206,7 +206,7 @@
                 error, _ = await client.answer(number)
             assert error[0] == "Internal"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_signal_that_arrived_in_a_pause_is_dated_before_the_pause(
@@ -251,18 +251,18 @@
     gate.open.set()
 
     async def scene() -> None:
-        async with engine() as stand_in, inside(config(stand_in.address)) as node:
+        async with engine() as stand_in, run_in_process(config(stand_in.address)) as node:
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
             client = await connect(node)
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             gate.open = trio.Event()
             if taken:
-                number = await client.ask()
+                number = await client.send_request()
                 await until(lambda: gate.held)
             else:
-                await client.ask("nonsense")
+                await client.send_request("nonsense")
                 await until(lambda: gate.held)
-                number = await client.ask()
+                number = await client.send_request()
             node.coordinator.withdraw_all()
             node.rpc.close()
             await wait_all_tasks_blocked(0.05)
@@ -270,11 +270,11 @@
             error, _ = await client.answer(number)
             assert error[0] == "Overloaded"
             assert len(stand_in.posts) == 1
-            assert await ends(client, 5.0) == b""
+            assert await read_to_end(client, 5.0) == b""
             await client.stream.send_eof()
             await until(lambda: not node.rpc.clients)
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_a_request_received_in_a_pause_at_the_end_of_a_drain_is_answered_afterwards(
@@ -285,16 +285,16 @@
     gate.open.set()
 
     async def scene() -> None:
-        async with engine() as stand_in, inside(config(stand_in.address)) as node:
+        async with engine() as stand_in, run_in_process(config(stand_in.address)) as node:
             clock_offset_ms = [0.0]
             node.deadlines.clock = lambda: monotonic_now() + clock_offset_ms[0]
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
             client = await connect(node)
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             gate.open = trio.Event()
-            await client.ask("nonsense")
+            await client.send_request("nonsense")
             await until(lambda: gate.held)
-            number = await client.ask()
+            number = await client.send_request()
             node.stop_request.make(node.deadlines.clock())
             await wait_all_tasks_blocked()
             clock_offset_ms[0] = 800.0  # past the accept window: no request is open, and the flush begins
@@ -308,22 +308,22 @@
             error, _ = await client.answer(number)
             assert error[0] == "Overloaded"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_idle_connection_closes_at_the_end_of_a_drain_and_later_requests_are_not_dispatched() -> None:
     async def scene() -> None:
-        async with engine() as stand_in, inside(config(stand_in.address)) as node:
+        async with engine() as stand_in, run_in_process(config(stand_in.address)) as node:
             client = await connect(node)
-            assert await client.answer(await client.ask()) == (None, ROWS)
+            assert await client.answer(await client.send_request()) == (None, ROWS)
             node.stop_request.make(node.deadlines.clock())
-            assert await ends(client, 5.0) == b""  # closed without a reset
-            await client.ask()
+            assert await read_to_end(client, 5.0) == b""  # closed without a reset
+            await client.send_request()
             await client.stream.send_eof()
             await until(lambda: not node.rpc.clients)
             assert len(stand_in.posts) == 1
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def hold_accepts(monkeypatch: pytest.MonkeyPatch, listener: trio.SocketListener) -> Gate:
@@ -345,7 +345,7 @@
 ) -> None:
     # Guards against closing the listener after a fixed time, in which a busy program has not accepted all.
     async def scene() -> None:
-        async with engine() as stand_in, inside(config(stand_in.address)) as node:
+        async with engine() as stand_in, run_in_process(config(stand_in.address)) as node:
             clock_offset_ms, clock_reads = [0.0], [0]
 
             def clock() -> float:
@@ -356,7 +356,7 @@
             gate = hold_accepts(monkeypatch, node.listeners[0])
             node.stop_request.make(node.deadlines.clock())
             clients = [await connect(node) for _ in range(5)]
-            numbers = [await client.ask(txn=f"{n:016x}") for n, client in enumerate(clients)]
+            numbers = [await client.send_request(txn=f"{n:016x}") for n, client in enumerate(clients)]
             await until(lambda: gate.held)
             for ms in (800.0, 1_400.0):  # past the accept window, and half a second later
                 clock_offset_ms[0] = ms
@@ -368,14 +368,14 @@
                 error, result = await client.answer(number)
                 assert result == ROWS or error[0] == "Overloaded"
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_clients_in_the_backlog_when_a_drain_stops_accepting_are_answered() -> None:
     """Connections with requests are in the backlog at the moment when the listener is closed."""
 
     async def scene() -> None:
-        async with engine() as stand_in, inside(config(stand_in.address)) as node:
+        async with engine() as stand_in, run_in_process(config(stand_in.address)) as node:
             clock_offset_ms = [0.0]
             node.deadlines.clock = lambda: monotonic_now() + clock_offset_ms[0]
             address = node.listeners[0].socket.getsockname()
@@ -394,4 +394,4 @@
                 error, result = await Client(stream).answer(1)
                 assert result == ROWS or error[0] == "Overloaded"
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/test_soak_stand_ins.py
+++ b/tests/test_soak_stand_ins.py
@@ -10,11 +10,11 @@
 import trio
 from trio.testing import wait_all_tasks_blocked
 
-from fordstair.lab.engine import StandIn
+from fordstair.lab.engine import FakeEngine
 from fordstair.lab.machine import Machine
 from fordstair.lab.soak.engines import WatchedEngine
 from fordstair.lab.soak.records import SoakRecord
-from tests.scenes import play, until
+from tests.scenes import run_with_timeout, until
 
 FIELDS = b"Host: a\r\nX-Txn: 0f\r\nX-Lane: lookup\r\nX-Limit-Ms: 900\r\nContent-Length: 1\r\n\r\n"
 POST = b"POST /o HTTP/1.1\r\n" + FIELDS + b"x"
@@ -24,11 +24,11 @@
 def test_an_engine_that_restarts_takes_up_nothing_that_its_old_process_had_read(silent: bool) -> None:
     # Guards against a query that begins beside the next attempt, which the reset rightly sent elsewhere.
     async def scene() -> None:
-        one = StandIn("s-1", Machine(8.0))
+        one = FakeEngine("s-1", Machine(8.0))
         if silent:
             one.go_silent()
         else:  # between the read and the take-up
-            one.noticed = lambda *_: one.come_back_cold()  # type: ignore[method-assign]
+            one.on_request = lambda *_: one.restart_cold()  # type: ignore[method-assign]
         async with trio.open_nursery() as nursery:
             address = await nursery.start(one.serve)
             host, _, port = address.partition(":")
@@ -36,12 +36,12 @@
                 await client.send_all(POST)
                 await until(lambda: one.counts["read.POST"])
                 if silent:
-                    one.come_back_cold()
+                    one.restart_cold()
                 await wait_all_tasks_blocked()
                 assert not one.started
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_engine_that_resets_a_connection_between_two_reads_goes_on_with_the_others(
@@ -49,7 +49,7 @@
 ) -> None:
     # Guards against a wait for bytes on a socket that is closed, which ends the whole soak.
     async def scene() -> None:
-        one = StandIn("s-1", Machine(8.0))
+        one = FakeEngine("s-1", Machine(8.0))
         resets = iter([True])
         reads = trio.SocketStream.receive_some
 
@@ -70,7 +70,7 @@
             assert one.started["0f"] == 1
             nursery.cancel_scope.cancel()
 
-    play(scene)
+    run_with_timeout(scene)
 
 
 def test_an_attempt_is_dated_by_its_arrival_though_the_soak_is_late_to_read_it() -> None:
@@ -92,4 +92,4 @@
             nursery.cancel_scope.cancel()
         assert record.attempts[0].read_s + one._start_s - sent_s < late_s / 3
 
-    play(scene)
+    run_with_timeout(scene)
--- a/tests/wires/test_store.py
+++ b/tests/wires/test_store.py
@@ -18,7 +18,7 @@
 from fordstair.replication.stored_records import claim_record, engine_set_record, load_state, register_record
 from fordstair.store.record import Record
 from fordstair.store.record_file import RecordFile
-from tests.helpers import Rig, settings
+from tests.helpers import GatewayHarness, settings
 from tests.wires.recordings import FOLDER, recorded
 
 FILE = FOLDER / "store.sqlite"
@@ -58,11 +58,11 @@
 
 def messages() -> dict[str, str]:
     """Return the learned costs of a module, as they are stored and sent to other members."""
-    rig = Rig(settings(instances=2))
+    harness = GatewayHarness(settings(instances=2))
     for _ in range(20):
-        request = rig.ask(0, 0.0, table_group=7.0)
-        rig.end(request, work_ms=340.0, latency=400.0, memory_mb=50.0)
-    return {key: value.hex() for key, value in sorted(learned_values(rig.gateway))}
+        request = harness.send_request(0, 0.0, table_group=7.0)
+        harness.end_attempt(request, work_ms=340.0, latency=400.0, memory_mb=50.0)
+    return {key: value.hex() for key, value in sorted(learned_values(harness.gateway))}
 
 
 def test_recorded_store_is_read(tmp_path: Path) -> None:
@@ -97,8 +97,8 @@
 def test_learned_costs_have_the_recorded_keys_and_values() -> None:
     expected = recorded("store")
     assert messages() == expected
-    rig = Rig()
-    assert restore_values(rig.gateway, {key: bytes.fromhex(text) for key, text in expected.items()}) == len(
-        expected
-    )
-    assert {key: value.hex() for key, value in learned_values(rig.gateway)} == expected
+    harness = GatewayHarness()
+    assert restore_values(
+        harness.gateway, {key: bytes.fromhex(text) for key, text in expected.items()}
+    ) == len(expected)
+    assert {key: value.hex() for key, value in learned_values(harness.gateway)} == expected
