--- a/fordstair/lab/soak/__init__.py
+++ b/fordstair/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak: real coordinators, overlapping faults, the protocol's rules as the oracle."""
+"""Randomized fault-injection soak: real coordinators, overlapping faults, the protocol's rules as oracle."""
--- a/fordstair/lab/soak/crowd.py
+++ b/fordstair/lab/soak/crowd.py
@@ -1,7 +1,7 @@
-"""A crowd of connections that ask for nothing, idle ones and half-written ones, in a process of its own.
+"""Holds many idle and half-written client connections open, in a separate process.
 
-``python -m fordstair.lab.soak.crowd HOST COUNT SEED PORT [PORT ...]`` keeps that many connections to each
-port, as far as it is let, until it is ended.
+``python -m fordstair.lab.soak.crowd HOST COUNT SEED PORT [PORT ...]`` keeps COUNT connections to each
+port open, as far as the server accepts them, until the process is killed.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 import msgpack
 import trio
 
-HALF_WRITTEN_SHARE = 0.4
-RETURN_S = (1.0, 4.0)  # until one that was closed comes again
+PARTIAL_REQUEST_SHARE = 0.4
+RECONNECT_DELAY_S = (1.0, 4.0)  # after a connection was closed
 READ_BYTES = 4_096
-_HALF_A_REQUEST = msgpack.packb([0, 1, "lookup", [{"txn": "0" * 16}, b"SELECT"]])[:20]
+_PARTIAL_REQUEST = msgpack.packb([0, 1, "lookup", [{"txn": "0" * 16}, b"SELECT"]])[:20]
 
 
 @asynccontextmanager
 async def crowd(host: str, ports: Sequence[int], count: int, seed: int) -> AsyncIterator[None]:
-    """Hold a crowd of so many connections to each port, none where ``count`` is 0."""
+    """Run a process that holds ``count`` connections to each port; start none if ``count`` is 0."""
     if not count:
         yield
         return
@@ -38,7 +38,7 @@
 
 
 class Crowd:
-    """Keeps that many connections to a coordinator, as far as it lets them."""
+    """Keeps ``count`` connections to one coordinator open, as far as it accepts them."""
 
     def __init__(self, host: str, port: int, count: int, seed: int) -> None:
         self._host = host
@@ -47,14 +47,14 @@
         self._random = Random(seed)
 
     async def run(self) -> None:
-        """Hold the connections, and open those again that are closed, until cancelled."""
+        """Hold the connections, and reopen those that are closed, until cancelled."""
         async with trio.open_nursery() as nursery:
             for _ in range(self._count):
-                nursery.start_soon(self._hold)
+                nursery.start_soon(self._keep_connected)
 
-    async def _hold(self) -> None:
+    async def _keep_connected(self) -> None:
         while True:
-            await trio.sleep(self._random.uniform(*RETURN_S))
+            await trio.sleep(self._random.uniform(*RECONNECT_DELAY_S))
             await self._connect_once()
 
     async def _connect_once(self) -> None:
@@ -64,8 +64,8 @@
             return
         async with stream:
             try:
-                if self._random.random() < HALF_WRITTEN_SHARE:
-                    await stream.send_all(_HALF_A_REQUEST)
+                if self._random.random() < PARTIAL_REQUEST_SHARE:
+                    await stream.send_all(_PARTIAL_REQUEST)
                 while await stream.receive_some(READ_BYTES):
                     pass
             except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -79,7 +79,7 @@
 
 
 def main() -> int:
-    """Hold the crowd until the process is ended."""
+    """Hold the connections until the process is killed."""
     parser = argparse.ArgumentParser(prog="python -m fordstair.lab.soak.crowd", description=__doc__)
     parser.add_argument("host")
     parser.add_argument("count", type=int)
--- a/fordstair/lab/soak/discovery.py
+++ b/fordstair/lab/soak/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in of the command channel, from the protocol page: numbered events, and a beat each second."""
+"""A fake discovery service on the command channel: numbered events, and a heartbeat each second."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 from fordstair.lab.soak.records import (
     DiscoveryConnection,
+    DrainNotification,
     SoakRecord,
-    ToldOfDrain,
-    ToldOfStart,
+    StartNotification,
 )
 from fordstair.net.engine_list_wire import HEADER, RECORD
 from fordstair.runtime.clock import unix_now
 
-BEAT_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 CURSOR_BYTES = 8
-PORTS_EACH = 2  # of a coordinator
-NOTHING = 0
-CHANGES = 2
+PORTS_PER_COORDINATOR = 2
+HEARTBEAT = 0
+CHANGE = 2
 READY = 0
 DRAINING = 1
 _STATES = {READY: "ready", DRAINING: "draining"}
@@ -31,19 +31,29 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineChange:
-    """A numbered change of one engine, as it goes out."""
+    """A numbered change of one engine.
+
+    Attributes:
+        payload: The encoded record.
+        is_start: True if it announces a restart.
+    """
 
     number: int
     engine: str
     state: int
     payload: bytes
-    start: bool  # it tells of a start
+    is_start: bool
 
 
-class DiscoveryStandIn:
-    """Tells coordinators of engines, each on two ports of its own of which it may be told either.
+class FakeDiscovery:
+    """Sends engine states to coordinators, and records when it has sent each a drain or a restart.
 
-    It writes down when it has told which coordinator of a drain.
+    Each coordinator has two ports of its own; its configuration names one of them.
+
+    Attributes:
+        engines: The address of each engine, by name.
+        ports: The ports of each coordinator, by its name.
+        number: The number of the latest event.
     """
 
     def __init__(
@@ -53,7 +63,7 @@
         record: SoakRecord,
         now_s: Callable[[], float],
     ) -> None:
-        self.engines = dict(engines)  # address by name
+        self.engines = dict(engines)
         self.states = dict.fromkeys(engines, READY)
         self.started_ms = dict.fromkeys(engines, 0)
         self.ports: dict[str, list[int]] = {name: [] for name in coordinators}
@@ -62,21 +72,21 @@
         self._now_s = now_s
         self._changes: list[EngineChange] = []
         self._streams: set[trio.SocketStream] = set()
-        self._spoken = trio.Event()
+        self._resumed = trio.Event()
         self._changed = trio.Event()
-        self._spoken.set()
+        self._resumed.set()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve until cancelled."""
         async with trio.open_nursery() as nursery:
-            for name in PORTS_EACH * list(self.ports):
+            for name in PORTS_PER_COORDINATOR * list(self.ports):
                 serve = partial(self._serve, name)
                 listeners = await nursery.start(partial(trio.serve_tcp, serve, 0, host="127.0.0.1"))
                 self.ports[name].append(listeners[0].socket.getsockname()[1])
             task_status.started()
 
     def announce(self, name: str, state: int, *, start: bool = False) -> None:
-        """Tell a new state of an engine."""
+        """Send a new state of an engine to all coordinators."""
         self.states[name] = state
         self.number += 1
         self._changes.append(EngineChange(self.number, name, state, self._encode(name), start))
@@ -84,25 +94,25 @@
         self._changed = trio.Event()
 
     def announce_start(self, name: str) -> None:
-        """Tell that an engine's process was started anew just now."""
+        """Announce that an engine's process has just restarted."""
         self.started_ms[name] = int(unix_now().value)
         self.announce(name, self.states[name], start=True)
 
-    def go_silent(self) -> None:
-        """Say nothing more, on connections that stay open."""
-        self._spoken = trio.Event()
+    def suspend(self) -> None:
+        """Send nothing more, but keep the connections open."""
+        self._resumed = trio.Event()
 
-    def speak_again(self) -> None:
-        """Go on with what there is to tell."""
-        self._spoken.set()
+    def resume(self) -> None:
+        """Send again, beginning with what has changed meanwhile."""
+        self._resumed.set()
 
     async def reset(self) -> None:
-        """End all connections."""
+        """Close all connections forcefully."""
         for stream in list(self._streams):
             await trio.aclose_forcefully(stream)
 
-    def known(self) -> dict[str, Any]:
-        """Return what a coordinator that starts now is told in its configuration."""
+    def known_engines(self) -> dict[str, Any]:
+        """Return the engine list for the configuration of a coordinator that starts now."""
         servers = [
             {
                 "id": name,
@@ -120,7 +130,7 @@
         return {"cursor": self.number, "cmds": [{"cursor": self.number, "nodes": nodes}]}
 
     def draining(self) -> list[str]:
-        """Return the engines that drain now."""
+        """Return the engines that are draining."""
         return [name for name, state in self.states.items() if state == DRAINING]
 
     def _encode(self, name: str) -> bytes:
@@ -137,9 +147,9 @@
             async with trio.open_nursery() as nursery:
                 cursor = int.from_bytes(await stream.receive_some(CURSOR_BYTES), "big")
                 for change in self._changes:
-                    if change.number <= cursor:  # it says that it has read this, on another connection
-                        self._note_told(change, connection)
-                nursery.start_soon(self._tell, stream, connection, cursor)
+                    if change.number <= cursor:  # the coordinator has read this on another connection
+                        self._record_notification(change, connection)
+                nursery.start_soon(self._send_changes, stream, connection, cursor)
                 while await stream.receive_some(CURSOR_BYTES):
                     pass
                 nursery.cancel_scope.cancel()
@@ -149,30 +159,32 @@
             connection.ended_s = self._now_s()
             self._streams.discard(stream)
 
-    async def _tell(self, stream: trio.SocketStream, connection: DiscoveryConnection, cursor: int) -> None:
-        """Write what has changed since the cursor, and a beat each second."""
+    async def _send_changes(
+        self, stream: trio.SocketStream, connection: DiscoveryConnection, cursor: int
+    ) -> None:
+        """Send the changes after the cursor, and a heartbeat each second."""
         while True:
-            await self._spoken.wait()
+            await self._resumed.wait()
             for change in self._changes:
                 if change.number > cursor:
-                    await stream.send_all(_frame(change.number, CHANGES, change.payload))
+                    await stream.send_all(_frame(change.number, CHANGE, change.payload))
                     cursor = change.number
-                    self._note_told(change, connection)
+                    self._record_notification(change, connection)
             changed = self._changed
-            with trio.move_on_after(BEAT_S):
+            with trio.move_on_after(HEARTBEAT_INTERVAL_S):
                 await changed.wait()
-            await self._spoken.wait()
-            await stream.send_all(_frame(cursor, NOTHING, b""))
+            await self._resumed.wait()
+            await stream.send_all(_frame(cursor, HEARTBEAT, b""))
 
-    def _note_told(self, change: EngineChange, connection: DiscoveryConnection) -> None:
-        if change.start:
-            started = ToldOfStart(connection.coordinator, change.engine, self._now_s())
-            self._record.told_starts.append(started)
+    def _record_notification(self, change: EngineChange, connection: DiscoveryConnection) -> None:
+        if change.is_start:
+            start_notification = StartNotification(connection.coordinator, change.engine, self._now_s())
+            self._record.start_notifications.append(start_notification)
         if change.state == DRAINING:
-            told = ToldOfDrain(
+            drain_notification = DrainNotification(
                 connection.coordinator, change.engine, self._now_s(), connection, change.number
             )
-            self._record.told.append(told)
+            self._record.drain_notifications.append(drain_notification)
 
 
 def _frame(number: int, kind: int, payload: bytes) -> bytes:
--- a/fordstair/lab/soak/drain_rule.py
+++ b/fordstair/lab/soak/drain_rule.py
@@ -1,4 +1,4 @@
-"""Nothing is sent to an engine that drains: judged from when a coordinator had been written of the drain."""
+"""Rule: a coordinator sends nothing to a draining engine once discovery has notified it of the drain."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from fordstair.lab.soak.records import AttemptRecord, Drain, SoakRecord
 
 RULE = "drain"
-DRAIN_SLACK_S = 0.55  # after a drain was told an attempt may still begin
-TOLD_AFTER_S = 7.0  # whatever discovery has to tell counts as told then, whether it arrived or not
+DRAIN_SLACK_S = 0.55  # how long attempts may still begin after the notification
+NOTIFIED_AFTER_S = 7.0  # after that a coordinator counts as notified, whether the event arrived or not
 MEASURE_SLACK_S = 0.05
-NOT_TOLD = "not told before the drain ended"
+NOT_NOTIFIED = "not told before the drain ended"
 CONNECTION_LOST = "discovery's connection did not live on"
 
 
 def judge_drains(record: SoakRecord, judgement: Judgement) -> None:
-    """Judge each pair of a drain and a coordinator."""
-    attempts = _by_pair(record)
+    """Judge every coordinator at every drain."""
+    attempts = _attempts_by_pair(record)
     for drain in record.drains:
         for coordinator in record.coordinators:
             _judge_pair(record, judgement, drain, coordinator, attempts[coordinator, drain.engine])
@@ -31,37 +31,40 @@
     coordinator: str,
     attempts: list[AttemptRecord],
 ) -> None:
-    told_s, excuse = _told(record, drain, coordinator)
-    if told_s >= drain.announced.to_s:
-        judgement.excuse(RULE, excuse)
+    notified_s, excuse = _notification_time(record, drain, coordinator)
+    if notified_s >= drain.announced.to_s:
+        judgement.count_excused(RULE, excuse)
         return
-    judgement.judge(RULE)
+    judgement.count_judged(RULE)
     for attempt in attempts:
-        if not told_s < attempt.begun_s < drain.announced.to_s:
+        if not notified_s < attempt.begun_s < drain.announced.to_s:
             continue
-        late_s = attempt.begun_s - record.stopped_s(coordinator, told_s, attempt.begun_s)
-        if late_s > told_s + DRAIN_SLACK_S + MEASURE_SLACK_S:
-            what = f"{attempt.txn} of {coordinator} to {drain.engine}, told {told_s:.3f}"
-            judgement.violate(Violation(RULE, attempt.begun_s, what, attempt.txn))
+        adjusted_begin_s = attempt.begun_s - record.not_running_s(coordinator, notified_s, attempt.begun_s)
+        if adjusted_begin_s > notified_s + DRAIN_SLACK_S + MEASURE_SLACK_S:
+            description = f"{attempt.txn} of {coordinator} to {drain.engine}, told {notified_s:.3f}"
+            judgement.add_violation(Violation(RULE, attempt.begun_s, description, attempt.txn))
 
 
-def _told(record: SoakRecord, drain: Drain, coordinator: str) -> tuple[float, str]:
-    """Return when a coordinator counts as told of a drain, and what excuses it until then."""
-    excuse = NOT_TOLD
-    for event in record.told:
-        if (event.coordinator, event.engine) != (coordinator, drain.engine) or event.number < drain.number:
+def _notification_time(record: SoakRecord, drain: Drain, coordinator: str) -> tuple[float, str]:
+    """Return when a coordinator counts as notified of a drain, and the excuse if it never does."""
+    excuse = NOT_NOTIFIED
+    for each in record.drain_notifications:
+        if (each.coordinator, each.engine) != (
+            coordinator,
+            drain.engine,
+        ) or each.event_number < drain.event_number:
             continue
-        if not drain.announced.from_s <= event.written_s < drain.announced.to_s:
+        if not drain.announced.from_s <= each.written_s < drain.announced.to_s:
             continue
-        if event.connection.ended_s > event.written_s + DRAIN_SLACK_S:
-            return min(event.written_s, drain.announced.from_s + TOLD_AFTER_S), ""
+        if each.connection.ended_s > each.written_s + DRAIN_SLACK_S:
+            return min(each.written_s, drain.announced.from_s + NOTIFIED_AFTER_S), ""
         excuse = CONNECTION_LOST
-    counts_s = drain.announced.from_s + TOLD_AFTER_S
-    return (counts_s if counts_s < drain.announced.to_s else math.inf), excuse
+    latest_s = drain.announced.from_s + NOTIFIED_AFTER_S
+    return (latest_s if latest_s < drain.announced.to_s else math.inf), excuse
 
 
-def _by_pair(record: SoakRecord) -> defaultdict[tuple[str, str], list[AttemptRecord]]:
-    """Return the attempts by coordinator and engine."""
+def _attempts_by_pair(record: SoakRecord) -> defaultdict[tuple[str, str], list[AttemptRecord]]:
+    """Return the attempts, by coordinator and engine."""
     coordinators = {request.txn: request.coordinator for request in record.requests}
     pairs: defaultdict[tuple[str, str], list[AttemptRecord]] = defaultdict(list)
     for attempt in record.attempts:
--- a/fordstair/lab/soak/engines.py
+++ b/fordstair/lab/soak/engines.py
@@ -1,4 +1,4 @@
-"""Stand-in engines that write down every attempt."""
+"""Fake engines that record every attempt."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class WatchedEngine(StandIn):
-    """An engine whose attempts stand in the record of a run."""
+    """A fake engine that adds its attempts to the record of a run."""
 
     def __init__(self, name: str, record: SoakRecord, start_s: float) -> None:
         super().__init__(name, Machine(cores=ENGINE_CORES))
         self._record = record
         self._start_s = start_s
         self._latest: dict[str, AttemptRecord] = {}
-        self._came_on: WeakKeyDictionary[trio.SocketStream, AttemptRecord] = WeakKeyDictionary()  # the latest
+        self._latest_on: WeakKeyDictionary[trio.SocketStream, AttemptRecord] = WeakKeyDictionary()
         self._arrived_s: WeakKeyDictionary[trio.SocketStream, float] = WeakKeyDictionary()
         self._first_byte_s: WeakKeyDictionary[trio.SocketStream, float] = WeakKeyDictionary()
 
@@ -31,17 +31,17 @@
         return trio.current_time() - self._start_s
 
     def rebase(self, start_s: float) -> None:
-        """Count the time of the run from here on."""
+        """Set the start of the run, from which times count."""
         self._start_s = start_s
 
     def arriving(self, stream: trio.SocketStream, *, first: bool) -> None:
-        """Note when bytes of a call arrived: the connection may have been reset once they are handled."""
+        """Record when bytes of a request arrived: the connection may be reset before they are handled."""
         self._arrived_s[stream] = self._now_s() - data_age_s(stream)
         if first:
             self._first_byte_s[stream] = self._arrived_s[stream]
 
     def noticed(self, method: str, fields: Mapping[str, str], stream: trio.SocketStream) -> None:
-        """Write a POST down that has come whole, also where the engine is silent."""
+        """Record a POST that has arrived completely, even if the engine is silent."""
         if method == "POST":
             txn = fields.get("x-txn", "")
             attempt = AttemptRecord(
@@ -50,30 +50,30 @@
             attempt.first_byte_s = self._first_byte_s.get(stream, math.inf)
             attempt.class_name = fields.get("x-lane", "")
             self._latest[txn] = attempt
-            self._came_on[stream] = attempt
+            self._latest_on[stream] = attempt
             self._record.attempts.append(attempt)
 
     def reset_connections(self) -> None:
-        """Write down which attempts' connections are reset."""
+        """Reset all connections, and record the time at the latest attempt on each."""
         for stream in self._streams:
-            if (attempt := self._came_on.pop(stream, None)) is not None:
-                attempt.connection_ended_s = self._now_s()
+            if (attempt := self._latest_on.pop(stream, None)) is not None:
+                attempt.connection_reset_s = self._now_s()
         super().reset_connections()
 
     async def _post(self, fields: dict[str, str], body: bytes) -> tuple[int, list[tuple[str, str]], bytes]:
         attempt = self._latest[fields.get("x-txn", "")]
-        before = self.started[attempt.txn]
+        starts_before = self.started[attempt.txn]
         attempt.started_s = self._now_s()
-        attempt.how = "runs"
+        attempt.outcome = "runs"
         attempt.statement = body
-        answered = await super()._post(fields, body)
-        if self.started[attempt.txn] == before:
-            attempt.how = "refused"
+        answer = await super()._post(fields, body)
+        if self.started[attempt.txn] == starts_before:
+            attempt.outcome = "refused"
             attempt.started_s = float("inf")
-        return answered
+        return answer
 
     def _end(self, run: Run, how: str) -> None:
         super()._end(run, how)
-        if (attempt := self._latest.get(run.txn)) is not None and attempt.how == "runs":
-            attempt.how = how
+        if (attempt := self._latest.get(run.txn)) is not None and attempt.outcome == "runs":
+            attempt.outcome = how
             attempt.ended_s = self._now_s()
--- a/fordstair/lab/soak/request_kinds.py
+++ b/fordstair/lab/soak/request_kinds.py
@@ -6,7 +6,7 @@
 
 
 class RequestKind(NamedTuple):
-    """One kind of request that clients draw from."""
+    """One kind of request, with its share of all requests."""
 
     class_name: str
     share: float
@@ -22,5 +22,5 @@
 
 
 def mean_work_s() -> float:
-    """Return the mean work of a request, in seconds on one core."""
+    """Return the mean work of a request over all kinds, in seconds on one core."""
     return sum(kind.share * kind.mean_work_ms for kind in KINDS) / 1e3
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: its plan, its oracle, and one short run over real processes."""
+"""Tests of the fault soak: its plan, its oracle, and short runs with real processes."""
 
 from __future__ import annotations
 
@@ -8,49 +8,49 @@
 import pytest
 
 from fordstair.lab.soak.oracle import SLOW_START, Oracle
-from fordstair.lab.soak.plan import RECIPES, Fault, FaultKind, draw_faults
+from fordstair.lab.soak.plan import FAULT_SPECS, Fault, FaultKind, draw_faults
 from fordstair.lab.soak.records import (
     AttemptRecord,
     ColdStart,
-    CoordinatorEnd,
+    CoordinatorExit,
     CoordinatorStart,
     CoreWait,
     DiscoveryConnection,
     Drain,
+    DrainNotification,
     FailedConnection,
     InjectedFault,
     Kill,
-    PlannedEnd,
+    PlannedShutdown,
     RequestRecord,
     Resources,
     SoakRecord,
     Span,
-    ToldOfDrain,
-    ToldOfStart,
+    StartNotification,
 )
 from fordstair.lab.soak.run import MAX_LAG_S, Plan, soak
-from fordstair.lab.soak.story import story
+from fordstair.lab.soak.story import request_timeline
 
 TXN = "a" * 16
 
 
 def served(**changes: object) -> SoakRecord:
-    """A run of one load that was served, with no fault."""
+    """Return the record of a run without faults in which one load was served."""
     request = RequestRecord(TXN, "meter-load", "n0", 1.0, 4.0, [(1.5, "served")])
     attempt = AttemptRecord(TXN, "s-1", 1.01, 3_900.0, 1.01, 1.4, "served")
-    request.retry_after = "400"  # where it is refused
+    request.retry_after = "400"  # only read if it is refused
     for name, value in changes.items():
         setattr(request if hasattr(request, name) else attempt, name, value)
     attempt.class_name = request.class_name
     return SoakRecord(["n0"], [request], [attempt])
 
 
-def rules(record: SoakRecord) -> list[str]:
-    """Return the names of the broken rules."""
+def broken_rules(record: SoakRecord) -> list[str]:
+    """Return the names of the violated rules."""
     return [each.rule for each in Oracle(record).violations()]
 
 
-def again(record: SoakRecord, how: str, started_s: float, engine: str = "s-2") -> SoakRecord:
+def with_second_attempt(record: SoakRecord, how: str, started_s: float, engine: str = "s-2") -> SoakRecord:
     attempt = AttemptRecord(TXN, engine, started_s, 100.0, started_s, started_s + 0.1, how)
     attempt.class_name = record.requests[0].class_name
     record.attempts.append(attempt)
@@ -65,36 +65,36 @@
 def with_drain(
     record: SoakRecord, announced_s: float, written_s: float | None = None, lost_s: float = math.inf
 ) -> SoakRecord:
-    """Let a drain be announced, and be written to the coordinator on a connection that ends at ``lost_s``."""
+    """Add a drain, and its notification on a connection that ends at ``lost_s``."""
     record.drains.append(Drain("s-1", Span(announced_s, 9.0)))
     connection = DiscoveryConnection("n0", lost_s)
     written_s = announced_s if written_s is None else written_s
-    record.told.append(ToldOfDrain("n0", "s-1", written_s, connection))
+    record.drain_notifications.append(DrainNotification("n0", "s-1", written_s, connection))
     return record
 
 
-def with_an_older_drain(record: SoakRecord) -> SoakRecord:
-    """Have the coordinator be told, in this drain, that it knows of an earlier one."""
-    record.drains[0].number = 7
-    record.told.append(ToldOfDrain("n0", "s-1", 0.35, DiscoveryConnection("n0"), 3))
+def with_older_drain(record: SoakRecord) -> SoakRecord:
+    """Add a notification of an earlier drain that arrives during this one."""
+    record.drains[0].event_number = 7
+    record.drain_notifications.append(DrainNotification("n0", "s-1", 0.35, DiscoveryConnection("n0"), 3))
     return record
 
 
 def with_late_attempt(record: SoakRecord, arrived_s: float, first_byte_s: float) -> SoakRecord:
-    """Have the attempt arrive at another time, in pieces."""
+    """Change the attempt so that it arrives in pieces, at other times."""
     attempt, request = record.attempts[0], record.requests[0]
-    attempt.read_s, attempt.first_byte_s = arrived_s, first_byte_s
+    attempt.received_s, attempt.first_byte_s = arrived_s, first_byte_s
     attempt.started_s, attempt.ended_s, attempt.limit_ms = arrived_s, arrived_s + 0.1, 0.0
     request.limit_s, request.answers = 20.0, [(arrived_s + 0.2, "served")]
     return record
 
 
-def without_a_core(record: SoakRecord, waited_s: float) -> SoakRecord:
+def with_core_wait(record: SoakRecord, waited_s: float) -> SoakRecord:
     record.core_waits.append(CoreWait("n0", Span(2.0, 2.25), waited_s))
     return record
 
 
-def killed(record: SoakRecord, at_s: float) -> SoakRecord:
+def with_kill(record: SoakRecord, at_s: float) -> SoakRecord:
     record.kills.append(Kill("n0", at_s))
     return record
 
@@ -104,14 +104,14 @@
     return record
 
 
-def cold(
-    record: SoakRecord, *, announced: bool = True, told_s: float = 0.96, lookups: int = 200
+def with_cold_start(
+    record: SoakRecord, *, announced: bool = True, notified_s: float = 0.96, lookup_count: int = 200
 ) -> SoakRecord:
-    """Restart the engine at 0.95 s; then it is sent loads of the mean work within a second."""
+    """Restart the engine at 0.95 s, and send it lookups of mean work, one each millisecond from 1 s on."""
     record.cold_starts.append(ColdStart("s-1", 0.95, announced))
-    record.told_starts.append(ToldOfStart("n0", "s-1", told_s))
+    record.start_notifications.append(StartNotification("n0", "s-1", notified_s))
     statement = b"/* work=%.1f */ SELECT" % (SLOW_START.mean_work_s * 1e3)
-    for number in range(lookups):
+    for number in range(lookup_count):
         txn, at_s = f"{number:016x}", 1.0 + number / 1e3
         request = RequestRecord(txn, "lookup", "n0", at_s, 4.0, [(at_s + 0.2, "served")], statement=statement)
         attempt = AttemptRecord(txn, "s-1", at_s, 3_900.0, at_s, at_s + 0.1, "served")
@@ -121,38 +121,38 @@
     return record
 
 
-def refused(retry_after: str | None) -> SoakRecord:
+def with_refusal(retry_after: str | None) -> SoakRecord:
     return served(answers=[(1.5, "refused")], retry_after=retry_after)
 
 
-def started(*took_s: float, signalled: bool = False) -> SoakRecord:
-    """A run in which the coordinator was restarted so many times."""
+def with_restarts(*durations_s: float, end_requested: bool = False) -> SoakRecord:
+    """Return the record of a run with one restart of the coordinator for each duration."""
     record = served()
-    record.starts = [CoordinatorStart("n0", 1.0, 1.0 + each, signalled) for each in took_s]
+    record.starts = [CoordinatorStart("n0", 1.0, 1.0 + each, end_requested) for each in durations_s]
     return record
 
 
-def using(descriptors: int, memory_mb: float) -> SoakRecord:
+def with_resource_use(descriptors: int, memory_mb: float) -> SoakRecord:
     record = served()
     record.descriptor_limit, record.memory_limit_mb = 100, 64.0
     record.resources["n0"] = Resources(descriptors, memory_mb)
     return record
 
 
-def told_to_end(record: SoakRecord, at_s: float, killed_s: float = math.inf) -> SoakRecord:
-    record.planned_ends.append(PlannedEnd("n0", at_s, killed_s))
+def with_shutdown(record: SoakRecord, at_s: float, killed_s: float = math.inf) -> SoakRecord:
+    record.planned_shutdowns.append(PlannedShutdown("n0", at_s, killed_s))
     return record
 
 
-def crowded(record: SoakRecord, *, attempted: bool) -> SoakRecord:
+def with_crowd(record: SoakRecord, *, attempted: bool) -> SoakRecord:
     record.crowded = True
     if not attempted:
         record.attempts.clear()
     return record
 
 
-def ended(record: SoakRecord) -> SoakRecord:
-    record.ends.append(CoordinatorEnd("n0", 2.0, False, 1))
+def with_unexpected_exit(record: SoakRecord) -> SoakRecord:
+    record.exits.append(CoordinatorExit("n0", 2.0, False, 1))
     return record
 
 
@@ -160,109 +160,121 @@
     ("record", "broken"),
     [
         (served, []),
-        (lambda: again(served(), "unasked", 2.0), ["duplicate"]),
-        (lambda: again(served(how="refused"), "served", 2.0), []),
-        (lambda: again(served(class_name="lookup"), "served", 2.0), []),
-        (lambda: again(served(class_name="lookup"), "served", 1.2), ["parallel"]),
+        (lambda: with_second_attempt(served(), "unasked", 2.0), ["duplicate"]),
+        (lambda: with_second_attempt(served(outcome="refused"), "served", 2.0), []),
+        (lambda: with_second_attempt(served(class_name="lookup"), "served", 2.0), []),
+        (lambda: with_second_attempt(served(class_name="lookup"), "served", 1.2), ["parallel"]),
         (lambda: served(answers=[]), ["lost"]),
         (lambda: served(answers=[(5.6, "served")]), ["lost"]),
         (lambda: with_fault(served(answers=[(5.6, "served")]), FaultKind.PAUSE, 2.0, 2.5), []),
-        (lambda: without_a_core(served(answers=[(5.6, "served")]), 0.2), []),
-        (lambda: without_a_core(served(answers=[(5.6, "served")]), 0.04), ["lost"]),
-        (lambda: killed(served(answers=[], closed_s=1.25), 1.2), []),
-        (lambda: killed(served(answers=[], closed_s=1.4), 1.2), ["lost"]),  # it ended its connection later
-        (lambda: killed(served(answers=[]), 1.2), ["lost"]),  # it was not open on what the kill ended
+        (lambda: with_core_wait(served(answers=[(5.6, "served")]), 0.2), []),
+        (lambda: with_core_wait(served(answers=[(5.6, "served")]), 0.04), ["lost"]),
+        (lambda: with_kill(served(answers=[], closed_s=1.25), 1.2), []),
+        # The connection was closed too late after the kill.
+        (lambda: with_kill(served(answers=[], closed_s=1.4), 1.2), ["lost"]),
+        # The kill closed no connection of this request.
+        (lambda: with_kill(served(answers=[]), 1.2), ["lost"]),
         (lambda: with_fault(served(answers=[], closed_s=1.6), FaultKind.TERMINATE, 0.5, 2.0), ["lost"]),
         (lambda: with_fault(served(answers=[], closed_s=1.05), FaultKind.TERMINATE, 0.5, 2.0), []),
         (lambda: served(answers=[(1.5, "served"), (1.6, "served")]), ["second answer"]),
         (lambda: served(answers=[(1.5, "spoilt")]), ["spoilt answer"]),
-        (lambda: served(gone_s=0.8), ["begun for nobody"]),
-        (lambda: served(gone_s=1.5, answers=[]), []),
+        (lambda: served(abandoned_s=0.8), ["begun for nobody"]),
+        (lambda: served(abandoned_s=1.5, answers=[]), []),
         (lambda: served(limit_ms=4_300.0), ["limit"]),
         (lambda: with_drain(served(), 0.3), ["drain"]),
         (lambda: with_drain(served(), 0.9), []),
-        # A drain counts from when it was written to the coordinator, on a connection that lived on.
+        # A drain counts from its notification, if the connection then stays open.
         (lambda: with_drain(served(), 0.3, written_s=0.9), []),
         (lambda: with_drain(served(), 0.1, written_s=0.3, lost_s=0.5), []),
         (lambda: with_drain(served(), 0.1, written_s=0.3, lost_s=2.0), ["drain"]),
         (lambda: with_fault(with_drain(served(), 0.3), FaultKind.PAUSE, 0.4, 0.9), []),
         (lambda: with_late_attempt(with_drain(served(), 0.1, lost_s=0.2), 7.6, 7.6), []),
         (lambda: with_late_attempt(with_drain(served(), 0.1, lost_s=0.2), 7.8, 7.8), ["drain"]),
-        (lambda: with_late_attempt(with_drain(served(), 1.0), 1.7, 1.5), []),  # it begins with its first byte
+        # The attempt begins with its first byte.
+        (lambda: with_late_attempt(with_drain(served(), 1.0), 1.7, 1.5), []),
         (lambda: with_late_attempt(with_drain(served(), 1.0), 1.7, 1.65), ["drain"]),
-        (lambda: with_an_older_drain(with_drain(served(), 0.1, written_s=0.3, lost_s=0.4)), []),
-        # What is handed on, and what a refusal says.
+        (lambda: with_older_drain(with_drain(served(), 0.1, written_s=0.3, lost_s=0.4)), []),
+        # The forwarded fields, and the retry delay of a refusal.
         (lambda: served(statement=b"SELECT a"), ["handed on"]),
-        (lambda: refused("400"), []),
-        (lambda: refused("1001"), ["retry after"]),
-        (lambda: refused(None), ["retry after"]),
-        # An engine that starts cold, of which discovery has told: 29 requests of mean work in a second.
-        (lambda: cold(served(), lookups=28), []),
-        (lambda: cold(served(), lookups=30), ["slow start"]),
-        (lambda: cold(served(), lookups=30, announced=False), []),
-        (lambda: cold(served(), lookups=30, told_s=1.02), []),  # too few by one that had been told
-        # Processes: nine in ten are ready in time, and all keep to their limits.
-        (lambda: started(*[1.0] * 9, 11.0), []),
-        (lambda: started(*[1.0] * 8, 11.0), ["ready"]),
-        (lambda: started(math.inf), ["ready"]),
-        (lambda: started(math.inf, signalled=True), []),
-        (lambda: using(100, 64.0), []),
-        (lambda: using(101, 64.0), ["descriptors"]),
-        (lambda: using(100, 64.5), ["memory"]),
-        (lambda: ended(served()), ["crash"]),
-        # A planned end: what is open at SIGKILL is lost, unless the program could not have run.
-        (lambda: told_to_end(served(answers=[], closed_s=4.2), 0.5, 4.2), ["lost"]),
-        (lambda: told_to_end(served(answers=[(4.1, "refused")], closed_s=4.2), 0.5, 4.2), []),
-        (lambda: told_to_end(served(answers=[], closed_s=1.05), 0.5), []),  # it crossed the close
-        (lambda: told_to_end(served(answers=[], closed_s=1.3), 0.5), ["lost"]),
+        (lambda: with_refusal("400"), []),
+        (lambda: with_refusal("1001"), ["retry after"]),
+        (lambda: with_refusal(None), ["retry after"]),
+        # A cold start that discovery has announced: at most 29 requests of mean work in a second.
+        (lambda: with_cold_start(served(), lookup_count=28), []),
+        (lambda: with_cold_start(served(), lookup_count=30), ["slow start"]),
+        (lambda: with_cold_start(served(), lookup_count=30, announced=False), []),
+        # Too few of the requests come from a notified coordinator.
+        (lambda: with_cold_start(served(), lookup_count=30, notified_s=1.02), []),
+        # Processes: nine starts in ten are ready in time, and all processes stay within their limits.
+        (lambda: with_restarts(*[1.0] * 9, 11.0), []),
+        (lambda: with_restarts(*[1.0] * 8, 11.0), ["ready"]),
+        (lambda: with_restarts(math.inf), ["ready"]),
+        (lambda: with_restarts(math.inf, end_requested=True), []),
+        (lambda: with_resource_use(100, 64.0), []),
+        (lambda: with_resource_use(101, 64.0), ["descriptors"]),
+        (lambda: with_resource_use(100, 64.5), ["memory"]),
+        (lambda: with_unexpected_exit(served()), ["crash"]),
+        # A planned shutdown: a request open at SIGKILL is lost, unless the process could not run before.
+        (lambda: with_shutdown(served(answers=[], closed_s=4.2), 0.5, 4.2), ["lost"]),
+        (lambda: with_shutdown(served(answers=[(4.1, "refused")], closed_s=4.2), 0.5, 4.2), []),
+        # The request was sent just before the close.
+        (lambda: with_shutdown(served(answers=[], closed_s=1.05), 0.5), []),
+        (lambda: with_shutdown(served(answers=[], closed_s=1.3), 0.5), ["lost"]),
         (
             lambda: with_fault(
-                told_to_end(served(answers=[], closed_s=4.2), 0.5, 4.2), FaultKind.PAUSE, 2.0, 4.0
+                with_shutdown(served(answers=[], closed_s=4.2), 0.5, 4.2),
+                FaultKind.PAUSE,
+                2.0,
+                4.0,
             ),
             [],
         ),
         (
             lambda: with_fault(
-                told_to_end(served(answers=[], closed_s=4.2), 0.5, 4.2), FaultKind.PAUSE, 2.0, 3.7
+                with_shutdown(served(answers=[], closed_s=4.2), 0.5, 4.2),
+                FaultKind.PAUSE,
+                2.0,
+                3.7,
             ),
             ["lost"],
         ),
-        # A client's connection that a failing call has ended, and one that it has not.
+        # A client's connection that a failing call has ended, and connections that it has not.
         (lambda: with_failed_connection(served(answers=[], closed_s=1.5), 1.4), []),
         (lambda: with_failed_connection(served(answers=[], closed_s=1.5), 1.4, port=7), ["lost"]),
         (lambda: with_failed_connection(served(answers=[], closed_s=1.5), 1.6), ["lost"]),
         (lambda: with_fault(served(answers=[], closed_s=1.5), FaultKind.FAIL_CALL, 1.4, 1.6), ["lost"]),
-        # Where a crowd fills the room, a new connection may be shut unread; what was sent on was read.
-        (lambda: crowded(served(answers=[], closed_s=1.1, first=True), attempted=False), []),
-        (lambda: crowded(served(answers=[], closed_s=1.1, first=True), attempted=True), ["lost"]),
-        (lambda: crowded(served(answers=[], closed_s=1.05), attempted=False), []),  # it crossed the close
-        (lambda: crowded(served(answers=[], closed_s=1.05), attempted=True), ["lost"]),
-        (lambda: crowded(served(answers=[], closed_s=1.3), attempted=False), ["lost"]),
+        # With a crowd a new connection may be closed unread; a forwarded request has been read.
+        (lambda: with_crowd(served(answers=[], closed_s=1.1, first=True), attempted=False), []),
+        (lambda: with_crowd(served(answers=[], closed_s=1.1, first=True), attempted=True), ["lost"]),
+        # The request was sent just before the close.
+        (lambda: with_crowd(served(answers=[], closed_s=1.05), attempted=False), []),
+        (lambda: with_crowd(served(answers=[], closed_s=1.05), attempted=True), ["lost"]),
+        (lambda: with_crowd(served(answers=[], closed_s=1.3), attempted=False), ["lost"]),
     ],
 )
 def test_the_oracle_finds_each_broken_rule_and_no_other(
     record: Callable[[], SoakRecord], broken: list[str]
 ) -> None:
-    assert rules(record()) == broken
+    assert broken_rules(record()) == broken
 
 
-def test_the_story_of_a_request_puts_all_that_is_known_of_it_in_one_order() -> None:
+def test_the_timeline_of_a_request_lists_all_its_events_in_order() -> None:
     record = with_fault(served(), FaultKind.PAUSE, 1.02, 1.2)
     record.clock_base_s = 100.0
     record.logs["n0"] = [f"DEBUG x: @101.0050 request.taken txn={TXN}", "DEBUG x: @101.0 request.taken txn=b"]
     record.core_waits.append(CoreWait("n0", Span(1.1, 1.15), 0.03))
-    told = story(record, TXN)
-    wanted = ["client: meter-load", "request.taken", "s-1: has it", "s-1: starts", "fault until 1.200"]
-    wanted += ["n0: waited 30 ms", "s-1: served", "client: served"]
-    assert [want in line for want, line in zip(wanted, told, strict=True)] == [True] * len(wanted)
+    timeline = request_timeline(record, TXN)
+    expected = ["client: meter-load", "request.taken", "s-1: has it", "s-1: starts", "fault until 1.200"]
+    expected += ["n0: waited 30 ms", "s-1: served", "client: served"]
+    assert [text in line for text, line in zip(expected, timeline, strict=True)] == [True] * len(expected)
 
 
 def test_a_plan_is_drawn_from_its_seed_and_holds_every_kind() -> None:
     names, engines = ["n0", "n1"], ["s-1"]
     one, same, other = (draw_faults(seed, 200.0, 5.0, names, engines) for seed in (3, 3, 4))
     assert one == same != other
-    assert {fault.kind for fault in one} == set(RECIPES)
-    assert all(0.0 < fault.at_s < 200.0 and math.isfinite(fault.lasts_s) for fault in one)
+    assert {fault.kind for fault in one} == set(FAULT_SPECS)
+    assert all(0.0 < fault.at_s < 200.0 and math.isfinite(fault.duration_s) for fault in one)
 
 
 def test_each_planned_end_is_a_series_with_one_first_sigterm_and_each_pause_has_its_end() -> None:
@@ -300,7 +312,8 @@
 
 @pytest.mark.parametrize("seed", [66, 72])
 def test_twenty_coordinators_break_no_rule_at_seeds_that_broke_one(seed: int) -> None:
-    # Guards against a limit told without a wait before the engine, and an attempt beside another.
+    # Guards against a limit sent to an engine that does not subtract the wait before it, and against attempts
+    # that run in parallel.
     report = soak(Plan(seed=seed, coordinators=20))
     assert report.record.worst_lag_s < MAX_LAG_S, "the machine is too busy to judge"
     assert not report.violations, str(report)
--- a/tests/test_soak_stand_ins.py
+++ b/tests/test_soak_stand_ins.py
@@ -1,4 +1,4 @@
-"""The soak's own stand-ins: what they take up, and when they say that bytes have come."""
+"""Tests of the soak's fake engines: which requests they start, and when bytes count as received."""
 
 from __future__ import annotations
 
@@ -22,12 +22,13 @@
 
 @pytest.mark.parametrize("silent", [False, True])
 def test_an_engine_that_restarts_takes_up_nothing_that_its_old_process_had_read(silent: bool) -> None:
-    # Guards against a query that begins beside the next attempt, which the reset rightly sent elsewhere.
+    # Guards against a query that the engine starts after its restart, in parallel with the next attempt: the
+    # reset lets the coordinator retry elsewhere.
     async def scene() -> None:
         one = StandIn("s-1", Machine(8.0))
         if silent:
             one.go_silent()
-        else:  # between the read and the take-up
+        else:  # restart between the read and the start of the query
             one.noticed = lambda *_: one.come_back_cold()  # type: ignore[method-assign]
         async with trio.open_nursery() as nursery:
             address = await nursery.start(one.serve)
@@ -47,22 +48,22 @@
 def test_an_engine_that_resets_a_connection_between_two_reads_goes_on_with_the_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a wait for bytes on a socket that is closed, which ends the whole soak.
+    # Guards against a wait for bytes on a closed socket, whose exception would end the whole soak.
     async def scene() -> None:
         one = StandIn("s-1", Machine(8.0))
         resets = iter([True])
-        reads = trio.SocketStream.receive_some
+        receive_some = trio.SocketStream.receive_some
 
-        async def resets_after(stream: trio.SocketStream, most: int | None = None) -> bytes:
-            data = await reads(stream, most)
-            if most and next(resets, False):  # the engine names how much it reads, its client does not
+        async def receive_then_reset(stream: trio.SocketStream, max_bytes: int | None = None) -> bytes:
+            data = await receive_some(stream, max_bytes)
+            if max_bytes and next(resets, False):  # only the engine passes a maximum
                 one.reset_connections()
             return data
 
-        monkeypatch.setattr(trio.SocketStream, "receive_some", resets_after)
+        monkeypatch.setattr(trio.SocketStream, "receive_some", receive_then_reset)
         async with trio.open_nursery() as nursery:
             host, _, port = (await nursery.start(one.serve)).partition(":")
-            for piece in (POST[:20], POST):  # the first one is reset with its message half read
+            for piece in (POST[:20], POST):  # the first connection is reset with its message half read
                 async with await trio.open_tcp_stream(host, int(port)) as client:
                     await client.send_all(piece)
                     with suppress(trio.BrokenResourceError):
@@ -74,8 +75,8 @@
 
 
 def test_an_attempt_is_dated_by_its_arrival_though_the_soak_is_late_to_read_it() -> None:
-    # Guards against limits that seem too long, and sends that seem late, where it is the judge that is late.
-    late_s = 0.3
+    # Guards against false violations from the soak's own lag: limits that seem too long, or late sends.
+    lag_s = 0.3
 
     async def scene() -> None:
         record = SoakRecord()
@@ -87,9 +88,9 @@
                 await wait_all_tasks_blocked()
                 sent_s = trio.current_time()
                 client.sendall(POST)
-                time.sleep(late_s)  # noqa: ASYNC251 - the whole soak stands still: that is what is tested
+                time.sleep(lag_s)  # noqa: ASYNC251 - blocks the event loop on purpose
                 await until(lambda: record.attempts)
             nursery.cancel_scope.cancel()
-        assert record.attempts[0].read_s + one._start_s - sent_s < late_s / 3
+        assert record.attempts[0].received_s + one._start_s - sent_s < lag_s / 3
 
     play(scene)
