--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,11 +1,11 @@
-"""Budgets, ageing and honest waits, against the program without them, on the same billing close.
+"""Measures budgets, ageing and wait estimates against the program without them, on the same billing close.
 
     .venv/bin/python -m benchmarks.budgets [--quick | --seconds N] [--seed N]
 
-A billing close is played in virtual time: the real decision module over modelled engines, with and without
-the scheduler before it. One team asks for 85% of the work with 73% of the shares, and the rate doubles for
-20 s. The last line is one JSON object; ``teams_within`` is the part of 10 s windows with a queue, by team,
-in which what a team held at engines differed from its budget by at most 5 points of the whole.
+A billing close is simulated in virtual time: the real decision module with modelled engines, with and without
+the scheduler. One team requests 85% of the work with 73% of the shares, and the rate doubles for 20 s.
+The last line is one JSON object; ``teams_within`` is the share of 10 s windows with a queue, by team, in
+which the engine time of a team differed from its budget by at most 5 percentage points of the total.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
 SHARES = (0.73, 0.16, 0.11)
 CORES, ENGINES, WINDOW_S = 8.0, 4, 10
-THREADS_A_CORE, BURST_MS, DEBT_MS = 1.5, 8_000.0, 4_000.0
+THREADS_PER_CORE, BURST_MS, DEBT_MS = 1.5, 8_000.0, 4_000.0
 
 
-def told() -> Settings:
-    """Return the site's settings for the module."""
+def bench_settings() -> Settings:
+    """Return the settings of the decision module for the simulated site."""
     classes = [
         {"name": "lookup", "promise_ms": 1200.0, "aim_stretch": 1.5, "give_up_ms": 6000.0},
         {
@@ -68,101 +68,110 @@
 
 
 def play(arrivals: list[Arrival], seed: int, scheduled: bool) -> tuple[World, list[PlayedRequest]]:
-    """Play a close; return the world at its end and what became of each request."""
+    """Simulate a billing close; return the world at its end and the record of each request."""
     scheduler = (
         Scheduler(
-            dict(enumerate(SHARES)), CORES * ENGINES * THREADS_A_CORE, burst_ms=BURST_MS, debt_ms=DEBT_MS
+            dict(enumerate(SHARES)), CORES * ENGINES * THREADS_PER_CORE, burst_ms=BURST_MS, debt_ms=DEBT_MS
         )
         if scheduled
         else None
     )
-    world = World(told(), {f"e-{n}": Machine(CORES) for n in range(ENGINES)}, seed, scheduler)
+    world = World(bench_settings(), {f"e-{n}": Machine(CORES) for n in range(ENGINES)}, seed, scheduler)
     return world, world.run(arrivals)
 
 
-def fair(shares: tuple[float, ...], wanted: list[float], total: float) -> list[float]:
-    """Return what each team should hold of a total: its share, or less where it wants less."""
-    given, open_teams = [0.0] * len(shares), set(range(len(shares)))
+def fair_shares(shares: tuple[float, ...], demand: list[float], total: float) -> list[float]:
+    """Return the part of a total that each team should hold: its share, or its demand if that is less."""
+    allotted, open_teams = [0.0] * len(shares), set(range(len(shares)))
     left = total
     while open_teams and left > 1e-9:
         weight = sum(shares[team] for team in open_teams)
-        sated = {team for team in open_teams if wanted[team] - given[team] <= left * shares[team] / weight}
-        for team in sated or open_teams:
-            given[team] += wanted[team] - given[team] if sated else left * shares[team] / weight
-        if not sated:
+        satisfied = {
+            team for team in open_teams if demand[team] - allotted[team] <= left * shares[team] / weight
+        }
+        for team in satisfied or open_teams:
+            allotted[team] += demand[team] - allotted[team] if satisfied else left * shares[team] / weight
+        if not satisfied:
             break
-        left = total - sum(given)
-        open_teams -= sated
-    return given
+        left = total - sum(allotted)
+        open_teams -= satisfied
+    return allotted
 
 
 def teams_within(world: World) -> tuple[float, int]:
-    """Return the part of 10 s windows with a queue all along, by team, in which its budget was kept.
+    """Return the share of windows, by team, in which its budget was kept, and the number of windows.
 
-    A team's budget is its share of what all held, or what it asked for where that is less; what others
-    leave is shared out by the same rule. Kept is a difference of at most 5 points of the whole.
+    Only 10 s windows with a queue throughout count. A team's budget is its share of what all teams held, or
+    its demand if that is less; what others leave is distributed by the same rule. A budget is kept if the
+    difference is at most 5 percentage points of the total.
     """
     kept = windows = 0
-    teams, asked = range(len(SHARES)), dict[int, list[float]]()
+    teams, requested = range(len(SHARES)), dict[int, list[float]]()
     for record in world.records.values():
         span = int((DAY_START_MS + record.arrival.at_ms) // 1000)
-        asked.setdefault(span, [0.0] * len(SHARES))[record.team] += record.arrival.work_ms
+        requested.setdefault(span, [0.0] * len(SHARES))[record.team] += record.arrival.work_ms
     first, last = int(DAY_START_MS // 1000), max(world.thread_time.spans, default=0)
     for start in range(first, last - WINDOW_S + 1):
         spans = range(start, start + WINDOW_S)
         if not all(world.backlog.get(span) for span in spans):
             continue
         held = [sum(world.thread_time.spans.get(span, {}).get(team, 0.0) for span in spans) for team in teams]
-        wanted = [sum(asked[span][team] for span in spans if span in asked) for team in teams]
-        stretch = max(1.0, sum(held) / max(1.0, sum(wanted)))  # what is held takes longer than its work
-        due = fair(SHARES, [want * stretch for want in wanted], sum(held))
+        demand = [sum(requested[span][team] for span in spans if span in requested) for team in teams]
+        stretch = max(
+            1.0, sum(held) / max(1.0, sum(demand))
+        )  # threads are held for longer than the work takes
+        budgets = fair_shares(SHARES, [each * stretch for each in demand], sum(held))
         for team in teams:
             windows += 1
-            kept += abs(held[team] - due[team]) / sum(held) <= 0.05
+            kept += abs(held[team] - budgets[team]) / sum(held) <= 0.05
     return (kept / windows if windows else 1.0), windows
 
 
 def waits_within(
     records: list[PlayedRequest], spans: tuple[tuple[float, float], ...] = ()
 ) -> tuple[float, int]:
-    """Return the part of released requests whose wait was within 20% or 50 ms of the estimate."""
-    asked = [
+    """Return the share of waits within 20% or 50 ms of the estimate, and the number of released requests."""
+    released = [
         record
         for record in records
         if record.likely_ms == record.likely_ms
         and record.released_ms == record.released_ms
         and (not spans or any(start * 1000.0 <= record.arrival.at_ms < end * 1000.0 for start, end in spans))
     ]
-    good = sum(
-        abs(record.released_ms - record.likely_ms) <= max(50.0, 0.2 * record.released_ms) for record in asked
+    accurate = sum(
+        abs(record.released_ms - record.likely_ms) <= max(50.0, 0.2 * record.released_ms)
+        for record in released
     )
-    return (good / len(asked) if asked else 1.0), len(asked)
+    return (accurate / len(released) if released else 1.0), len(released)
 
 
 def longest_over_bound(waiting: int, seed: int) -> float:
-    """Return the most that a wait took of its bound in releases, over a queue that one team floods."""
+    """Return the longest wait relative to its bound, in releases, for a queue that one team floods."""
     scheduler = Scheduler(dict(enumerate(SHARES)), 64.0, max_waiting=10 * waiting)
-    came, older = dict[int, int](), dict[int, int]()
-    most, number = 0.0, 0
-    for turn in range(2 * waiting):
-        for team in (0, 0, 1) if turn % 3 else (0, 0, 2):
+    arrival_release_count, older_count = dict[int, int](), dict[int, int]()
+    max_ratio, number = 0.0, 0
+    for step in range(2 * waiting):
+        for team in (0, 0, 1) if step % 3 else (0, 0, 2):
             number += 1
-            older[number], came[number] = len(scheduler.queues), scheduler.release_count
-            scheduler.admit(ArrivingRequest(number, team, (number * seed) % 3, 1, 50.0, 1e15), float(turn))
+            older_count[number], arrival_release_count[number] = (
+                len(scheduler.queues),
+                scheduler.release_count,
+            )
+            scheduler.admit(ArrivingRequest(number, team, (number * seed) % 3, 1, 50.0, 1e15), float(step))
         for _ in range(2):
-            if (item := scheduler.release(float(turn), lambda _: Capacity.AVAILABLE)) is not None:
-                most = max(
-                    most,
-                    (scheduler.release_count - came[item.id])
-                    / (RELEASES_PER_OLDEST_FIRST * (older[item.id] + 1)),
+            if (item := scheduler.release(float(step), lambda _: Capacity.AVAILABLE)) is not None:
+                max_ratio = max(
+                    max_ratio,
+                    (scheduler.release_count - arrival_release_count[item.id])
+                    / (RELEASES_PER_OLDEST_FIRST * (older_count[item.id] + 1)),
                 )
-                scheduler.finish(item.id, float(turn), item.cost)
-    return most
+                scheduler.finish(item.id, float(step), item.cost)
+    return max_ratio
 
 
-def cost_of_one(waiting: int) -> tuple[float, float]:
-    """Return microseconds of one arrival and release with so many waiting, and bytes that each takes."""
-    traced = waiting <= 1_000  # tracing makes a large queue slow, and tells no more of it
+def cost_per_request(waiting: int) -> tuple[float, float]:
+    """Return the microseconds of one arrival and release, and the bytes per request, at a queue length."""
+    traced = waiting <= 1_000  # tracing is slow for a longer queue and shows nothing more
     if traced:
         tracemalloc.start()
     scheduler = Scheduler(dict(enumerate(SHARES)), 64.0, max_waiting=2 * waiting)
@@ -171,29 +180,33 @@
     size = tracemalloc.get_traced_memory()[0] / waiting
     if traced:
         tracemalloc.stop()
-    turns, start = 300, time.perf_counter()
-    for number in range(turns):
+    repetitions, start = 300, time.perf_counter()
+    for number in range(repetitions):
         scheduler.admit(
             ArrivingRequest(waiting + number, number % 3, number % 2, 1, 50.0, 1e12), 2.0 + number
         )
         if (item := scheduler.release(2.0 + number, lambda _: Capacity.AVAILABLE)) is not None:
             scheduler.finish(item.id, 2.0 + number, item.cost)
-    return (time.perf_counter() - start) / turns * 1e6, size
+    return (time.perf_counter() - start) / repetitions * 1e6, size
 
 
 def run(seconds: float, seed: int) -> dict[str, Any]:
-    """Play and measure."""
+    """Run the simulations, and return all figures."""
     jumps = ((seconds * 0.5, seconds * 0.5 + 20.0),)
     arrivals = generate(Shape(seconds=seconds, doubled=jumps), seed)
-    print(f"playing {len(arrivals)} requests of {seconds:.0f} s", file=sys.stderr, flush=True)
-    settings = told()
+    print(
+        f"simulating {len(arrivals)} requests over {seconds:.0f} s without the scheduler",
+        file=sys.stderr,
+        flush=True,
+    )
+    settings = bench_settings()
     plain, before = play(arrivals, seed, False)
-    print("played without; now with", file=sys.stderr, flush=True)
+    print("simulating with the scheduler", file=sys.stderr, flush=True)
     world, after = play(arrivals, seed, True)
     within, windows = teams_within(world)
-    share, counted = waits_within(after)
-    jump, counted_jump = waits_within(after, jumps)
-    costs = {waiting: cost_of_one(waiting) for waiting in (100, 1_000, 10_000, 100_000)}
+    share, count = waits_within(after)
+    jump_share, jump_count = waits_within(after, jumps)
+    costs = {waiting: cost_per_request(waiting) for waiting in (100, 1_000, 10_000, 100_000)}
     by_team = {
         name: [
             round(
@@ -208,7 +221,7 @@
     return {
         "teams_within": round(within, 3),
         "wait_within_20pct": round(share, 3),
-        "wait_within_20pct_after_jump": round(jump, 3),
+        "wait_within_20pct_after_jump": round(jump_share, 3),
         "longest_wait_over_bound": round(longest_over_bound(1_000, seed), 3),
         "worth_ratio": round(
             priority_weight(after, settings) / max(1e-9, priority_weight(before, settings)), 3
@@ -217,8 +230,8 @@
         "bytes_per_waiting": {str(n): round(size) for n, (_, size) in costs.items() if size},
         "served_part_without_with": by_team,
         "windows": windows,
-        "waits": counted,
-        "waits_jump": counted_jump,
+        "waits": count,
+        "waits_jump": jump_count,
         "priority_changes": world.changes,
         "requests": len(arrivals),
         "reasons": dict(Counter(r.reason for r in after if r.how != "served").most_common(6)),
@@ -230,11 +243,11 @@
 def main() -> None:
     """Measure, and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    parser.add_argument("--seconds", type=float, default=600.0, help="of the close, in virtual time")
-    parser.add_argument("--quick", action="store_true", help="as --seconds 60")
+    parser.add_argument("--seconds", type=float, default=600.0, help="length of the close, in virtual time")
+    parser.add_argument("--quick", action="store_true", help="same as --seconds 60")
     parser.add_argument("--seed", type=int, default=1)
-    given = parser.parse_args()
-    print(json.dumps(run(60.0 if given.quick else given.seconds, given.seed)))
+    options = parser.parse_args()
+    print(json.dumps(run(60.0 if options.quick else options.seconds, options.seed)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/connection_burst.py
+++ b/benchmarks/connection_burst.py
@@ -1,8 +1,8 @@
-"""How a coordinator takes bursts of new connections: limits told, time to be accepted, time to an answer.
+"""Measures bursts of new connections: the limits sent to engines, the time to accept, the time to an answer.
 
     .venv/bin/python -m benchmarks.connection_burst [--clients 100,300,600,1000] [--front listens|odata]
 
-Each line is one burst at a coordinator that was just started.
+Each row of the table is one burst at a coordinator that has just started.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 
 from fordstair.lab.connection_burst import ODATA, RPC, BurstReport, play_burst
 
-SLACK_MS = 150.0  # by which a limit may be too long
+LIMIT_SLACK_MS = 150.0  # a longer excess of a limit is counted
 
 
-def line(report: BurstReport) -> str:
-    """Return one burst's figures as a row of a table."""
+def table_row(report: BurstReport) -> str:
+    """Return the figures of one burst as a table row."""
     answers = report.answer_ms
-    middle = statistics.median(answers) if answers else 0.0
+    median_ms = statistics.median(answers) if answers else 0.0
     return (
         f"| {report.clients} | {report.within_ms:.0f} "
-        f"| {report.over(SLACK_MS)} of {len(report.excess_ms)} | {report.worst_excess_ms:.0f} "
-        f"| {report.accepted_ms:.0f} | {len(answers)} | {middle:.0f} | {max(answers, default=0.0):.0f} |"
+        f"| {report.over(LIMIT_SLACK_MS)} of {len(report.excess_ms)} | {report.worst_excess_ms:.0f} "
+        f"| {report.accepted_ms:.0f} | {len(answers)} | {median_ms:.0f} | {max(answers, default=0.0):.0f} |"
     )
 
 
 def main() -> int:
-    """Play the bursts, and print a table; all times in ms."""
+    """Play the bursts, and print a table with all times in milliseconds."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.connection_burst", description=__doc__)
     parser.add_argument("--clients", default="50,100,300,600,1000")
     parser.add_argument("--front", choices=[RPC, ODATA], default=RPC)
@@ -39,7 +39,7 @@
         "| clients | within | limits over 150 too long | worst | accepted after | answers | median | last |"
     )
     for clients in map(int, options.clients.split(",")):
-        print(line(trio.run(play_burst, clients, options.front)), flush=True)
+        print(table_row(trio.run(play_burst, clients, options.front)), flush=True)
     return 0
 
 
--- a/benchmarks/decision_play.py
+++ b/benchmarks/decision_play.py
@@ -1,13 +1,13 @@
-"""Plays lookups to one gateway in virtual time, and measures the processor time of its calls.
+"""Sends lookups to one gateway in virtual time, and measures the processor time of its calls.
 
     python benchmarks/decision_play.py ENGINES LOOKUPS SLICES SEED CPU
 
-A first play, with engines that answer after the time that a lookup takes, records every event with its time.
-A second gateway with the same seed is then fed the same events, and only its calls are timed: the driver's
+A first run, with engines that answer after the time that a lookup takes, records every event with its time.
+A second gateway with the same seed then handles the same events, and only its calls are timed: the driver's
 own work is in no figure. The first half of the lookups fills the engines; the others are timed in slices of
-equal numbers, one for each line on standard input, so that ``benchmarks.decisions`` can let two checkouts
-take turns on one CPU (those of a busy machine differ by more than the bound). Each line of output is a JSON
-object: what was played, then a slice at a time. The commit to measure is on PYTHONPATH.
+equal size, one for each line on standard input, so that ``benchmarks.decisions`` can alternate two checkouts
+on one CPU (the CPUs of a busy machine differ by more than the bound). Each line of output is a JSON object:
+first a summary of the recorded run, then one for each slice. PYTHONPATH selects the commit to measure.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 
 CORES_PER_ENGINE = 8.0
 LOOKUP_WORK_MS = 100.0  # mean, of processor time at an engine
-UTILISATION = 0.6  # of all cores, by the lookups that arrive
-FAULT_SHARE = 0.02  # of attempts; half answer with an error, half find no connection
+UTILISATION = 0.6  # of all cores, by the arriving lookups
+FAULT_SHARE = 0.02  # of attempts: half get an error response, half cannot connect
 WARM_UP_SHARE = 0.5  # of the lookups, before the first slice
 TABLE_GROUPS = 12
 CLIENT_TIMEOUT_MS = 3_000.0
-# The names up to commit 8b7ffb3, where the module was the package cairnhoist; only _load_old uses them.
+# The names up to commit 8b7ffb3, when the module was the package cairnhoist; only _load_old uses them.
 OLD_SETTING_NAMES = {
     "load_report_fields": "report_fields",
     "slow_start_initial_capacity": "cold_from",
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionModule:
-    """What a driver needs of the module; the factories take today's names, whatever the commit calls them."""
+    """The parts of the decision module that a driver uses; factories take today's names for any commit."""
 
     gateway: Callable[..., Any]
     settings: Callable[..., Any]
@@ -72,7 +72,7 @@
 
 
 class Play:
-    """One gateway, its clients and its engines, all drawn from one seed."""
+    """A simulation of one gateway, its clients and its engines, from one seed."""
 
     def __init__(self, module: DecisionModule, engine_count: int, seed: int) -> None:
         self.module = module
@@ -83,28 +83,28 @@
         self.events: list[tuple[float, Any]] = []
         self.arrival_indices: list[int] = []
         self.attempt_counts: Counter[int] = Counter()
-        self._answers = hashlib.sha256()
-        self._due: list[tuple[float, int, Any]] = []
-        self._due_count = 0
+        self._digest = hashlib.sha256()
+        self._scheduled: list[tuple[float, int, Any]] = []
+        self._event_count = 0
         self._running = dict.fromkeys((engine_id(number) for number in range(engine_count)), 0)
 
     def run(self, lookups: int) -> str:
-        """Play that many lookups to their end; return a digest of the kinds and engines of the actions."""
+        """Run that many lookups to their end; return a digest of the attempts and the number of actions."""
         entries = tuple(self.module.engine_entry(engine_id(number)) for number in range(self.engine_count))
         self._feed(self.module.engine_list_changed(self.module.full_list, entries))
         arrivals_per_ms = self.engine_count * CORES_PER_ENGINE * UTILISATION / LOOKUP_WORK_MS
-        at = self.now
+        arrival_ms = self.now
         for request in range(1, lookups + 1):
-            at += self.random.expovariate(arrivals_per_ms)
-            self._schedule(at, self._arrival(request))
-        while self._due:
-            self.now, _, event = heapq.heappop(self._due)
+            arrival_ms += self.random.expovariate(arrivals_per_ms)
+            self._schedule(arrival_ms, self._arrival(request))
+        while self._scheduled:
+            self.now, _, event = heapq.heappop(self._scheduled)
             if isinstance(event, self.module.request_arrived_type):
                 self.arrival_indices.append(len(self.events))
             elif isinstance(event, self.module.attempt_ended_type):
                 self._running[event.engine] -= 1
             self._feed(event)
-        return self._answers.hexdigest()[:16]
+        return self._digest.hexdigest()[:16]
 
     def _arrival(self, request: int) -> Any:
         cost_ms = self.random.lognormvariate(4.3, 0.7)
@@ -118,20 +118,24 @@
                 self._send(action)
             elif isinstance(action, self.module.start_timer):
                 self._schedule(self.now + action.delay_ms, self.module.timer_fired(action.token))
-            self._answers.update(b"|")
+            self._digest.update(b"|")
 
     def _send(self, action: Any) -> None:
-        self._answers.update(f"{action.request} {action.engine}".encode())
+        self._digest.update(f"{action.request} {action.engine}".encode())
         attempt = self.attempt_counts[action.request]
         self.attempt_counts[action.request] += 1
         self._running[action.engine] += 1
         running = self._running[action.engine]
         utilisation = min(1.0, running / CORES_PER_ENGINE)
         latency_ms = self.random.lognormvariate(4.3, 0.7) * max(1.0, running / CORES_PER_ENGINE)
-        fate = self.random.random()
+        fault_draw = self.random.random()
         status = self.module.status.OK
-        if fate < FAULT_SHARE:
-            status = self.module.status.ERROR if fate < FAULT_SHARE / 2 else self.module.status.CONNECT_FAILED
+        if fault_draw < FAULT_SHARE:
+            status = (
+                self.module.status.ERROR
+                if fault_draw < FAULT_SHARE / 2
+                else self.module.status.CONNECT_FAILED
+            )
         complete = status is self.module.status.OK
         ended = self.module.attempt_ended(
             action.request,
@@ -145,9 +149,9 @@
         )
         self._schedule(self.now + latency_ms, ended)
 
-    def _schedule(self, at: float, event: Any) -> None:
-        self._due_count += 1
-        heapq.heappush(self._due, (at, self._due_count, event))
+    def _schedule(self, at_ms: float, event: Any) -> None:
+        self._event_count += 1
+        heapq.heappush(self._scheduled, (at_ms, self._event_count, event))
 
 
 def engine_id(number: int) -> str:
@@ -180,14 +184,14 @@
 
 
 def load_decision_module() -> DecisionModule:
-    """Return the module that can be imported: today's, else the one before it was renamed."""
+    """Return the importable decision module: the one under its old name if there is one, else today's."""
     try:
         return _load_old()
     except ModuleNotFoundError:
-        return _load_present()
+        return _load_current()
 
 
-def _load_present() -> DecisionModule:
+def _load_current() -> DecisionModule:
     actions = importlib.import_module("fordstair.decisions.actions")
     engine_list = importlib.import_module("fordstair.decisions.engine_list")
     events = importlib.import_module("fordstair.decisions.events")
@@ -238,15 +242,15 @@
 
 
 def main() -> None:
-    """Play, then time a slice for each line of input."""
+    """Record a run, then time one slice for each line of input."""
     engine_count, lookups, slices, seed, cpu = (int(argument) for argument in sys.argv[1:])
     os.sched_setaffinity(0, {cpu})
     module = load_decision_module()
     play = Play(module, engine_count, seed)
     digest = play.run(lookups)
-    first = int(lookups * WARM_UP_SHARE)
-    size = (lookups - first) // slices
-    starts = [play.arrival_indices[first + number * size] for number in range(slices)]
+    warm_up_count = int(lookups * WARM_UP_SHARE)
+    lookups_per_slice = (lookups - warm_up_count) // slices
+    starts = [play.arrival_indices[warm_up_count + number * lookups_per_slice] for number in range(slices)]
     ends = [*starts[1:], len(play.events)]
     gateway = new_gateway(module, seed)
     for now, event in play.events[: starts[0]]:
@@ -257,12 +261,12 @@
     for start, end in zip(starts, ends, strict=True):
         if not sys.stdin.readline():
             return
-        part = play.events[start:end]
+        slice_events = play.events[start:end]
         begun_s = time.process_time()
-        for now, event in part:
+        for now, event in slice_events:
             gateway.handle(now, event)
         cpu_s = time.process_time() - begun_s
-        print(json.dumps({"cpu_us_per_lookup": cpu_s * 1e6 / size}), flush=True)
+        print(json.dumps({"cpu_us_per_lookup": cpu_s * 1e6 / lookups_per_slice}), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/followers.py
+++ b/benchmarks/followers.py
@@ -1,4 +1,4 @@
-"""Consoles without a screen: ``python -m benchmarks.followers SOCKET N`` follows the feed N times over."""
+"""Headless consoles: ``python -m benchmarks.followers SOCKET N`` follows the snapshots on N connections."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from fordstair.console.connection import follow_snapshots
 
 
-async def follows(path: str, counts: list[int], number: int) -> None:
-    """Take picture after picture."""
-    async for picture in follow_snapshots(path):
-        counts[number] = picture.number
+async def follow(path: str, last_numbers: list[int], index: int) -> None:
+    """Receive snapshots, and store the number of the last one in ``last_numbers[index]``."""
+    async for snapshot in follow_snapshots(path):
+        last_numbers[index] = snapshot.number
 
 
-async def run(path: str, many: int) -> None:
-    """Follow, and say once all of them do."""
-    counts = [0] * many
-    tasks = [asyncio.create_task(follows(path, counts, number)) for number in range(many)]
-    while not all(counts):
+async def run(path: str, count: int) -> None:
+    """Follow on ``count`` connections; print ``following`` once each has received a snapshot."""
+    last_numbers = [0] * count
+    tasks = [asyncio.create_task(follow(path, last_numbers, index)) for index in range(count)]
+    while not all(last_numbers):
         for task in tasks:
             if task.done():
-                task.result()  # a console that was turned away ends the run
+                task.result()  # raises the error that ended the connection
         await asyncio.sleep(0.01)
     print("following", flush=True)
     await asyncio.gather(*tasks)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,8 +1,9 @@
-"""Membership among coordinators, in virtual time: detection, false deaths and cost, against plain heartbeats.
+"""Measures membership in virtual time: detection, false deaths and cost, against plain heartbeats.
 
     .venv/bin/python -m benchmarks.membership [--quick]
 
-Heartbeats go from all to all at the message load that SWIM had at that size. All is deterministic by seed.
+Heartbeats go from each member to all others at the message load that SWIM had at the same fleet size. A seed
+determines the whole run.
 """
 
 from __future__ import annotations
@@ -25,17 +26,23 @@
 CONFIG = MembershipConfig("bench", "x", "x:1")
 SETTLE_MS = 5_000.0
 LOSSES = (0.0, 0.1, 0.3, 0.5)
-MISSED = (3, 5)  # periods of silence after which a heartbeat's member is dead
+MISSED_PERIODS = (3, 5)  # silent periods after which a member without heartbeats counts as dead
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How much is played at one size of the fleet."""
+    """The amount of simulation at one fleet size.
+
+    Attributes:
+        kills: The kills in all runs.
+        together: The kills in one run; each run starts a new fleet.
+        lossy_s: The duration of the run at each loss rate.
+    """
 
     members: int
-    kills: int  # each in a fleet of its own, where it is small
-    together: int  # kills in one run
-    lossy_s: float  # of each loss rate
+    kills: int
+    together: int
+    lossy_s: float
 
 
 FULL = (Size(5, 100, 1, 7_200.0), Size(50, 40, 4, 600.0), Size(200, 24, 8, 150.0), Size(1_000, 10, 10, 30.0))
@@ -43,14 +50,14 @@
 
 
 class PlainSwimMember(SwimMember):
-    """SWIM as first published: no local health, a suspicion of one length, no heed of own pauses."""
+    """SWIM as first published: no local health, a fixed suspicion timeout, no handling of own pauses."""
 
     def _handle_stall(self, late_ms: float) -> None:
         pass
 
 
 def quantiles(values: list[float]) -> dict[str, float]:
-    """Return median and 99th percentile, in seconds."""
+    """Return the count of values in milliseconds, and their median and 99th percentile in seconds."""
     if not values:
         return {"n": 0}
     cuts = statistics.quantiles(values, n=100, method="inclusive") if len(values) > 1 else values * 99
@@ -66,23 +73,23 @@
     kills: int,
     together: int,
     start: Callable[[Network, int], list[str]],
-    spaced_ms: float,
+    kill_interval_ms: float,
     seed: int,
 ) -> dict[str, Any]:
-    """Kill members one after the other; return the times until the first and until all others know."""
-    first: list[float] = []
-    everybody: list[float] = []
+    """Kill members one after the other; return the times until the first and until all others detect it."""
+    first_ms: list[float] = []
+    all_ms: list[float] = []
     for run in range(max(1, kills // together)):
         network = Network(seed + run)
         addresses = start(network, seed + run)
         network.run(SETTLE_MS)
-        died = dict[str, float]()
+        killed_ms = dict[str, float]()
         for address in addresses[-together:]:
             network.kill(address)
-            died[address[:-2]] = network.now
-            network.run(network.now + spaced_ms)
-        network.run(network.now + 2.0 * spaced_ms)
-        for name, at in died.items():
+            killed_ms[address[:-2]] = network.now
+            network.run(network.now + kill_interval_ms)
+        network.run(network.now + 2.0 * kill_interval_ms)
+        for name, at in killed_ms.items():
             # Heartbeats know members by their addresses.
             delays = {
                 seen.observer: seen.at - at
@@ -93,20 +100,20 @@
                 and seen.observer in network.nodes
             }
             if delays:
-                first.append(min(delays.values()))
-            if len(delays) == members - len(died):
-                everybody.append(max(delays.values()))
-    return {"first": quantiles(first), "all": quantiles(everybody)}
+                first_ms.append(min(delays.values()))
+            if len(delays) == members - len(killed_ms):
+                all_ms.append(max(delays.values()))
+    return {"first": quantiles(first_ms), "all": quantiles(all_ms)}
 
 
 def false_deaths(
     members: int, seconds: float, loss: float, start: Callable[[Network, int], list[str]], seed: int
 ) -> tuple[float, Counter[str]]:
-    """Return how often a healthy member was held for dead, per member-hour, and the counts of all members."""
+    """Return how often a healthy member was declared dead, per member-hour, and the sums of the counters."""
     network = Network(seed, loss=loss)
     start(network, seed)
     network.run(seconds * 1000.0)
-    died = {
+    deaths = {
         (seen.change.name, seen.change.incarnation, int(seen.at / 60_000.0))
         for seen in network.observations
         if seen.change.state == MemberState.DEAD
@@ -114,11 +121,11 @@
     counts: Counter[str] = Counter()
     for node in network.nodes.values():
         counts.update(node.counts)
-    return len(died) / (members * seconds / 3600.0), counts
+    return len(deaths) / (members * seconds / 3600.0), counts
 
 
-def stalled(members: int, seconds: float, kind: type[SwimMember], seed: int) -> dict[str, Any]:
-    """A tenth run for 0.2 s and stand still for 1.5 s, over and over, with 5 % lost: who accuses whom?"""
+def stall_members(members: int, seconds: float, kind: type[SwimMember], seed: int) -> dict[str, Any]:
+    """Stall a tenth of the members for 1.5 s of every 1.7 s, at 5 % loss; count accusations of the others."""
     network = Network(seed, loss=0.05)
     config = CONFIG if kind is SwimMember else replace(CONFIG, suspicion_max_factor=1.0)
     addresses = swim_fleet(network, members, config, seed, kind=kind)
@@ -126,22 +133,22 @@
         for node in network.nodes.values():
             assert isinstance(node, SwimMember)
             node.context.local_health = LocalHealth(max_score=0)
-    slow = addresses[: max(1, members // 10)]
+    stalled = addresses[: max(1, members // 10)]
 
     def stall(address: str) -> None:
         network.pause(address, 1_500.0)
         network.at(network.now + 1_700.0, lambda: stall(address))
 
-    for number, address in enumerate(slow):
+    for number, address in enumerate(stalled):
         network.at(number * 130.0, lambda address=address: stall(address))  # type: ignore[misc]
     network.run(seconds * 1000.0)
-    names = {address[:-2] for address in slow}
+    names = {address[:-2] for address in stalled}
     accused = Counter(seen.change.state for seen in network.observations if seen.change.name not in names)
     return {"healthy_suspected": accused[MemberState.SUSPECT], "healthy_dead": accused[MemberState.DEAD]}
 
 
 def measure(size: Size, seed: int) -> dict[str, Any]:
-    """Return the figures of one size."""
+    """Return the figures of one fleet size."""
 
     def swim(network: Network, seed: int) -> list[str]:
         return swim_fleet(network, size.members, CONFIG, seed)
@@ -164,15 +171,15 @@
         str(loss): round(rate, 3) for loss, rate in rates.items()
     }
     period_ms = (size.members - 1) / load * 1000.0
-    for missed in MISSED:
+    for missed in MISSED_PERIODS:
         figures[f"heartbeats_{missed}"] = heartbeats(size, period_ms, missed, seed)
     return figures
 
 
 def heartbeats(size: Size, period_ms: float, missed: int, seed: int) -> dict[str, Any]:
-    """Return the figures of heartbeats at a period; at 1,000 members only what follows from the period."""
+    """Return the figures of heartbeats; above 200 members only what can be computed from the period."""
     figures: dict[str, Any] = {"period_s": round(period_ms / 1000.0, 2)}
-    if size.members > 200:  # the last beat came up to a period before the death
+    if size.members > 200:  # the last heartbeat came up to one period before the death
         return figures | {
             "computed": True,
             "first": {"median_s": round((missed - 0.5) * period_ms / 1000.0, 1)},
@@ -198,12 +205,14 @@
     """Return all figures."""
     figures: dict[str, Any] = {"probe_ms": CONFIG.probe_interval_ms, "seed": seed, "members": {}}
     for size in QUICK if quick else FULL:
-        began = time.monotonic()
+        started_s = time.monotonic()
         figures["members"][size.members] = measure(size, seed)
-        print(f"{size.members} members: {time.monotonic() - began:.0f} s", flush=True)
+        print(f"{size.members} members: {time.monotonic() - started_s:.0f} s", flush=True)
     seconds = 60.0 if quick else 600.0
     kinds: dict[str, type[SwimMember]] = {"lifeguard": SwimMember, "plain": PlainSwimMember}
-    figures["a_tenth_stalled"] = {name: stalled(50, seconds, kind, seed) for name, kind in kinds.items()}
+    figures["a_tenth_stalled"] = {
+        name: stall_members(50, seconds, kind, seed) for name, kind in kinds.items()
+    }
     return figures
 
 
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -1,10 +1,10 @@
-"""Replication among running coordinators: kill points, partitions, claims a second, catch-up.
+"""Measures replication among running coordinators: kills, partitions, claims per second, catch-up.
 
     .venv/bin/python -m benchmarks.replication [--quick] [--seed N]
 
 Members are processes of the program on loopback, behind the lab's relay; claims are measured on services in
-one process with stores of their own, so that what is timed is replication and not a front. The last line is
-one JSON object; ``broken`` holds what the checker found, and must be empty.
+one process, each with its own store, so that only replication is timed and not a front. The last line is
+one JSON object; ``broken`` holds the violations that the checker found, and must be empty.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 CONCURRENT_TRIALS = 3
 CLAIMANTS = 32  # tasks that claim concurrently
 OUTCOME = b"x" * 200
-LOADS_A_PROGRAM_TRIAL = 300
+LOADS_PER_PROGRAM_TRIAL = 300
 FAULTS = {"kills": kill_members, "partitions": partition_members}
 
 
-async def play_history(kind: str, points: int, members: int, seed: int) -> dict[str, Any]:
-    """Run a trial to its end; return what was put to the test, and what was broken."""
+async def run_trial(kind: str, points: int, members: int, seed: int) -> dict[str, Any]:
+    """Run a trial to its end; return the counts of its operations and the violations."""
     with tempfile.TemporaryDirectory(prefix="rep") as folder:
         async with running_trial(Path(folder), members, seed) as trial:
             load_ids = await FAULTS[kind](trial, points)
@@ -56,22 +56,22 @@
     }
 
 
-async def play_histories(kind: str, points: int, members: int, seed: int) -> dict[str, Any]:
-    """Run trials concurrently; return their sums."""
-    played = list[dict[str, Any]]()
+async def run_trials(kind: str, points: int, members: int, seed: int) -> dict[str, Any]:
+    """Run trials concurrently; return the sums of their figures."""
+    results = list[dict[str, Any]]()
 
-    async def play(number: int) -> None:
-        played.append(await play_history(kind, points // CONCURRENT_TRIALS, members, seed + number))
+    async def run_numbered(number: int) -> None:
+        results.append(await run_trial(kind, points // CONCURRENT_TRIALS, members, seed + number))
 
     async with trio.open_nursery() as nursery:
         for number in range(CONCURRENT_TRIALS):
-            nursery.start_soon(play, number)
-    return {name: sum((each[name] for each in played), [] if name == "broken" else 0) for name in played[0]}
+            nursery.start_soon(run_numbered, number)
+    return {name: sum((each[name] for each in results), [] if name == "broken" else 0) for name in results[0]}
 
 
 @asynccontextmanager
 async def running_fleet(count: int) -> AsyncIterator[list[ReplicationService]]:
-    """Run that many members of a new fleet in this process, each with a store of its own."""
+    """Run that many members of a new fleet in this process, each with its own store."""
     listeners = [await trio.open_tcp_listeners(0, host="127.0.0.1") for _ in range(count)]
     ports = [each[0].socket.getsockname()[1] for each in listeners]
     for each in listeners:
@@ -98,7 +98,7 @@
 
 
 async def measure_claims(count: int, seconds: float, claimants: int = CLAIMANTS) -> dict[str, Any]:
-    """Claim and settle as fast as possible, through all members alike."""
+    """Claim and settle as fast as possible, evenly through all members; return the figures."""
     latencies_s = list[float]()
     async with running_fleet(count) as services:
         end_s = trio.current_time() + seconds
@@ -135,11 +135,11 @@
 
 
 async def measure_programs(gap: int, seed: int) -> dict[str, Any]:
-    """On running programs: what a load has the disks write, convergence after a cut, catch-up over a gap.
+    """Measure on running programs the disk writes per load, convergence after a partition, and catch-up.
 
-    Times for catch-up count from the member's start to the end of its exchange, its recovery among them.
+    The catch-up time counts from the member's start to the end of its exchange, including its recovery.
     """
-    loads = LOADS_A_PROGRAM_TRIAL
+    loads = LOADS_PER_PROGRAM_TRIAL
     with tempfile.TemporaryDirectory(prefix="rep") as folder:
         more_settings = "kilobytes_per_s = 20000\nentries_most = 300000"
         async with running_trial(Path(folder), 3, seed, more_settings) as trial:
@@ -151,7 +151,7 @@
             trial.relay.part({"m2"}, {"m0", "m1"})
             for _ in range(loads):
                 await trial.send_load("m0", trial.new_load_id())
-            await trio.sleep(SETTLE_TIMEOUT_S + 0.5)  # until nobody sends it outcomes any more
+            await trio.sleep(SETTLE_TIMEOUT_S + 0.5)  # until no member sends it outcomes any more
             trial.relay.heal()
             converged_s = await trial.wait_until_converged(60.0)
             for name in trial.names:
@@ -185,7 +185,7 @@
         print(f"programs: {json.dumps(figures['programs'][-1])}", flush=True)
     for kind, points, members in (("kills", 6 if quick else 300, 3), ("partitions", 3 if quick else 51, 5)):
         started_s = time.monotonic()
-        figures[kind] = await play_histories(kind, points, members, seed) | {"members": members}
+        figures[kind] = await run_trials(kind, points, members, seed) | {"members": members}
         figures[kind]["seconds"] = round(time.monotonic() - started_s)
         print(f"{kind}: {json.dumps(figures[kind])}", flush=True)
     return figures
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,10 +1,10 @@
-"""A hall that goes dark and comes back cold: what is served, and what is sent in vain.
+"""Measures the loss of a zone that comes back cold: the requests served, and those sent in vain.
 
     .venv/bin/python -m benchmarks.zones [--quick] [--seed N]
 
-Three halls, each with its engines and coordinators; the program's core and module in virtual time. One hall
-falls silent under traffic, the register takes its engines off the list some seconds later, and all of them
-come back at once, cold. The last line is one JSON object.
+Each of three zones (halls) has engines and coordinators; the program's core and decision module run in
+virtual time. One zone falls silent under traffic, its engines are removed from the engine list some seconds
+later, and all of them come back at once, cold. The last line is one JSON object.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from functools import partial
 from typing import Any
 
-from benchmarks.budgets import CORES, told
+from benchmarks.budgets import CORES, bench_settings
 from benchmarks.command import run as run_command
 from fordstair.decisions.engine_list import ListUpdateKind
 from fordstair.decisions.events import Status
@@ -30,83 +30,88 @@
 from fordstair.lab.replay import priority_weight
 from fordstair.lab.site import Site
 
-HALLS = 3
-DARK_MS, LISTED_MS, BACK_MS = 10_000.0, 4_000.0, 20_000.0  # goes dark; off the list after that; comes back
-PART = 0.75  # of what the engines can do, asked for
-COLD_FROM, COLD_MS, FALL_MULTIPLE, FALL_MS = 0.32, 15_000.0, 2.5, 1_000.0
+ZONES = 3
+# When the zone falls silent, how much later its engines leave the list, and when it comes back.
+SILENT_MS, DELIST_DELAY_MS, RETURN_MS = 10_000.0, 4_000.0, 20_000.0
+LOAD_SHARE = 0.75  # of the capacity of all engines
+INITIAL_CAPACITY, SLOW_START_MS, OVERLOAD_FACTOR, WINDOW_MS = 0.32, 15_000.0, 2.5, 1_000.0
 
 
 def site_settings(coordinators: int) -> Settings:
-    """Return the settings of one of so many coordinators."""
+    """Return the settings of one coordinator in a fleet of that size."""
     return replace(
-        told(),
+        bench_settings(),
         instances=coordinators,
-        slow_start_initial_capacity=COLD_FROM,
-        slow_start_ms=COLD_MS,
-        slow_start_overload_factor=FALL_MULTIPLE,
-        slow_start_window_ms=FALL_MS,
+        slow_start_initial_capacity=INITIAL_CAPACITY,
+        slow_start_ms=SLOW_START_MS,
+        slow_start_overload_factor=OVERLOAD_FACTOR,
+        slow_start_window_ms=WINDOW_MS,
     )
 
 
 def script(site: Site) -> None:
-    """Hall 1 goes dark, is taken off the list, and is back cold."""
-    lost = [server for server in site.engines.values() if server.entry.zone == 1]
+    """Schedule the failure of zone 1: it falls silent, leaves the engine list, and comes back cold."""
+    failed = [server for server in site.engines.values() if server.entry.zone == 1]
 
-    def dark() -> None:
-        for server in lost:
+    def fail() -> None:
+        for server in failed:
             server.silent = True
 
-    def back() -> None:
-        for server in lost:
+    def come_back() -> None:
+        for server in failed:
             server.come_back_cold()
         site.announce(ListUpdateKind.FULL, site.engines, (100.0, 1_500.0))
 
-    site.at(DARK_MS, dark)
-    left = [name for name, server in site.engines.items() if server not in lost]
-    site.at(DARK_MS + LISTED_MS, lambda: site.announce(ListUpdateKind.FULL, left, (0.0, 1_000.0)))
-    site.at(BACK_MS, back)
+    site.at(SILENT_MS, fail)
+    remaining = [name for name, server in site.engines.items() if server not in failed]
+    site.at(
+        SILENT_MS + DELIST_DELAY_MS, lambda: site.announce(ListUpdateKind.FULL, remaining, (0.0, 1_000.0))
+    )
+    site.at(RETURN_MS, come_back)
 
 
 def cold_peak(site: Site) -> float:
-    """Return the most work that a cold engine got within FALL_MS, over what it may get by the settings."""
-    most = 0.0
+    """Return the most work that a cold engine got within WINDOW_MS, relative to what the settings allow."""
+    peak = 0.0
     for server in site.engines.values():
         start, cores = server.entry.started_ms, server.machine.cores
-        came = [(at, work) for at, work in server.arrived_work if start and start <= at < start + COLD_MS]
-        held, first = 0.0, 0
-        for at, work in came:
-            held += work
-            while came[first][0] <= at - FALL_MS:
-                held -= came[first][1]
+        arrivals = [
+            (at, work) for at, work in server.arrived_work if start and start <= at < start + SLOW_START_MS
+        ]
+        window_work, first = 0.0, 0
+        for at, work in arrivals:
+            window_work += work
+            while arrivals[first][0] <= at - WINDOW_MS:
+                window_work -= arrivals[first][1]
                 first += 1
-            warmth = COLD_FROM + (1.0 - COLD_FROM) * (at - start) / COLD_MS
-            most = max(most, held / (FALL_MULTIPLE * warmth * cores * FALL_MS))
-    return most
+            capacity_share = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * (at - start) / SLOW_START_MS
+            peak = max(peak, window_work / (OVERLOAD_FACTOR * capacity_share * cores * WINDOW_MS))
+    return peak
 
 
 def figures(site: Site, records: Sequence[PlayedRequest], seconds: float) -> dict[str, Any]:
-    """Return one play's figures."""
+    """Return the figures of one simulation."""
     settings = site.settings
 
-    def part(start: float, end: float) -> float:
+    def served_share(start: float, end: float) -> float:
         rows = [record for record in records if start <= record.arrival.at_ms < end]
-        asked = sum(settings.classes[record.class_index].priority_weight for record in rows)
-        return round(priority_weight(rows, settings) / max(1e-9, asked), 3)
+        requested = sum(settings.classes[record.class_index].priority_weight for record in rows)
+        return round(priority_weight(rows, settings) / max(1e-9, requested), 3)
 
     spans = [(at, at + 5_000.0) for at in range(0, int(seconds * 1e3) - 5_000, 1_000)]
-    dark = [record for record in records if DARK_MS <= record.arrival.at_ms < DARK_MS + LISTED_MS]
+    silent = [record for record in records if SILENT_MS <= record.arrival.at_ms < SILENT_MS + DELIST_DELAY_MS]
     outcomes = [each.coordinator.counters.snapshot() for each in site.coordinators]
-    loads = Counter[str]()  # how often each began, anywhere
+    loads = Counter[str]()  # starts of each load, at all engines
     for server in site.engines.values():
         loads.update(server.load_starts)
     return {
-        "before": part(0.0, DARK_MS),
-        "first_4s": part(DARK_MS, DARK_MS + LISTED_MS),
-        "dark": part(DARK_MS, BACK_MS),
-        "after": part(BACK_MS, seconds * 1e3),
-        "worst_5s": min(part(*span) for span in spans),
+        "before": served_share(0.0, SILENT_MS),
+        "first_4s": served_share(SILENT_MS, SILENT_MS + DELIST_DELAY_MS),
+        "dark": served_share(SILENT_MS, RETURN_MS),
+        "after": served_share(RETURN_MS, seconds * 1e3),
+        "worst_5s": min(served_share(*span) for span in spans),
         "failed": sum(record.how == "failed" for record in records),
-        "refused_dark": round(statistics.mean(record.how == "refused" for record in dark), 3),
+        "refused_dark": round(statistics.mean(record.how == "refused" for record in silent), 3),
         "connect_failed": sum(each.get(f"outcome.{Status.CONNECT_FAILED.value}", 0) for each in outcomes),
         "cold_peak": round(cold_peak(site), 2),
         "loads": len(loads),
@@ -119,34 +124,36 @@
 def run(
     coordinators: int, engines: int, seconds: float, seed: int, *, eject_silent_zones: bool
 ) -> tuple[Site, list[PlayedRequest]]:
-    """Play one site; return it and all records."""
-    work = sum(part * ms for part, ms in zip(Shape().mix, Shape().work_ms, strict=True))
-    rate = PART * CORES * engines * 1e3 / work / coordinators
+    """Simulate one site; return it and the records of all requests."""
+    mean_work_ms = sum(share * ms for share, ms in zip(Shape().mix, Shape().work_ms, strict=True))
+    rate = LOAD_SHARE * CORES * engines * 1e3 / mean_work_ms / coordinators
     traffic = [
         generate(Shape(seconds=seconds, rate_per_s=rate, shares=(0.73, 0.16, 0.11)), seed * 1_000 + n)
         for n in range(coordinators)
     ]
     servers = [
-        ModelledEngine(f"e-{n}", Machine(CORES, cold_part=COLD_FROM, warm_ms=COLD_MS), zone=n % HALLS)
+        ModelledEngine(
+            f"e-{n}", Machine(CORES, cold_part=INITIAL_CAPACITY, warm_ms=SLOW_START_MS), zone=n % ZONES
+        )
         for n in range(engines)
     ]
     site = Site(
         site_settings(coordinators), servers, coordinators, seed, eject_silent_zones=eject_silent_zones
     )
     records = play(partial(site.play, traffic, 1_000.0, script), seed)
-    return site, [record for mine in records for record in mine]
+    return site, [record for coordinator_records in records for record in coordinator_records]
 
 
 def measure(quick: bool, seed: int) -> dict[str, Any]:
     """Return all figures."""
     coordinators, engines, seconds = (6, 9, 30.0) if quick else (40, 60, 40.0)
-    began = time.monotonic()
-    found = {
-        how: figures(*run(coordinators, engines, seconds, seed, eject_silent_zones=ejects), seconds)
-        for how, ejects in (("present", False), ("halls", True))
+    started_s = time.monotonic()
+    results = {
+        mode: figures(*run(coordinators, engines, seconds, seed, eject_silent_zones=ejects), seconds)
+        for mode, ejects in (("present", False), ("halls", True))
     }
-    print(f"{coordinators} coordinators, {engines} engines: {time.monotonic() - began:.0f} s", flush=True)
-    return found
+    print(f"{coordinators} coordinators, {engines} engines: {time.monotonic() - started_s:.0f} s", flush=True)
+    return results
 
 
 if __name__ == "__main__":
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from benchmarks.budgets import told
+from benchmarks.budgets import bench_settings
 from fordstair.lab.billing_close import Shape, generate
 from fordstair.lab.machine import Machine
 from fordstair.lab.virtual import World
@@ -39,7 +39,7 @@
 
 def day(seconds: float, seed: int) -> dict[str, int]:
     """Play a billing close with its engines replaced one at a time; return the module's tables at the end."""
-    world = World(told(), {f"e-{n}": Machine(CORES) for n in range(ENGINES)}, seed)
+    world = World(bench_settings(), {f"e-{n}": Machine(CORES) for n in range(ENGINES)}, seed)
     steps = int(seconds // REPLACED_EVERY_S)
     for step in range(1, steps + 1):
         # each step one engine leaves and a new one takes its place: over the day there are many names
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.budgets import SHARES, play, told
+from benchmarks.budgets import SHARES, bench_settings, play
 from fordstair.core.admission_queue import AdmissionQueue
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.live_request import LiveRequest
@@ -299,7 +299,7 @@
     reasons = Counter(record.reason for record in records if record.how == "refused")
     assert reasons[QueueRejection.TOO_COSTLY.value]
     assert len(records) == len(arrivals)
-    lookup, load = told().classes[0], told().classes[2]
+    lookup, load = bench_settings().classes[0], bench_settings().classes[2]
     assert (
         latest_useful_start_ms(lookup, 200.0, 0.0, 6_000.0)
         < 1_500.0
@@ -390,7 +390,7 @@
 
 def test_a_withdrawn_request_leaves_the_queue_before_the_next_release() -> None:
     """Regression test: a withdrawn request stayed queued until its task ran; a release before that failed."""
-    coordinator = Coordinator(told(), 7, {}, Deadlines(lambda: 1e6), Counters())
+    coordinator = Coordinator(bench_settings(), 7, {}, Deadlines(lambda: 1e6), Counters())
     queue = AdmissionQueue(coordinator, Scheduler(dict(enumerate(SHARES)), 8.0), 1.0)
     replies = [PendingReply(), PendingReply()]
     for number, reply in enumerate(replies):
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -4,7 +4,7 @@
 
 from functools import partial
 
-from benchmarks.budgets import told
+from benchmarks.budgets import bench_settings
 from benchmarks.fleet_service import figures, lapse, plan, run
 from fordstair.lab.billing_close import Shape, generate
 from fordstair.lab.clockwork import DAY_MS, now_ms, play
@@ -70,7 +70,7 @@
         if each.work_ms < 300.0
     ]
     site = Site(
-        told(),
+        bench_settings(),
         [ModelledEngine(f"e-{n}", Machine(8.0)) for n in range(20)],
         5,
         1,
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.budgets import told as told_settings
+from benchmarks.budgets import bench_settings
 from benchmarks.zones import figures, run
 from fordstair.core.coordinator import Coordinator
 from fordstair.core.ports import AttemptRequest, Call, Engine
@@ -133,7 +133,9 @@
 
 def test_a_list_that_comes_anew_gives_no_avoided_hall_back() -> None:
     clock = [1_000.0]
-    coordinator = Coordinator(told_settings(), 1, {"rest": NoWire()}, Deadlines(lambda: clock[0]), Counters())
+    coordinator = Coordinator(
+        bench_settings(), 1, {"rest": NoWire()}, Deadlines(lambda: clock[0]), Counters()
+    )
     watch = coordinator.extensions.zone_watch = ZoneWatch(coordinator)
 
     def listed(**starts: float) -> None:
