--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -117,9 +117,8 @@
             continue
         held = [sum(world.thread_time.spans.get(span, {}).get(team, 0.0) for span in spans) for team in teams]
         demand = [sum(requested[span][team] for span in spans if span in requested) for team in teams]
-        stretch = max(
-            1.0, sum(held) / max(1.0, sum(demand))
-        )  # threads are held for longer than the work takes
+        # Threads are held for longer than the work takes.
+        stretch = max(1.0, sum(held) / max(1.0, sum(demand)))
         budgets = fair_shares(SHARES, [each * stretch for each in demand], sum(held))
         for team in teams:
             windows += 1
--- a/fordstair/lab/soak/clients.py
+++ b/fordstair/lab/soak/clients.py
@@ -101,8 +101,8 @@
                 await trio.sleep(self._random.expovariate(self._rate))
                 if self._coordinator.ready:
                     nursery.start_soon(self._send, nursery)
-            max_duration_s = max(kind.limit_s for kind in KINDS)
-            with trio.move_on_after(max_duration_s + FINAL_ANSWER_GRACE_S):
+            longest_limit_s = max(kind.limit_s for kind in KINDS)
+            with trio.move_on_after(longest_limit_s + FINAL_ANSWER_GRACE_S):
                 while any(each.pending for each in self._connections):
                     await trio.sleep(0.02)
             nursery.cancel_scope.cancel()
--- a/fordstair/lab/soak/oracle.py
+++ b/fordstair/lab/soak/oracle.py
@@ -22,7 +22,7 @@
 SHUTDOWN_TIMEOUT_S = 4.7  # from SIGTERM until a coordinator has closed all connections
 ANSWER_AFTER_PAUSE_S = 0.3  # how long answers may take to leave after a pause
 CLOSE_RACE_S = 0.1  # a request sent this shortly before the close of an idle connection may be lost
-MEASURE_SLACK_S = 0.05  # the resolution of the kernel's timestamps of received bytes
+MEASURE_SLACK_S = 0.05  # for the resolution of the kernel's timestamps of received bytes
 MAX_RETRY_AFTER_MS = SETTINGS["limits"]["maxRetryAfterMs"]
 SLOW_START = SlowStartSettings(
     cores=ENGINE_CORES,
@@ -235,7 +235,10 @@
         )
 
     def _raced_shutdown(self, request: RequestRecord) -> bool:
-        """Return whether the request was sent just before a planned shutdown closed its connection."""
+        """Return whether a planned shutdown closed the connection just after the request was sent.
+
+        The coordinator may have stopped accepting requests before it arrived.
+        """
         ending = any(
             span.from_s <= request.closed_s <= span.to_s + 1.0
             for span in self.record.active_spans(FaultKind.TERMINATE, request.coordinator)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -269,7 +269,7 @@
     assert [text in line for text, line in zip(expected, timeline, strict=True)] == [True] * len(expected)
 
 
-def test_a_plan_is_drawn_from_its_seed_and_holds_every_kind() -> None:
+def test_a_plan_depends_only_on_its_seed_and_contains_every_kind_of_fault() -> None:
     names, engines = ["n0", "n1"], ["s-1"]
     one, same, other = (draw_faults(seed, 200.0, 5.0, names, engines) for seed in (3, 3, 4))
     assert one == same != other
@@ -277,7 +277,7 @@
     assert all(0.0 < fault.at_s < 200.0 and math.isfinite(fault.duration_s) for fault in one)
 
 
-def test_each_planned_end_is_a_series_with_one_first_sigterm_and_each_pause_has_its_end() -> None:
+def test_each_planned_shutdown_has_its_first_sigterm_at_zero_and_ends_each_pause() -> None:
     faults = draw_faults(5, 400.0, 5.0, ["n0"], ["s-1"])
     series = [fault.signals for fault in faults if fault.kind is FaultKind.TERMINATE]
     for signals in series:
--- a/tests/test_soak_stand_ins.py
+++ b/tests/test_soak_stand_ins.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("silent", [False, True])
-def test_an_engine_that_restarts_takes_up_nothing_that_its_old_process_had_read(silent: bool) -> None:
+def test_a_restarted_engine_starts_no_query_that_its_old_process_has_read(silent: bool) -> None:
     # Guards against a query that the engine starts after its restart, in parallel with the next attempt: the
     # reset lets the coordinator retry elsewhere.
     async def scene() -> None:
@@ -45,7 +45,7 @@
     play(scene)
 
 
-def test_an_engine_that_resets_a_connection_between_two_reads_goes_on_with_the_others(
+def test_an_engine_that_resets_a_connection_between_two_reads_continues_with_the_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Guards against a wait for bytes on a closed socket, whose exception would end the whole soak.
@@ -74,7 +74,7 @@
     play(scene)
 
 
-def test_an_attempt_is_dated_by_its_arrival_though_the_soak_is_late_to_read_it() -> None:
+def test_an_attempt_is_timed_by_its_arrival_even_if_the_soak_reads_it_late() -> None:
     # Guards against false violations from the soak's own lag: limits that seem too long, or late sends.
     lag_s = 0.3
 
