--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -25,7 +25,7 @@
 from fordstair.lab.machine import Machine
 from fordstair.lab.played_request import PlayedRequest
 from fordstair.lab.replay import priority_weight
-from fordstair.lab.virtual import DAY_START_MS, World
+from fordstair.lab.virtual import START_MS, GatewaySimulation
 from fordstair.scheduling.scheduler import RELEASES_PER_OLDEST_FIRST, ArrivingRequest, Capacity, Scheduler
 
 SHARES = (0.73, 0.16, 0.11)
@@ -67,7 +67,9 @@
     )
 
 
-def play(arrivals: list[Arrival], seed: int, scheduled: bool) -> tuple[World, list[PlayedRequest]]:
+def play(
+    arrivals: list[Arrival], seed: int, scheduled: bool
+) -> tuple[GatewaySimulation, list[PlayedRequest]]:
     """Play a close; return the world at its end and what became of each request."""
     scheduler = (
         Scheduler(
@@ -76,7 +78,7 @@
         if scheduled
         else None
     )
-    world = World(told(), {f"e-{n}": Machine(CORES) for n in range(ENGINES)}, seed, scheduler)
+    world = GatewaySimulation(told(), {f"e-{n}": Machine(CORES) for n in range(ENGINES)}, seed, scheduler)
     return world, world.run(arrivals)
 
 
@@ -96,7 +98,7 @@
     return given
 
 
-def teams_within(world: World) -> tuple[float, int]:
+def teams_within(world: GatewaySimulation) -> tuple[float, int]:
     """Return the part of 10 s windows with a queue all along, by team, in which its budget was kept.
 
     A team's budget is its share of what all held, or what it asked for where that is less; what others
@@ -105,12 +107,12 @@
     kept = windows = 0
     teams, asked = range(len(SHARES)), dict[int, list[float]]()
     for record in world.records.values():
-        span = int((DAY_START_MS + record.arrival.at_ms) // 1000)
+        span = int((START_MS + record.arrival.at_ms) // 1000)
         asked.setdefault(span, [0.0] * len(SHARES))[record.team] += record.arrival.work_ms
-    first, last = int(DAY_START_MS // 1000), max(world.thread_time.spans, default=0)
+    first, last = int(START_MS // 1000), max(world.thread_time.spans, default=0)
     for start in range(first, last - WINDOW_S + 1):
         spans = range(start, start + WINDOW_S)
-        if not all(world.backlog.get(span) for span in spans):
+        if not all(world.backlogged_teams.get(span) for span in spans):
             continue
         held = [sum(world.thread_time.spans.get(span, {}).get(team, 0.0) for span in spans) for team in teams]
         wanted = [sum(asked[span][team] for span in spans if span in asked) for team in teams]
@@ -197,7 +199,7 @@
     by_team = {
         name: [
             round(
-                sum(r.how == "served" for r in records if r.team == team)
+                sum(r.outcome == "served" for r in records if r.team == team)
                 / max(1, sum(r.team == team for r in records)),
                 3,
             )
@@ -219,11 +221,11 @@
         "windows": windows,
         "waits": counted,
         "waits_jump": counted_jump,
-        "priority_changes": world.changes,
+        "priority_changes": world.priority_changes,
         "requests": len(arrivals),
-        "reasons": dict(Counter(r.reason for r in after if r.how != "served").most_common(6)),
-        "reasons_without": dict(Counter(r.reason for r in before if r.how != "served").most_common(6)),
-        "answered_once": all(record.how for record in (*before, *after)),
+        "reasons": dict(Counter(r.reason for r in after if r.outcome != "served").most_common(6)),
+        "reasons_without": dict(Counter(r.reason for r in before if r.outcome != "served").most_common(6)),
+        "answered_once": all(record.outcome for record in (*before, *after)),
     }
 
 
--- a/benchmarks/fleet_service.py
+++ b/benchmarks/fleet_service.py
@@ -30,7 +30,7 @@
 from fordstair.lab.modelled_engine import ModelledEngine
 from fordstair.lab.played_request import PlayedRequest
 from fordstair.lab.replay import in_aim
-from fordstair.lab.site import Queueing, Site
+from fordstair.lab.site import QueueSettings, Site
 
 ENGINES_EACH = 4  # of a coordinator
 RATE_EACH = 40.0  # requests a second, of a coordinator
@@ -69,9 +69,9 @@
     ]
     engines = [ModelledEngine(f"e-{n}", Machine(CORES)) for n in range(ENGINES_EACH * count)]
     site = Site(
-        told(), engines, count, seed, Queueing(dict(enumerate(SHARES))), plan(count) if fleet else None
+        told(), engines, count, seed, QueueSettings(dict(enumerate(SHARES))), plan(count) if fleet else None
     )
-    records = play(partial(site.play, traffic, WARM_MS, script), seed)
+    records = play(partial(site.run, traffic, WARM_MS, script), seed)
     return site, [record for mine in records for record in mine]
 
 
@@ -86,13 +86,13 @@
             for team, rows in mine.items()
         },
         "out": {
-            team: round(max(held.get(n, 0) for _, held in site.held) / limits[n], 3)
+            team: round(max(held.get(n, 0) for _, held in site.held_threads) / limits[n], 3)
             for n, team in enumerate(TEAMS)
         },
         "waits": round(share, 3),
         "waits_told": counted,
         "requests": len(records),
-        "unanswered": sum(not record.how for record in records),
+        "unanswered": sum(not record.outcome for record in records),
         "over": site.fleet.audit.violations() if site.fleet is not None else 0,
     }
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -58,7 +58,7 @@
 
     def back() -> None:
         for server in lost:
-            server.come_back_cold()
+            server.restart_cold()
         site.announce(ListUpdateKind.FULL, site.engines, (100.0, 1_500.0))
 
     site.at(DARK_MS, dark)
@@ -105,13 +105,13 @@
         "dark": part(DARK_MS, BACK_MS),
         "after": part(BACK_MS, seconds * 1e3),
         "worst_5s": min(part(*span) for span in spans),
-        "failed": sum(record.how == "failed" for record in records),
-        "refused_dark": round(statistics.mean(record.how == "refused" for record in dark), 3),
+        "failed": sum(record.outcome == "failed" for record in records),
+        "refused_dark": round(statistics.mean(record.outcome == "refused" for record in dark), 3),
         "connect_failed": sum(each.get(f"outcome.{Status.CONNECT_FAILED.value}", 0) for each in outcomes),
         "cold_peak": round(cold_peak(site), 2),
         "loads": len(loads),
         "loads_run_twice": sum(count > 1 for count in loads.values()),
-        "unanswered": sum(not record.how for record in records),
+        "unanswered": sum(not record.outcome for record in records),
         "requests": len(records),
     }
 
@@ -127,13 +127,13 @@
         for n in range(coordinators)
     ]
     servers = [
-        ModelledEngine(f"e-{n}", Machine(CORES, cold_part=COLD_FROM, warm_ms=COLD_MS), zone=n % HALLS)
+        ModelledEngine(f"e-{n}", Machine(CORES, cold_capacity=COLD_FROM, warm_up_ms=COLD_MS), zone=n % HALLS)
         for n in range(engines)
     ]
     site = Site(
         site_settings(coordinators), servers, coordinators, seed, eject_silent_zones=eject_silent_zones
     )
-    records = play(partial(site.play, traffic, 1_000.0, script), seed)
+    records = play(partial(site.run, traffic, 1_000.0, script), seed)
     return site, [record for mine in records for record in mine]
 
 
--- a/fordstair/lab/budget_fleet.py
+++ b/fordstair/lab/budget_fleet.py
@@ -140,7 +140,7 @@
         drifting = self.members.pop(name)
         drifting.member.leave(drifting.own_ms(self.time))
         self.audit.ended(drifting.audit_key, self.time)
-        self.network.carry_out(name)
+        self.network.flush(name)
         self.network.kill(name)
 
     def run(self, ms: float) -> None:
@@ -149,9 +149,9 @@
         while self.network.now < until:
             self.network.run(min(until, self.network.now + STEP_MS))
             for name, drifting in self.members.items():
-                if not self.network.paused(name):
+                if not self.network.is_paused(name):
                     drifting.member.observe_demand(drifting.own_ms(self.time))
-                    self.network.carry_out(name)
+                    self.network.flush(name)
 
     @property
     def leader(self) -> str | None:
--- a/fordstair/lab/engine.py
+++ b/fordstair/lab/engine.py
@@ -156,7 +156,7 @@
             now = self.clock()
             for run in [run for run in self.runs.values() if now - run.asked_ms > ABANDONED_AFTER_MS]:
                 self._end(run, "unasked")
-            wait_ms = IDLE_WAKE_MS if self.silent else min(self.machine.next_end() - now, IDLE_WAKE_MS)
+            wait_ms = IDLE_WAKE_MS if self.silent else min(self.machine.next_end_ms() - now, IDLE_WAKE_MS)
             self._woken = trio.Event()
             with trio.move_on_after(max(0.0, wait_ms) / 1000.0 + 0.0005):
                 await self._woken.wait()
@@ -302,7 +302,7 @@
         if run.asked_ms - max(run.started_ms, run.noted_ms) >= PROGRESS_INTERVAL_MS:
             run.noted_ms = run.asked_ms
             job = self.machine.jobs.get(run.txn)
-            headers += [("X-How", "p"), ("X-Val", f"{job.share_done if job else 1.0:.3f}")]
+            headers += [("X-How", "p"), ("X-Val", f"{job.progress if job else 1.0:.3f}")]
         return 202, headers, b""
 
     def _gauges(self) -> tuple[str, str]:
--- a/fordstair/lab/membership_fleet.py
+++ b/fordstair/lab/membership_fleet.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from random import Random
 
-from fordstair.lab.virtual_network import START, Network
+from fordstair.lab.virtual_network import START_MS, Network
 from fordstair.membership.configuration import MembershipConfig
 from fordstair.membership.member_table import MemberChanged
 from fordstair.membership.messages import MemberState, Update
@@ -103,7 +103,7 @@
     for number, (address, name) in enumerate(names.items()):
         own_config = replace(config, name=name, address=address, seeds=tuple(addresses[:SEEDS]))
         member = kind(own_config, 1, seed * 10_007 + number)
-        member.preload(START, [update for update in known if update.address != address])
+        member.preload(START_MS, [update for update in known if update.address != address])
         network.add(address, member)
     return addresses
 
--- a/fordstair/lab/replay.py
+++ b/fordstair/lab/replay.py
@@ -13,7 +13,7 @@
 from fordstair.lab.billing_close import Arrival, read
 from fordstair.lab.machine import Machine
 from fordstair.lab.played_request import PlayedRequest
-from fordstair.lab.virtual import World
+from fordstair.lab.virtual import GatewaySimulation
 from fordstair.scheduling.scheduler import Scheduler
 
 
@@ -50,7 +50,7 @@
 ) -> list[PlayedRequest]:
     """Play the traffic once."""
     machines = {each.id: Machine(each.cores) for each in file.engines}
-    return World(settings, machines, seed, scheduler).run(arrivals)
+    return GatewaySimulation(settings, machines, seed, scheduler).run(arrivals)
 
 
 def priority_weight(records: list[PlayedRequest], settings: Settings) -> float:
@@ -61,7 +61,7 @@
 def earned(record: PlayedRequest, settings: Settings) -> float:
     """Return the worth of one request, as it was served."""
     spec = settings.classes[record.class_index]
-    if record.how != "served":
+    if record.outcome != "served":
         return 0.0
     return spec.priority_weight * (1.0 if in_aim(record, settings) else spec.late_weight)
 
@@ -72,7 +72,7 @@
     aim_ms = (
         spec.latency_objective_ms + spec.latency_objective_work_factor * record.arrival.work_ms / spec.threads
     )
-    return record.how == "served" and record.answered_ms <= aim_ms
+    return record.outcome == "served" and record.answered_ms <= aim_ms
 
 
 def tables(records: list[PlayedRequest], settings: Settings) -> dict[str, dict[str, Any]]:
@@ -83,7 +83,7 @@
     }
     shown = dict[str, dict[str, Any]]()
     for name, group in {**groups, "all": records}.items():
-        how = Counter(each.how for each in group)
+        how = Counter(each.outcome for each in group)
         waits = sorted(each.released_ms for each in group if not math.isnan(each.released_ms))
         shown[name] = {
             "asked": len(group),
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -140,7 +140,7 @@
             fleet.network.cut = lambda a, b, name=name: a == name  # type: ignore[misc]
         elif action < 0.8:
             fleet.network.cut = lambda a, b: False
-        elif action < 0.85 and name in fleet.members and not fleet.network.paused(name):
+        elif action < 0.85 and name in fleet.members and not fleet.network.is_paused(name):
             fleet.leave(name)
         wanted[rng.choice(names)] = rng.choice((0, 4, 20, 64)), rng.choice((0, 1_000, 100_000))
         fleet.network.delay_ms = rng.choice(((0.2, 2.0), (50.0, 700.0), (0.2, 2_500.0)))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -68,7 +68,7 @@
 @asynccontextmanager
 async def site(folder: Path, engines: int = 3) -> AsyncIterator[Site]:
     """Run an appliance with its stand-in engines, and stop them at the end."""
-    stand_ins = [StandIn(f"engine-{n}", Machine(8.0, warm_ms=3_000.0)) for n in range(engines)]
+    stand_ins = [StandIn(f"engine-{n}", Machine(8.0, warm_up_ms=3_000.0)) for n in range(engines)]
     async with appliance(folder, stand_ins, "[cold]\nwarm_ms = 3000\n") as running:
         yield Site(running, stand_ins)
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -373,13 +373,13 @@
 def test_a_machine_completes_every_job_within_its_capacity(
     jobs: list[tuple[float, int, int]], slowness: float
 ) -> None:
-    machine = Machine(4.0, slowness=slowness, started_ms=0.0, warm_ms=200.0)
+    machine = Machine(4.0, slowness=slowness, started_ms=0.0, warm_up_ms=200.0)
     for number, (work, threads, priority) in enumerate(jobs):
         machine.start(Job(str(number), work, threads, priority), 0.0)
     ended, now, done = list[Any](), 0.0, 0.0
     while machine.jobs:
         before = sum(job.done_ms for job in machine.jobs.values())
-        step_end = min(machine.next_end(), now + 30.0)
+        step_end = min(machine.next_end_ms(), now + 30.0)
         assert step_end >= now
         total_rate = sum(job.rate for job in machine.jobs.values())
         assert total_rate <= 4.0 + 1e-6
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -151,7 +151,7 @@
             slow_start_window_ms=1_000.0,
         )
         self.entries = {f"10.0.0.{n}:80": entry(n) for n in range(1, engines + 1)}
-        self.machines = {name: Machine(8.0, cold_part=0.32, warm_ms=15_000.0) for name in self.entries}
+        self.machines = {name: Machine(8.0, cold_capacity=0.32, warm_up_ms=15_000.0) for name in self.entries}
         self.rigs = [self.started(seed * 1_000 + number) for number in range(gateways)]
         self.read = [0] * gateways  # how much of each log was carried out
         self.jobs: dict[str, tuple[Rig, int, int, float]] = {}  # rig, request, attempt, since
@@ -229,7 +229,7 @@
                     case CancelAttempt(request, _):
                         job = f"{number}.{id(rig)}.{request}"
                         for machine in self.machines.values():
-                            machine.drop(job, self.now)
+                            machine.remove(job, self.now)
                         if (held := self.jobs.pop(job, None)) is not None:
                             rig.end(request, Status.CANCELLED, self.now - held[3], held[2])
             self.read[number] = len(rig.log)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from fordstair.lab.membership_fleet import member_states, swim_fleet
-from fordstair.lab.virtual_network import START, Network
+from fordstair.lab.virtual_network import START_MS, Network
 from fordstair.membership.configuration import MembershipConfig
 from fordstair.membership.invariants import check_invariants
 from fordstair.membership.messages import (
@@ -220,8 +220,8 @@
     network.run(10_000.0)
     node = network.nodes[addresses[1]]
     assert isinstance(node, SwimMember)
-    node.leave(START + network.now)
-    network.carry_out(addresses[1])
+    node.leave(START_MS + network.now)
+    network.flush(addresses[1])
     network.kill(addresses[1])
     network.run(60_000.0)
     assert not deaths(network)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -7,7 +7,7 @@
 from benchmarks.budgets import told
 from fordstair.lab.billing_close import Shape, generate
 from fordstair.lab.machine import Machine
-from fordstair.lab.virtual import World
+from fordstair.lab.virtual import GatewaySimulation
 
 CORES, ENGINES, REPLACED_EVERY_S = 8.0, 4, 10.0
 
@@ -39,14 +39,14 @@
 
 def day(seconds: float, seed: int) -> dict[str, int]:
     """Play a billing close with its engines replaced one at a time; return the module's tables at the end."""
-    world = World(told(), {f"e-{n}": Machine(CORES) for n in range(ENGINES)}, seed)
+    world = GatewaySimulation(told(), {f"e-{n}": Machine(CORES) for n in range(ENGINES)}, seed)
     steps = int(seconds // REPLACED_EVERY_S)
     for step in range(1, steps + 1):
         # each step one engine leaves and a new one takes its place: over the day there are many names
         names = [f"e-{n}" for n in range(step, ENGINES)] + [f"new-{m}" for m in range(step)]
-        world.replace(step * REPLACED_EVERY_S * 1000.0, names[-ENGINES:], CORES)
+        world.replace_engines(step * REPLACED_EVERY_S * 1000.0, names[-ENGINES:], CORES)
     records = world.run(generate(Shape(seconds=seconds), seed))
-    assert all(record.how for record in records), "every request has its answer"
+    assert all(record.outcome for record in records), "every request has its answer"
     return dict(tables(world.gateway))
 
 
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -291,12 +291,12 @@
     with pytest.raises(ValueError, match="line 1"):
         list(read(path))
     world, records = play(arrivals, 4, True)
-    assert all(record.how in ("served", "refused", "failed") for record in records)
+    assert all(record.outcome in ("served", "refused", "failed") for record in records)
     assert all(record.attempts <= 1 for record in records if record.arrival.class_name == "meter-load")
     assert world.scheduler is not None
     assert not world.scheduler.released
     assert not len(world.scheduler.queues)
-    reasons = Counter(record.reason for record in records if record.how == "refused")
+    reasons = Counter(record.reason for record in records if record.outcome == "refused")
     assert reasons[QueueRejection.TOO_COSTLY.value]
     assert len(records) == len(arrivals)
     lookup, load = told().classes[0], told().classes[2]
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -11,14 +11,14 @@
 from fordstair.lab.machine import Machine
 from fordstair.lab.modelled_engine import ModelledEngine
 from fordstair.lab.played_request import PlayedRequest
-from fordstair.lab.site import Queueing, Site
+from fordstair.lab.site import QueueSettings, Site
 
 
 def test_a_play_is_repeated_exactly_by_its_seed() -> None:
     def once(seed: int) -> list[tuple[object, ...]]:
         _, records = run(2, 3.0, seed, fleet=True)
         return [
-            (record.how, record.reason, record.answered_ms, record.likely_ms == record.likely_ms)
+            (record.outcome, record.reason, record.answered_ms, record.likely_ms == record.likely_ms)
             for record in records
         ]
 
@@ -74,12 +74,12 @@
         [ModelledEngine(f"e-{n}", Machine(8.0)) for n in range(20)],
         5,
         1,
-        Queueing(dict(enumerate((0.73, 0.16, 0.11)))),
+        QueueSettings(dict(enumerate((0.73, 0.16, 0.11)))),
         plan(5),
     )
-    records: list[list[PlayedRequest]] = play(partial(site.play, [busy, quiet, [], [], []], 15_000.0), 1)
-    assert sum(record.how == "refused" for record in records[0]) > 50  # far more than the team's whole
-    waits = sorted(record.released_ms for record in records[1] if record.how == "served")
+    records: list[list[PlayedRequest]] = play(partial(site.run, [busy, quiet, [], [], []], 15_000.0), 1)
+    assert sum(record.outcome == "refused" for record in records[0]) > 50  # far more than the team's whole
+    waits = sorted(record.released_ms for record in records[1] if record.outcome == "served")
     assert len(waits) >= 0.9 * len(records[1]) >= 9
     assert waits[len(waits) // 2] < 100.0
     assert site.fleet is not None
