--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -22,7 +22,7 @@
 from benchmarks.command import run as run_command
 from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, BudgetPlan, FleetLimit
 from fordstair.lab.budget_fleet import BudgetFleet
-from fordstair.lab.budget_trial import SAMPLE_S, THREADS, running_fleet
+from fordstair.lab.budget_trial import FLEET_THREADS, SAMPLE_INTERVAL_S, running_fleet
 
 VOTERS = 5
 LEASE_MS = 5_000.0
@@ -177,17 +177,17 @@
     """Five programs, one asked for five times the mean of the others, together for twice the limit."""
     with tempfile.TemporaryDirectory(prefix="bud") as folder:
         async with running_fleet(Path(folder), seed=seed) as fleet:
-            first = await fleet.until_all_leased(20.0)
+            first = await fleet.wait_until_all_leased(20.0)
             rates = dict.fromkeys(fleet.names, 8.0) | {"m0": 40.0}
-            tallies, held = await fleet.traffic(rates, seconds, 1_600.0)
+            tallies, held = await fleet.send_traffic(rates, seconds, 1_600.0)
             audit = fleet.audit()
     # as it began and ended, less was asked for
-    busy = held[round(2.0 / SAMPLE_S) : round((seconds - 1.0) / SAMPLE_S)]
+    busy = held[round(2.0 / SAMPLE_INTERVAL_S) : round((seconds - 1.0) / SAMPLE_INTERVAL_S)]
     return {
         "seconds": seconds,
         "first_share_s": round(first, 2),
-        "threads_held_most": round(max(held) / THREADS, 3),
-        "threads_held_mean": round(statistics.mean(busy) / THREADS, 3),
+        "threads_held_most": round(max(held) / FLEET_THREADS, 3),
+        "threads_held_mean": round(statistics.mean(busy) / FLEET_THREADS, 3),
         "served": {name: tally.counts["served"] for name, tally in sorted(tallies.items())},
         "asked": {name: tally.counts["asked"] for name, tally in sorted(tallies.items())},
         "lost": sum(tally.counts["lost"] for tally in tallies.values()),
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -121,7 +121,7 @@
     """A tenth run for 0.2 s and stand still for 1.5 s, over and over, with 5 % lost: who accuses whom?"""
     network = Network(seed, loss=0.05)
     config = CONFIG if kind is SwimMember else replace(CONFIG, suspicion_max_factor=1.0)
-    addresses = swim_fleet(network, members, config, seed, kind=kind)
+    addresses = swim_fleet(network, members, config, seed, member_type=kind)
     if kind is PlainSwimMember:
         for node in network.nodes.values():
             assert isinstance(node, SwimMember)
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -148,7 +148,7 @@
                 await trial.send_load("m0", trial.new_load_id())
             await trio.sleep(1.0)
             written_bytes = trial.written_bytes() - written_before
-            trial.relay.part({"m2"}, {"m0", "m1"})
+            trial.relay.partition({"m2"}, {"m0", "m1"})
             for _ in range(loads):
                 await trial.send_load("m0", trial.new_load_id())
             await trio.sleep(SETTLE_TIMEOUT_S + 0.5)  # until nobody sends it outcomes any more
--- a/fordstair/lab/audit.py
+++ b/fordstair/lab/audit.py
@@ -1,4 +1,7 @@
-"""Whether allotments in force ever passed a limit: spans of time by member, and their greatest sum; pure."""
+"""Audits whether the sum of the allotments in force ever exceeded a limit.
+
+It works on recorded time spans by member; only ``read_audit`` performs I/O.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 @dataclass(slots=True)
 class Span:
-    """What was leased to a member beyond its floors, in a span (ms) of the auditor's clock."""
+    """Units leased to a member beyond its floors, during a time span (ms) of the audit clock."""
 
     from_ms: float
     until_ms: float
@@ -21,7 +24,7 @@
 
 
 class AuditLine(msgspec.Struct, frozen=True, rename={"incarnation": "life", "leased": "lent"}):
-    """A line that a running program wrote with ``fleet.budgets.audit``."""
+    """A line of the file that a running program writes if ``fleet.budgets.audit`` is set."""
 
     member: str
     incarnation: int
@@ -32,42 +35,46 @@
 
 @dataclass(slots=True)
 class Audit:
-    """All spans. A member's next span ends the one before; the floors of all voters count, always."""
+    """The lease spans of all members.
+
+    A member's new span ends its previous one. The floors of all voters count at all times.
+    """
 
     plan: BudgetPlan
     spans: dict[str, list[Span]] = field(default_factory=dict)
 
-    def leased(self, member: str, from_ms: float, until_ms: float, units: Sequence[int]) -> None:
-        """Note leases that came into force."""
-        self.ended(member, from_ms)
+    def record_lease(self, member: str, from_ms: float, until_ms: float, units: Sequence[int]) -> None:
+        """Record leases that came into force."""
+        self.end_lease(member, from_ms)
         self.spans.setdefault(member, []).append(Span(from_ms, until_ms, tuple(units)))
 
-    def ended(self, member: str, at_ms: float) -> None:
-        """Note that a member uses nothing any more: it has left, or was killed."""
+    def end_lease(self, member: str, at_ms: float) -> None:
+        """Record that a member's leases ended, because it got new ones, has left or was killed."""
         if spans := self.spans.get(member):
             spans[-1].until_ms = min(spans[-1].until_ms, at_ms)
 
     def sums(self) -> Iterator[tuple[float, tuple[int, ...]]]:
-        """Yield each moment at which the sum of allotments changes, and the sum from then on."""
+        """Yield each time (ms) at which the sums of allotments change, and the new sum for each limit."""
         events: list[tuple[float, int, Span]] = []
         for span in (span for spans in self.spans.values() for span in spans):
             if span.until_ms > span.from_ms:
                 events.append((span.from_ms, 1, span))
                 events.append((span.until_ms, -1, span))
         sums = self._floors()
-        for at_ms, sign, span in sorted(events, key=lambda event: event[:2]):  # ends come first at one moment
+        # At the same time, ends sort before starts.
+        for at_ms, sign, span in sorted(events, key=lambda event: event[:2]):
             sums = [held + sign * units for held, units in zip(sums, span.units, strict=True)]
             yield at_ms, tuple(sums)
 
     def peaks(self) -> tuple[float, ...]:
-        """Return the greatest sum there ever was of each limit, over the limit: at most 1 if all is well."""
-        greatest = self._floors()
+        """Return the peak sum for each limit, divided by the limit; above 1 the limit was exceeded."""
+        peaks = self._floors()
         for _, sums in self.sums():
-            greatest = [max(old, new) for old, new in zip(greatest, sums, strict=True)]
-        return tuple(peak / limit.units for peak, limit in zip(greatest, self.plan.limits, strict=True))
+            peaks = [max(old, new) for old, new in zip(peaks, sums, strict=True)]
+        return tuple(peak / limit.units for peak, limit in zip(peaks, self.plan.limits, strict=True))
 
     def violations(self) -> int:
-        """Return at how many moments a sum passed its limit."""
+        """Return the number of changes after which a sum exceeded its limit."""
         return sum(
             any(held > limit.units for held, limit in zip(sums, self.plan.limits, strict=True))
             for _, sums in self.sums()
@@ -78,7 +85,7 @@
 
 
 def read_audit(plan: BudgetPlan, paths: Iterable[Path]) -> Audit:
-    """Read what running programs wrote; all are on one machine's clock."""
+    """Read the audit files of running programs; the times of all are by one machine's clock."""
     decoder: msgspec.json.Decoder[AuditLine] = msgspec.json.Decoder(AuditLine)
     lines: list[AuditLine] = []
     for path in paths:
@@ -87,11 +94,11 @@
                 lines.append(decoder.decode(text))
             except msgspec.ValidationError:
                 raise
-            except msgspec.DecodeError:  # a line that a kill cut short
+            except msgspec.DecodeError:  # a line truncated when its process was killed
                 continue
     audit = Audit(plan)
     for line in sorted(lines, key=lambda line: line.from_ms):
-        # Each process by itself: one that was stopped may be followed by another under its name.
-        process = f"{line.member}|{line.incarnation}"
-        audit.leased(process, line.from_ms, line.until_ms, line.leased)
+        # Each process counts separately, since a stopped process may have a successor of the same name.
+        process_key = f"{line.member}|{line.incarnation}"
+        audit.record_lease(process_key, line.from_ms, line.until_ms, line.leased)
     return audit
--- a/fordstair/lab/budget_fleet.py
+++ b/fordstair/lab/budget_fleet.py
@@ -1,7 +1,7 @@
-"""The fleet's budgets in virtual time: the real members, a network with faults, clocks that drift, an audit.
+"""The fleet's budgets in virtual time: real members with drifting clocks, a faulty network and an audit.
 
-Deterministic by seed. A member's clock runs at a rate of its own, from a start of its own; the audit's is the
-right one.
+It is deterministic by seed. Each member's clock has its own rate and offset, while the audit uses the
+network's time, which is exact.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from fordstair.lab.virtual_network import Network
 from fordstair.membership.member_table import MemberChanged
 
-STEP_MS = 50.0  # between two looks at demand
-ROUNDING_MS = 1e-3  # so that a conversion between clocks never calls a member just too early
+DEMAND_INTERVAL_MS = 50.0
+ROUNDING_MARGIN_MS = 1e-3  # without it, rounding between clocks could call a member too early
 MAX_CLOCK_OFFSET_MS = 1e6
 
 
 class DriftingMember:
-    """One member with a clock of its own, as the network drives it; its times are the network's (ms)."""
+    """A member with its own clock; the network drives it in the network's time (ms)."""
 
     def __init__(self, member: BudgetMember, rate: float, offset_ms: float, audit: Audit) -> None:
         self.member = member
@@ -34,54 +34,59 @@
         self._audit = audit
         member.lease_client.on_allotment = self._allotment_changed
 
-    def own_ms(self, now: float) -> float:
-        """Return the time by its clock."""
+    def to_member_ms(self, now: float) -> float:
+        """Convert the network's time to the member's clock."""
         return self._offset_ms + now * self._rate
 
-    def true_ms(self, own_ms: float) -> float:
-        """Return the right time for one by its clock."""
-        return (own_ms - self._offset_ms) / self._rate
+    def to_network_ms(self, member_ms: float) -> float:
+        """Convert a time by the member's clock to the network's time."""
+        return (member_ms - self._offset_ms) / self._rate
 
     @property
     def counts(self) -> Counter[str]:
-        """What it counted."""
+        """Counters of the member."""
         return self.member.counts
 
     @property
     def next_due(self) -> float | None:
-        """When it wants to be called next."""
+        """When ``tick`` must be called next."""
         due_ms = self.member.next_due
-        return None if due_ms is None else self.true_ms(due_ms) + ROUNDING_MS
+        return None if due_ms is None else self.to_network_ms(due_ms) + ROUNDING_MARGIN_MS
 
     def start(self, now: float) -> None:
-        """Begin."""
-        self.member.start(self.own_ms(now))
+        """Start the member."""
+        self.member.start(self.to_member_ms(now))
 
     def receive(self, now: float, datagram: bytes, source: str) -> None:
-        """Take a datagram in."""
-        self.member.receive(self.own_ms(now), datagram, source)
+        """Process a received datagram."""
+        self.member.receive(self.to_member_ms(now), datagram, source)
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
-        self.member.tick(self.own_ms(now))
+        """Run the timers that are due."""
+        self.member.tick(self.to_member_ms(now))
 
     def outgoing(self) -> list[tuple[str, bytes]]:
-        """Take what is to be sent."""
+        """Remove and return the datagrams to send, each with its destination address."""
         return self.member.outgoing()
 
     def changes(self) -> list[MemberChanged]:
-        """It reports no changes of members."""
+        """Return an empty list, since it does not track other members' states."""
         return []
 
     def _allotment_changed(self, allotment: Allotment) -> None:
-        from_ms = self.true_ms(allotment.from_ms)
-        self._audit.leased(self.audit_key, from_ms, self.true_ms(allotment.until_ms), allotment.leased)
+        from_ms = self.to_network_ms(allotment.from_ms)
+        self._audit.record_lease(
+            self.audit_key, from_ms, self.to_network_ms(allotment.until_ms), allotment.leased
+        )
 
 
 class BudgetFleet:
-    """Members of one plan, named m0, m1 ..., the voters first.
+    """Members of one plan, named m0, m1 and so on, with the voters first.
 
-    ``wanted``, ``needed`` and ``in_use`` give a member's demand by its name, in units by limit.
+    Attributes:
+        wanted: returns the units of each limit that a member wants, by its name.
+        needed: returns the units of each limit that a member needs, by its name.
+        in_use: returns the units of each limit that a member uses, by its name.
     """
 
     def __init__(
@@ -102,16 +107,16 @@
 
     @property
     def now(self) -> float:
-        """The right time, in milliseconds from the day's start."""
+        """The network's time since the start (ms)."""
         return self.network.now
 
     @property
     def time(self) -> float:
-        """The right time on the scale that members are driven on (ms)."""
+        """The network's time on the scale that members are driven on (ms)."""
         return self.network.time
 
     def start(self, name: str) -> DriftingMember:
-        """Start a member, or one of this name anew."""
+        """Start a member; it replaces a running one of the same name, which is killed."""
         if name in self.members:
             self.kill(name)
         self._incarnation += 1
@@ -130,51 +135,51 @@
         return drifting
 
     def kill(self, name: str) -> None:
-        """End a member without notice."""
+        """Remove a member without notice, as a crash does."""
         drifting = self.members.pop(name)
         self.network.kill(name)
-        self.audit.ended(drifting.audit_key, self.time)
+        self.audit.end_lease(drifting.audit_key, self.time)
 
     def leave(self, name: str) -> None:
-        """Let a member leave in order."""
+        """Let a member leave gracefully."""
         drifting = self.members.pop(name)
-        drifting.member.leave(drifting.own_ms(self.time))
-        self.audit.ended(drifting.audit_key, self.time)
+        drifting.member.leave(drifting.to_member_ms(self.time))
+        self.audit.end_lease(drifting.audit_key, self.time)
         self.network.flush(name)
         self.network.kill(name)
 
     def run(self, ms: float) -> None:
-        """Let time pass; members look at their demand at each STEP_MS."""
+        """Simulate a time span; members observe their demand every DEMAND_INTERVAL_MS."""
         until = self.network.now + ms
         while self.network.now < until:
-            self.network.run(min(until, self.network.now + STEP_MS))
+            self.network.run(min(until, self.network.now + DEMAND_INTERVAL_MS))
             for name, drifting in self.members.items():
                 if not self.network.is_paused(name):
-                    drifting.member.observe_demand(drifting.own_ms(self.time))
+                    drifting.member.observe_demand(drifting.to_member_ms(self.time))
                     self.network.flush(name)
 
     @property
     def leader(self) -> str | None:
-        """Who leads, by its own knowledge; the invariant of one leader is asserted here."""
+        """The member that considers itself the leader, or None; asserts that there is at most one."""
         leaders = [
             name
             for name, drifting in self.members.items()
-            if drifting.member.leads(drifting.own_ms(self.time))
+            if drifting.member.leads(drifting.to_member_ms(self.time))
         ]
         assert len(leaders) <= 1, leaders
         return leaders[0] if leaders else None
 
     def allotments(self) -> dict[str, Amounts]:
-        """Return what each running member may use now, floors included."""
+        """Return the allotment of each running member now, including floors."""
         return {name: self.allotment_of(name) for name in self.members}
 
     def allotment_of(self, name: str) -> Amounts:
-        """Return what one running member may use now, floors included."""
+        """Return the allotment of a running member now, including its floors."""
         drifting = self.members[name]
-        return drifting.member.allotment(drifting.own_ms(self.time))
+        return drifting.member.allotment(drifting.to_member_ms(self.time))
 
     def used_share(self, index: int = 0) -> float:
-        """Return the share of a limit that members have and could use."""
+        """Return the share of a limit that members hold and want to use."""
         used = sum(
             min(allotment[index], self.wanted(name)[index]) for name, allotment in self.allotments().items()
         )
--- a/fordstair/lab/budget_trial.py
+++ b/fordstair/lab/budget_trial.py
@@ -1,7 +1,7 @@
 """Several running coordinators under one fleet's budgets, with faults between them, and their audit.
 
 Shared by the tests and ``benchmarks.fleet_budgets``. Each member is a process of the program behind a front
-of the relay; one stand-in engine serves all, and tells how many threads a class holds at it.
+of the relay. One fake engine serves them all and shows how many threads a class holds there.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from fordstair.lab.traffic import Kind, Tally, Traffic
 from fordstair.lab.trial_members import TrialMembers
 
-SETTLEMENT_THREADS = 4  # as the operator's file says
-CONSOLE_TIMEOUT_S = 0.3  # a stopped member answers nothing
-THREADS = 64  # the fleet's limit for the team
-RATE = 400.0  # requests a second, likewise
+SETTLEMENT_THREADS = 4  # as in the operator's file
+CONSOLE_TIMEOUT_S = 0.3  # a paused member does not respond
+FLEET_THREADS = 64  # the fleet's limit for the team
+FLEET_REQUESTS_PER_S = 400.0  # the fleet's limit for the team
 FLOOR_SHARE = 0.35
-KARRI = "karri-energy"
-SAMPLE_S = 0.02  # between two looks at the engine's threads
+TEAM = "karri-energy"
+SAMPLE_INTERVAL_S = 0.02
 
 
 class RunningFleet(TrialMembers):
-    """Running members by name; the first ``voters`` of them may lead and have floors."""
+    """Running members by name; the first ``voters`` of them may become leader and have floors."""
 
     def __init__(
         self,
@@ -43,12 +43,12 @@
         max_clock_drift: float,
     ) -> None:
         super().__init__(folder, nursery, count, seed, StandIn("e-1", Machine(512.0), sessions=8_192))
-        # As the program makes it of the file below.
+        # The plan that the program derives from the operator's file below.
         self.plan = BudgetPlan(
             "trial",
             (
-                FleetLimit("threads", THREADS, KARRI, quantum=SETTLEMENT_THREADS),
-                FleetLimit("rate", int(RATE * UNITS_PER_REQUEST_PER_S), KARRI),
+                FleetLimit("threads", FLEET_THREADS, TEAM, quantum=SETTLEMENT_THREADS),
+                FleetLimit("rate", int(FLEET_REQUESTS_PER_S * UNITS_PER_REQUEST_PER_S), TEAM),
             ),
             tuple(self.names[:voters]),
             lease_ms,
@@ -57,18 +57,18 @@
         )
 
     async def open_fronts(self) -> None:
-        """Choose the addresses of all."""
+        """Open the fronts of all members at the relay."""
         for name in self.names:
-            self.fronts[name] = await self.relay.front(name)
+            self.fronts[name] = await self.relay.open_udp_front(name)
 
     async def start(self, name: str, clock_rate: float = 1.0) -> None:
-        """Start a member, or one of this name anew; its leases' clock may run at another rate."""
-        self.starts[name] += 1
+        """Start or restart a member; the clock of its leases runs at ``clock_rate``."""
+        self.start_counts[name] += 1
         program = ["-m", "fordstair"]
         if clock_rate != 1.0:
             program = ["-m", "fordstair.lab.skewed", str(clock_rate)]
         await self.launch(name, self._operator_file(name), program)
-        self.relay.behind(name, f"127.0.0.1:{self.ports[name]['budgets']}")
+        self.relay.set_address(name, f"127.0.0.1:{self.ports[name]['budgets']}")
 
     def _operator_file(self, name: str) -> str:
         voters = ", ".join(f'{other} = "{self.fronts[other]}"' for other in self.plan.voters)
@@ -79,29 +79,29 @@
             f"term_ms = {self.plan.lease_ms}\ndrift = {self.plan.max_clock_drift}\n"
             f"floor_part = {FLOOR_SHARE}\n"
             f'audit = "{self.path_of(name, "audit")}"\n'
-            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nthreads = {THREADS}\n'
-            f'[[fleet.budgets.whole]]\nteam = "{KARRI}"\nrequests_per_s = {RATE}\n'
+            f'[[fleet.budgets.whole]]\nteam = "{TEAM}"\nthreads = {FLEET_THREADS}\n'
+            f'[[fleet.budgets.whole]]\nteam = "{TEAM}"\nrequests_per_s = {FLEET_REQUESTS_PER_S}\n'
         )
 
     def kill(self, name: str) -> None:
-        """End a member without notice; it counts as no member from now on."""
+        """Kill a member and remove it from the running ones."""
         self.processes.pop(name).kill()
 
     async def stop(self, name: str) -> None:
-        """End a member in order; it counts as no member from now on."""
+        """Stop a member gracefully and remove it from the running ones."""
         await self.processes.pop(name).stop()
 
     def audit(self) -> Audit:
-        """Return the audit of all processes so far."""
+        """Return the audit of all processes up to now."""
         return read_audit(self.plan, sorted(self.folder.glob("*.audit")))
 
-    def lines(self, name: str, event: str) -> list[str]:
-        """Return the lines of that event in a member's present log."""
+    def log_lines(self, name: str, event: str) -> list[str]:
+        """Return the lines of an event in the log of a member's current process."""
         text = self.path_of(name, "log").read_text()
         return [line for line in text.splitlines() if event in line]
 
     async def allotments(self) -> dict[str, int]:
-        """Return the threads that each running member may use now, floor included; 0 of a stopped one."""
+        """Return each running member's allotment of threads, including its floor; 0 without a response."""
         allotments: dict[str, int] = {}
         for name in self.processes:
             allotments[name] = 0
@@ -111,7 +111,7 @@
         return allotments
 
     async def leader(self) -> str:
-        """Return who grants, by its own word; wait until somebody does."""
+        """Wait until a member reports that it is the leader; return its name."""
         with trio.fail_after(20.0):
             while True:
                 for name in self.processes:
@@ -120,47 +120,47 @@
                             return name
                 await trio.sleep(0.05)
 
-    async def until_all_leased(self, within_s: float) -> float:
-        """Wait until running members together hold all of the limit that can be had; return how long it took.
+    async def wait_until_all_leased(self, within_s: float) -> float:
+        """Wait until running members together hold all obtainable threads; return the seconds.
 
-        The floors of voters that do not run stay reserved.
+        The floors of voters that do not run stay reserved. Raises trio.TooSlowError after ``within_s``.
         """
-        began = trio.current_time()
+        started_s = trio.current_time()
         running_voters = sum(name in self.plan.voters for name in self.processes)
         wanted = self.plan.lendable[0] + self.plan.floors[0] * running_voters
         with trio.fail_after(within_s):
             while sum((await self.allotments()).values()) < wanted:
                 await trio.sleep(0.05)
-        return trio.current_time() - began
+        return trio.current_time() - started_s
 
-    async def traffic(
+    async def send_traffic(
         self,
         rates: dict[str, float],
         seconds: float,
         work_ms: float = 400.0,
         lookups: dict[str, float] | None = None,
     ) -> tuple[dict[str, Tally], list[int]]:
-        """Send settlements, and lookups, of one team through members, at rates a second.
+        """Send settlements and lookups of one team through members, at the given rates per second.
 
-        Return what became of them, and how many threads they held at the engine, each SAMPLE_S.
+        Return the tallies by member, and samples of the threads held at the engine every SAMPLE_INTERVAL_S.
         """
         kinds: dict[str, list[Kind]] = {name: [] for name in self.names}
         for name, rate in rates.items():
-            kinds[name].append(Kind("settlement", KARRI, rate, work_ms, 4_000.0))
+            kinds[name].append(Kind("settlement", TEAM, rate, work_ms, 4_000.0))
         for name, rate in (lookups or {}).items():
-            kinds[name].append(Kind("lookup", KARRI, rate, 20.0, 4_000.0))
+            kinds[name].append(Kind("lookup", TEAM, rate, 20.0, 4_000.0))
         tallies: dict[str, Tally] = {}
-        held: list[int] = []
+        held_threads: list[int] = []
 
         async def sample() -> None:
             while True:
-                held.append(self.threads_held())
-                await trio.sleep(SAMPLE_S)
+                held_threads.append(self.threads_held())
+                await trio.sleep(SAMPLE_INTERVAL_S)
 
         async def send(name: str) -> None:
-            seed = self.seed * 1_000 + self.names.index(name)  # no two clients use one id
-            each = Traffic("127.0.0.1", self.ports[name]["listens"], kinds[name], seed, max_connections=64)
-            tallies[name] = await each.run(seconds)
+            seed = self.seed * 1_000 + self.names.index(name)  # a seed per client, so that no IDs collide
+            traffic = Traffic("127.0.0.1", self.ports[name]["listens"], kinds[name], seed, max_connections=64)
+            tallies[name] = await traffic.run(seconds)
 
         async with trio.open_nursery() as sampling:
             sampling.start_soon(sample)
@@ -168,10 +168,10 @@
                 for name in (name for name in self.names if kinds[name]):
                     nursery.start_soon(send, name)
             sampling.cancel_scope.cancel()
-        return tallies, held
+        return tallies, held_threads
 
     def threads_held(self) -> int:
-        """Return how many threads the team's settlements hold at the engine now."""
+        """Return the number of threads that the team's settlements hold at the engine now."""
         self.engine.held()
         return SETTLEMENT_THREADS * sum(run.class_name == "settlement" for run in self.engine.runs.values())
 
@@ -186,7 +186,7 @@
     lease_ms: float = 2_500.0,
     max_clock_drift: float = 0.01,
 ) -> AsyncIterator[RunningFleet]:
-    """Run that many members; their leases come once a leader has learned."""
+    """Run a fleet for the length of a block; members get leases once the leader has finished learning."""
     async with trio.open_nursery() as nursery:
         fleet = RunningFleet(folder, nursery, count, voters, seed, lease_ms, max_clock_drift)
         await nursery.start(fleet.engine.serve)
--- a/fordstair/lab/membership_fleet.py
+++ b/fordstair/lab/membership_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of members in virtual time: SWIM, and the all-to-all heartbeats that it is measured against."""
+"""Fleets of members in virtual time: SWIM, and all-to-all heartbeats as its baseline."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 from fordstair.membership.swim import SwimMember
 
 HEARTBEAT_JITTER_FACTORS = (0.9, 1.1)  # of the period
-CHECKS_A_PERIOD = 10.0  # how often silence is looked at
-HEADER_BYTES = 16  # of a heartbeat beside the sender's name
-SEEDS = 2  # members at whose addresses the others join
+CHECKS_PER_PERIOD = 10.0
+HEADER_BYTES = 16  # of a heartbeat, in addition to the sender's name
+SEED_COUNT = 2  # members whose addresses the others use to join
 
 
 class HeartbeatMember:
-    """A heartbeat to every other member each period; who is silent for ``missed`` periods is dead."""
+    """Sends a heartbeat to every member each period; one not heard for ``max_missed_periods`` is dead."""
 
-    def __init__(self, name: str, others: Iterable[str], period_ms: float, missed: int, seed: int) -> None:
+    def __init__(
+        self, name: str, others: Iterable[str], period_ms: float, max_missed_periods: int, seed: int
+    ) -> None:
         self.counts: Counter[str] = Counter()
         self._name = name
         self._period_ms = period_ms
-        self._missed = missed
+        self._max_missed_periods = max_missed_periods
         self._random = Random(seed)
-        self._heard = dict.fromkeys(others, 0.0)  # when each was heard last
+        self._last_heard = dict.fromkeys(others, 0.0)
         self._dead: set[str] = set()
-        self._next_beat = 0.0
+        self._next_heartbeat = 0.0
         self._next_check = 0.0
         self._out: list[tuple[str, bytes]] = []
         self._changes: list[MemberChanged] = []
@@ -38,43 +40,43 @@
 
     @property
     def next_due(self) -> float | None:
-        """When ``tick`` is wanted next."""
+        """When ``tick`` must be called next."""
         return self._next_check
 
     def start(self, now: float) -> None:
-        """Take every other member for alive."""
-        self._heard = dict.fromkeys(self._heard, now)
-        self._next_beat = now + self._random.random() * self._period_ms
+        """Start with every other member considered alive."""
+        self._last_heard = dict.fromkeys(self._last_heard, now)
+        self._next_heartbeat = now + self._random.random() * self._period_ms
         self._next_check = now
 
     def receive(self, now: float, datagram: bytes, source: str) -> None:
-        """Whoever is heard is alive."""
-        self._heard[source] = now
+        """Consider the sender of a datagram alive."""
+        self._last_heard[source] = now
         if source in self._dead:
             self._dead.discard(source)
             self._change(source, MemberState.DEAD, MemberState.ALIVE, now)
 
     def tick(self, now: float) -> None:
-        """Send the heartbeats that are due, and look at who is silent."""
-        if now >= self._next_beat:
-            self._next_beat = now + self._period_ms * self._random.uniform(*HEARTBEAT_JITTER_FACTORS)
-            self._out += [(other, self._datagram) for other in self._heard]
-            self.counts["sent"] += len(self._heard)
-            self.counts["sent_bytes"] += len(self._heard) * (len(self._datagram) + HEADER_BYTES)
-        for other, heard in self._heard.items():
-            if other not in self._dead and now - heard > self._missed * self._period_ms:
+        """Send heartbeats if they are due, and mark silent members as dead."""
+        if now >= self._next_heartbeat:
+            self._next_heartbeat = now + self._period_ms * self._random.uniform(*HEARTBEAT_JITTER_FACTORS)
+            self._out += [(other, self._datagram) for other in self._last_heard]
+            self.counts["sent"] += len(self._last_heard)
+            self.counts["sent_bytes"] += len(self._last_heard) * (len(self._datagram) + HEADER_BYTES)
+        for other, last_heard in self._last_heard.items():
+            if other not in self._dead and now - last_heard > self._max_missed_periods * self._period_ms:
                 self._dead.add(other)
                 self._change(other, MemberState.ALIVE, MemberState.DEAD, now)
-        self._next_check = now + self._period_ms / CHECKS_A_PERIOD
+        self._next_check = now + self._period_ms / CHECKS_PER_PERIOD
 
     def outgoing(self) -> list[tuple[str, bytes]]:
-        """Take out the datagrams to send, each with its address."""
+        """Remove and return the datagrams to send, each with its destination address."""
         out = self._out
         self._out = []
         return out
 
     def changes(self) -> list[MemberChanged]:
-        """Take out what has changed."""
+        """Remove and return the member state changes since the last call."""
         changes = self._changes
         self._changes = []
         return changes
@@ -94,22 +96,22 @@
     config: MembershipConfig,
     seed: int,
     *,
-    kind: type[SwimMember] = SwimMember,
+    member_type: type[SwimMember] = SwimMember,
 ) -> list[str]:
-    """Start that many SWIM members who know each other already; return their addresses."""
+    """Start ``count`` SWIM members that know each other from the start; return their addresses."""
     addresses = fleet_addresses(count)
     names = {address: address.removesuffix(":1") for address in addresses}
     known = [Update(name, address, 1, MemberState.ALIVE, name) for address, name in names.items()]
     for number, (address, name) in enumerate(names.items()):
-        own_config = replace(config, name=name, address=address, seeds=tuple(addresses[:SEEDS]))
-        member = kind(own_config, 1, seed * 10_007 + number)
+        own_config = replace(config, name=name, address=address, seeds=tuple(addresses[:SEED_COUNT]))
+        member = member_type(own_config, 1, seed * 10_007 + number)
         member.preload(START_MS, [update for update in known if update.address != address])
         network.add(address, member)
     return addresses
 
 
 def member_states(network: Network) -> dict[str, dict[str, MemberState]]:
-    """Return each running SWIM member's state of each other member."""
+    """Return the member states in each running SWIM member's table, by its address and the member's name."""
     return {
         address: {name: member.state for name, member in node.members.items()}
         for address, node in network.nodes.items()
--- a/fordstair/lab/replication_faults.py
+++ b/fordstair/lab/replication_faults.py
@@ -1,4 +1,4 @@
-"""Faults among the members of a replication trial, at random moments of loads that go through them."""
+"""Faults between the members of a replication trial, injected at random times while loads are in flight."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from fordstair.lab.replication_trial import ReplicationTrial
 
 SECOND_VICTIM_PROBABILITY = 0.2
-BAD_NETWORK_PROBABILITY = 0.5
-LOAD_SPREAD_S = 0.01  # over which the loads of one kill are sent
-KILL_WITHIN_S = 0.06
-PARTITION_WITHIN_S = 0.01
-PARTITION_LOAD_SPREAD_S = 0.03
-LOADS_A_PARTITION = 3
+NETWORK_FAULTS_PROBABILITY = 0.5
+MAX_LOAD_DELAY_S = 0.01
+MAX_KILL_DELAY_S = 0.06
+MAX_PARTITION_DELAY_S = 0.01
+MAX_PARTITION_LOAD_DELAY_S = 0.03
+LOADS_PER_PARTITION = 3
 
 
 async def kill_members(trial: ReplicationTrial, kills: int) -> list[str]:
-    """Kill members at that many random moments of loads that go through several; return the loads' ids."""
+    """Kill members at random times while several process the same load; return the IDs of the loads."""
     load_ids = list[str]()
     rng = trial.random
     for _ in range(kills):
@@ -27,12 +27,14 @@
         load_ids.append(load_id)
         victims = rng.sample(trial.names, 2 if rng.random() < SECOND_VICTIM_PROBABILITY else 1)
         trial.relay.heal()
-        if rng.random() < BAD_NETWORK_PROBABILITY:
-            _worsen_network(trial)
+        if rng.random() < NETWORK_FAULTS_PROBABILITY:
+            _set_network_faults(trial)
         async with trio.open_nursery() as nursery:
             for name in rng.sample(trial.names, rng.randint(1, len(trial.names))):
-                nursery.start_soon(_after, rng.random() * LOAD_SPREAD_S, trial.send_load, name, load_id)
-            await trio.sleep(rng.random() * KILL_WITHIN_S)
+                nursery.start_soon(
+                    _call_after, rng.random() * MAX_LOAD_DELAY_S, trial.send_load, name, load_id
+                )
+            await trio.sleep(rng.random() * MAX_KILL_DELAY_S)
             for victim in victims:
                 trial.kill(victim)
         async with trio.open_nursery() as nursery:
@@ -45,19 +47,19 @@
 
 
 async def partition_members(trial: ReplicationTrial, partitions: int) -> list[str]:
-    """Partition the members that many times, with the same loads on both sides; return the loads' ids."""
+    """Partition the members repeatedly, with the same loads sent on both sides; return the loads' IDs."""
     load_ids = list[str]()
     rng = trial.random
     for _ in range(partitions):
         side = set(rng.sample(trial.names, rng.randint(1, len(trial.names) - 1)))
-        partition_loads = [trial.new_load_id() for _ in range(LOADS_A_PARTITION)]
+        partition_loads = [trial.new_load_id() for _ in range(LOADS_PER_PARTITION)]
         load_ids += partition_loads
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_after, rng.random() * PARTITION_WITHIN_S, _partition, trial, side)
+            nursery.start_soon(_call_after, rng.random() * MAX_PARTITION_DELAY_S, _partition, trial, side)
             for load_id in partition_loads:
                 for name in trial.names:
-                    delay_s = rng.random() * PARTITION_LOAD_SPREAD_S
-                    nursery.start_soon(_after, delay_s, trial.send_load, name, load_id)
+                    delay_s = rng.random() * MAX_PARTITION_LOAD_DELAY_S
+                    nursery.start_soon(_call_after, delay_s, trial.send_load, name, load_id)
         trial.relay.heal()
         async with trio.open_nursery() as nursery:
             for load_id in partition_loads:
@@ -65,8 +67,8 @@
     return load_ids
 
 
-def _worsen_network(trial: ReplicationTrial) -> None:
-    """Delay, lose, double and reorder datagrams, and reset connections."""
+def _set_network_faults(trial: ReplicationTrial) -> None:
+    """Delay, drop, duplicate and reorder datagrams, and reset connections."""
     faults = Faults(
         drop=0.1,
         delay_ms=20.0 * trial.random.random(),
@@ -75,13 +77,13 @@
         reorder=0.1,
         reset=0.05,
     )
-    trial.relay.put("*", "*", faults)
+    trial.relay.set_faults("*", "*", faults)
 
 
 async def _partition(trial: ReplicationTrial, side: set[str]) -> None:
-    trial.relay.part(side, set(trial.names) - side)
+    trial.relay.partition(side, set(trial.names) - side)
 
 
-async def _after(delay_s: float, function: Callable[..., Awaitable[object]], *args: object) -> None:
+async def _call_after(delay_s: float, function: Callable[..., Awaitable[object]], *args: object) -> None:
     await trio.sleep(delay_s)
     await function(*args)
--- a/fordstair/lab/replication_trial.py
+++ b/fordstair/lab/replication_trial.py
@@ -1,8 +1,9 @@
 """Several running coordinators that replicate claims, and the history of loads sent through them.
 
-What the tests and ``benchmarks.replication`` share. Each member is a process of the program on a loopback
-host of its own, behind fronts of the relay; the engine is a stand-in here that counts what it starts. Faults
-among the members are in ``replication_faults``.
+Shared by the tests and ``benchmarks.replication``. Each member is a process of the program on its own
+loopback host, behind fronts of the relay. The engine is a fake in this process, which counts the starts of
+each load.
+``replication_faults`` injects faults between the members.
 """
 
 from __future__ import annotations
@@ -34,15 +35,24 @@
 ENGINE_THREADS = 200.0
 ENGINE_SESSIONS = 4_096
 RESPONSE_TIMEOUT_S = 8.0
-SETTLE_S = 3.0  # in which what was sent, or failed, comes to its end
+SETTLE_DELAY_S = 3.0  # time for loads in flight, including failed ones, to end
 POLL_INTERVAL_S = 0.05
 PRELOADED_OUTCOME = b"x" * 200
-_CAUGHT_UP = re.compile(r"ledger.caught_up .*?entries=(\d+)")
-_LOAD_ID = re.compile(rb"'(load-[0-9a-z-]+)'")
+_CAUGHT_UP_PATTERN = re.compile(r"ledger.caught_up .*?entries=(\d+)")
+_LOAD_ID_PATTERN = re.compile(rb"'(load-[0-9a-z-]+)'")
 
 
 class ReplicationTrial(TrialMembers):
-    """The members by name, the operations so far, and how often each load was begun at the engine."""
+    """A fleet of replicating members and the history of the loads sent through them.
+
+    Attributes:
+        more_settings: further lines for the table of replication in the operator's file.
+        hosts: the loopback host of each member.
+        replication_addresses: addresses of the relay's TCP fronts, by member.
+        listen_addresses: own addresses of the members' replication, behind the fronts.
+        operations: the loads sent so far, with their results.
+        run_counts: number of starts at the engine, by load ID.
+    """
 
     def __init__(
         self, folder: Path, nursery: trio.Nursery, member_count: int, seed: int, more_settings: str
@@ -50,41 +60,41 @@
         engine = StandIn("e-1", Machine(ENGINE_THREADS), sessions=ENGINE_SESSIONS)
         super().__init__(folder, nursery, member_count, seed, engine)
         self.random = random.Random(seed)
-        self.more_settings = more_settings  # lines for the table of replication in the operator's file
+        self.more_settings = more_settings
         self.engine.on_start = self._count_run
-        # a host of its own for each, and for each trial that runs beside this one
+        # Hosts differ by member, and by seed for trials that run concurrently.
         self.hosts = {
             name: f"127.{10 + seed % 200}.{1 + seed // 200 % 200}.{number + 1}"
             for number, name in enumerate(self.names)
         }
-        self.replication_addresses: dict[str, str] = {}  # of the relay's TCP fronts
-        self.listen_addresses: dict[str, str] = {}  # of replication itself, behind its front
+        self.replication_addresses: dict[str, str] = {}
+        self.listen_addresses: dict[str, str] = {}
         self.operations: list[Operation] = []
         self.run_counts: Counter[str] = Counter()
-        self._last_load = 0
+        self._last_load_number = 0
 
     def _count_run(self, class_name: str, statement: bytes) -> None:
-        if (found := _LOAD_ID.search(statement)) is not None:
+        if (found := _LOAD_ID_PATTERN.search(statement)) is not None:
             self.run_counts[found[1].decode()] += 1
 
     # Processes
 
     async def open_fronts(self) -> None:
-        """Choose all addresses."""
+        """Choose the members' addresses and open their fronts at the relay."""
         for name, host in self.hosts.items():
-            self.fronts[name] = await self.relay.front(name)
+            self.fronts[name] = await self.relay.open_udp_front(name)
             with socket.socket() as probe:
                 probe.bind((host, 0))
                 self.listen_addresses[name] = f"{host}:{probe.getsockname()[1]}"
-            self.replication_addresses[name] = await self.relay.tcp_front(
+            self.replication_addresses[name] = await self.relay.open_tcp_front(
                 name, self.listen_addresses[name], host
             )
 
     async def start(self, name: str) -> None:
-        """Start a member, or restart it on what its store holds."""
-        self.starts[name] += 1
+        """Start a member, or restart it with its existing store."""
+        self.start_counts[name] += 1
         await self.launch(name, self._operator_file(name))
-        self.relay.behind(name, f"{self.hosts[name]}:{self.ports[name]['fleet']}")
+        self.relay.set_address(name, f"{self.hosts[name]}:{self.ports[name]['fleet']}")
 
     def _operator_file(self, name: str) -> str:
         holders = ", ".join(f'{other} = "{address}"' for other, address in self.replication_addresses.items())
@@ -101,8 +111,8 @@
             f"exchange_ms = 500\n{self.more_settings}\n"
         )
 
-    async def logged(self, name: str, text: str, within_s: float = 20.0) -> str:
-        """Wait until a member's present process has logged a text; return its whole log."""
+    async def wait_for_log(self, name: str, text: str, within_s: float = 20.0) -> str:
+        """Wait until a member's current process has logged a text; return its whole log."""
         with trio.fail_after(within_s):
             while text not in (logged := self.path_of(name, "log").read_text()):
                 await trio.sleep(POLL_INTERVAL_S)
@@ -111,25 +121,25 @@
     # Stores
 
     def store_path(self, name: str) -> Path:
-        """Return a member's store."""
+        """Return the path of a member's store."""
         return self.folder / f"{name}.ledger"
 
     def fill_disk(self, name: str) -> None:
-        """Let a member's files grow no further, as on a disk that is full: EFBIG stands in for ENOSPC."""
-        held = max(path.stat().st_size for path in self.folder.glob(f"{name}.ledger*"))
-        resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE, (held, resource.RLIM_INFINITY))
+        """Stop a member's files from growing, as on a full disk; writes fail with EFBIG, not ENOSPC."""
+        max_bytes = max(path.stat().st_size for path in self.folder.glob(f"{name}.ledger*"))
+        resource.prlimit(self.processes[name].pid, resource.RLIMIT_FSIZE, (max_bytes, resource.RLIM_INFINITY))
 
     def clear_disk(self, name: str) -> None:
-        """Let its files grow again."""
+        """Allow a member's files to grow again."""
         resource.prlimit(
             self.processes[name].pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
         )
 
     def flip_bit(self, name: str, load_id: str) -> None:
-        """Flip one bit in what a stopped member's file holds of a load, and see that its checksum fails."""
+        """Flip one bit of a load's record in a stopped member's file, and assert that its checksum fails."""
         path = self.store_path(name)
         file = RecordFile(str(path))
-        file.open()  # and with its close the log is in the table
+        file.open()  # closing it then moves the write-ahead log into the database file
         key, value = next(
             (record.key, record.value)
             for record in file.read(0.0)
@@ -137,7 +147,7 @@
         )
         file.close()
         assert value is not None
-        # What was overwritten may be in the file still, as free space: only the present value counts.
+        # Overwritten values may remain in free space of the file, so the current one is matched.
         flipped = path.read_bytes().replace(key + value, key + value[:-1] + bytes([value[-1] ^ 4]))
         path.write_bytes(flipped)
         file.open()
@@ -145,7 +155,7 @@
         file.close()
 
     def preload(self, name: str, count: int) -> None:
-        """Put settled loads into a stopped member's store, as if it had heard of them."""
+        """Write settled loads into a stopped member's store, as if it had received them from others."""
         file = RecordFile(str(self.store_path(name)))
         now_ms = int(unix_now().value)
         file.open()
@@ -159,7 +169,7 @@
         file.close()
 
     def written_bytes(self) -> int:
-        """Return what the running members had their disks write so far, by the kernel's count."""
+        """Return the bytes that running members have written to disk so far, as the kernel counts them."""
         return sum(
             int(Path(f"/proc/{process.pid}/io").read_text().partition("\nwrite_bytes: ")[2].split()[0])
             for process in self.processes.values()
@@ -168,11 +178,11 @@
     # Convergence
 
     async def member_views(self, name: str) -> dict[str, dict[str, Any]]:
-        """Return what a member shows of all members on its console socket."""
+        """Return the rows that a member's console shows, by the name of the member that each is about."""
         return {row["name"]: row for row in await self.query(name, "members")}
 
     async def wait_until_converged(self, within_s: float) -> float:
-        """Wait until all members hold as many claims and no ranges differ; return the seconds."""
+        """Wait until all members hold equally many claims and no ranges differ; return the seconds."""
         started_s = trio.current_time()
         with trio.fail_after(within_s):
             while not await self._is_converged():
@@ -185,14 +195,17 @@
         return len(entries) == 1 and not any(row["behind"] for view, _ in views for row in view.values())
 
     async def wait_until_caught_up(self, name: str, count: int) -> float:
-        """Wait until a member's present process has caught up on so many entries; return the seconds."""
+        """Wait until a member's current process has caught up on ``count`` entries; return the seconds."""
         started_s = trio.current_time()
-        while sum(map(int, _CAUGHT_UP.findall(self.path_of(name, "log").read_text()))) < count:
+        while sum(map(int, _CAUGHT_UP_PATTERN.findall(self.path_of(name, "log").read_text()))) < count:
             await trio.sleep(POLL_INTERVAL_S)
         return trio.current_time() - started_s
 
     async def wait_until_granting(self, within_s: float = 30.0) -> None:
-        """Wait until every member grants and its loads run: a new fleet's replicas hear each other first."""
+        """Wait until every member grants claims and its loads run.
+
+        The replicas of a new fleet have to reach each other first.
+        """
         with trio.fail_after(within_s):
             for name in self.names:
                 while not self._has_recovered(name):
@@ -206,18 +219,18 @@
     # Loads
 
     def new_load_id(self) -> str:
-        """Return an id that was not used."""
-        self._last_load += 1
-        return f"load-{self._last_load}"
+        """Return an unused load ID."""
+        self._last_load_number += 1
+        return f"load-{self._last_load_number}"
 
     async def send_load(self, name: str, load_id: str, *, after_faults: bool = False) -> Result:
-        """Send the load of this id through a member, and record what became of it."""
+        """Send a load through a member, and record the operation with its result."""
         sent_s = trio.current_time()
         result: Result = "unknown"
         with trio.move_on_after(RESPONSE_TIMEOUT_S):
             try:
-                result = _result_of(await self._post(name, load_id))
-            except ConnectionRefusedError:  # before anything was sent: that has certainly not run
+                result = _result_from_status(await self._post(name, load_id))
+            except ConnectionRefusedError:  # nothing was sent, so the load has certainly not run
                 result = "fail"
             except (OSError, trio.BrokenResourceError, trio.ClosedResourceError, ValueError, IndexError):
                 pass
@@ -243,11 +256,11 @@
 
     async def settle_and_stop(self, load_ids: list[str]) -> dict[str, dict[str, bytes]]:
         """Send each load through each member once more, stop all, and return the outcomes in their stores."""
-        await trio.sleep(SETTLE_S)
+        await trio.sleep(SETTLE_DELAY_S)
         for name in self.names:
             for load_id in load_ids:
                 await self.send_load(name, load_id, after_faults=True)
-        await trio.sleep(SETTLE_S)
+        await trio.sleep(SETTLE_DELAY_S)
         async with trio.open_nursery() as nursery:
             for process in self.processes.values():
                 nursery.start_soon(process.stop)
@@ -260,7 +273,7 @@
 
 
 def stored_entries(path: Path) -> dict[str, ClaimEntry]:
-    """Return the entries of a store that no program has open; raise StoreError where it is unreadable."""
+    """Return the entries of a store that no program has open; raise StoreError if it is unreadable."""
     file = RecordFile(str(path))
     file.open()
     try:
@@ -273,7 +286,7 @@
         file.close()
 
 
-def _result_of(status: int) -> Result:
+def _result_from_status(status: int) -> Result:
     if status in (201, 204):
         return "ok"
     return "fail" if status == 503 else "unknown"
@@ -283,7 +296,7 @@
 async def running_trial(
     folder: Path, member_count: int = 3, seed: int = 1, more_settings: str = ""
 ) -> AsyncIterator[ReplicationTrial]:
-    """Run that many members for the length of a block, ready to grant at its begin."""
+    """Run a fleet for the length of a block, which begins once all members grant claims."""
     async with trio.open_nursery() as nursery:
         trial = ReplicationTrial(folder, nursery, member_count, seed, more_settings)
         await nursery.start(trial.engine.serve)
--- a/fordstair/lab/trial_members.py
+++ b/fordstair/lab/trial_members.py
@@ -1,4 +1,4 @@
-"""Running members of a fleet in a trial: a process each, behind the relay, and one stand-in engine."""
+"""Running members of a fleet in a trial: one process each, behind the relay, with one fake engine."""
 
 from __future__ import annotations
 
@@ -14,11 +14,17 @@
 from fordstair.lab.engine import StandIn
 from fordstair.lab.relay import Relay
 
-FRONT_COUNT = 4  # of a member: MessagePack-RPC, OData, the fleet's and that of what is on trial
+FRONT_COUNT = 4  # per member: MessagePack-RPC, OData, the fleet's, and that of the feature under test
 
 
 class TrialMembers:
-    """Members by name; a member that starts anew writes its log to a file of its own."""
+    """Members by name; each start of a member writes its own log file.
+
+    Attributes:
+        fronts: addresses of the relay's UDP fronts, by member.
+        ports: listening ports of the running processes, by member and listener.
+        start_counts: number of starts so far, by member.
+    """
 
     def __init__(self, folder: Path, nursery: trio.Nursery, count: int, seed: int, engine: StandIn) -> None:
         self.folder = folder
@@ -26,21 +32,21 @@
         self.engine = engine
         self.relay = Relay(nursery, seed)
         self.names = [f"m{number}" for number in range(count)]
-        self.fronts: dict[str, str] = {}  # of the relay, by member
+        self.fronts: dict[str, str] = {}
         self.processes: dict[str, CoordinatorProcess] = {}
         self.ports: dict[str, dict[str, int]] = {}
-        self.starts: Counter[str] = Counter()
+        self.start_counts: Counter[str] = Counter()
 
     def path_of(self, name: str, suffix: str) -> Path:
-        """Return the path of a file of a member's present start."""
-        return self.folder / f"{name}.{self.starts[name]}.{suffix}"
+        """Return the path of a file that belongs to a member's current start."""
+        return self.folder / f"{name}.{self.start_counts[name]}.{suffix}"
 
     def console_socket(self, name: str) -> Path:
         """Return the path of a member's console socket."""
         return self.folder / f"{name}.sock"
 
     async def launch(self, name: str, file_text: str, program: Sequence[str] = ("-m", "fordstair")) -> None:
-        """Start a member on an operator's file, and wait until its fronts listen."""
+        """Start a member with an operator's file, and wait until its fronts listen."""
         file = self.folder / f"{name}.toml"
         file.write_text(file_text)
         process = CoordinatorProcess([*program, "--operator", str(file)], self.path_of(name, "log"))
@@ -48,19 +54,19 @@
         self.ports[name] = await process.wait_listening(FRONT_COUNT)
 
     def kill(self, name: str) -> None:
-        """End a member without notice."""
+        """Kill a member's process."""
         self.processes[name].kill()
 
     def pause(self, name: str) -> None:
-        """Stop a member's process (SIGSTOP)."""
+        """Pause a member's process (SIGSTOP)."""
         self.processes[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Let it go on."""
+        """Resume a paused member's process (SIGCONT)."""
         self.processes[name].send_signal(signal.SIGCONT)
 
     def kill_all(self) -> None:
-        """End all members without notice, those that are paused too."""
+        """Kill the processes of all members, including paused ones."""
         for process in self.processes.values():
             process.kill()
 
--- a/tests/replication/test_processes.py
+++ b/tests/replication/test_processes.py
@@ -85,13 +85,13 @@
             trial.kill("m1")
             for path in folder.glob("m1.ledger*"):
                 path.unlink()
-            trial.relay.part({"m1"}, {"m2"})
+            trial.relay.partition({"m1"}, {"m2"})
             await trial.start("m1")
             # With m2 alone, m1 would form a majority that lacks the grants of m0.
-            trial.relay.part({"m0"}, {"m1", "m2"})
+            trial.relay.partition({"m0"}, {"m1", "m2"})
             new_ids = [trial.new_load_id() for _ in range(3)]
             trial.relay.heal()
-            trial.relay.part({"m0"}, {"m1", "m2"})
+            trial.relay.partition({"m0"}, {"m1", "m2"})
             for id in new_ids:
                 assert await trial.send_load("m1", id) != "ok"
             trial.relay.heal()
@@ -150,7 +150,7 @@
             trial.clear_disk("m1")
             trial.clear_disk("m2")
             for name in ("m1", "m2"):
-                await trial.logged(name, "store.writes_again")
+                await trial.wait_for_log(name, "store.writes_again")
             for name in trial.names:
                 ids.append(trial.new_load_id())
                 assert await trial.send_load(name, ids[-1]) == "ok"
@@ -168,15 +168,15 @@
             trial.kill("m2")
             trial.flip_bit("m2", ids[4])
             # m1 alone may not know all grants that m2 has lost.
-            trial.relay.part({"m0"}, {"m1", "m2"})
+            trial.relay.partition({"m0"}, {"m1", "m2"})
             await trial.start("m2")
             # The member logs its fronts before it has read its store; "ledger.loaded" is logged afterwards.
-            assert "store.record_corrupted" in await trial.logged("m2", "ledger.loaded")
+            assert "store.record_corrupted" in await trial.wait_for_log("m2", "ledger.loaded")
             new_id = trial.new_load_id()
             assert await trial.send_load("m2", new_id) != "ok"
             assert await trial.send_load("m1", ids[4]) != "fail"
             trial.relay.heal()
-            await trial.logged("m2", "ledger.recovered")
+            await trial.wait_for_log("m2", "ledger.recovered")
             await assert_history_is_valid(trial, [*ids, new_id])
 
     run_scenario(scenario)
@@ -255,7 +255,7 @@
             await wait_restored("m1.1.log", "m2.1.log")
             trial.kill("m0")
             # The restarted member has only its own store.
-            trial.relay.part({"m0"}, {"m1", "m2"})
+            trial.relay.partition({"m0"}, {"m1", "m2"})
             await trial.start("m0")
             await wait_restored("m0.2.log")
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -146,7 +146,7 @@
         fleet.network.delay_ms = rng.choice(((0.2, 2.0), (50.0, 700.0), (0.2, 2_500.0)))
         fleet.run(rng.choice((100.0, 700.0, 3_000.0)))
         for drifting in fleet.members.values():
-            check_invariants(drifting.member, drifting.own_ms(fleet.time))
+            check_invariants(drifting.member, drifting.to_member_ms(fleet.time))
     return fleet
 
 
@@ -352,20 +352,20 @@
     fleet.run(15_000.0)
     assert fleet.leader is not None
     leader = fleet.members[fleet.leader]
-    check_invariants(leader.member, leader.own_ms(fleet.time))
+    check_invariants(leader.member, leader.to_member_ms(fleet.time))
     assert leader.member.election.grants is not None
     leader.member.election.grants.reserved[0] += 1
     with pytest.raises(InvariantViolationError, match="miscounts"):
-        check_invariants(leader.member, leader.own_ms(fleet.time))
+        check_invariants(leader.member, leader.to_member_ms(fleet.time))
 
 
 def test_the_audit_counts_floors_and_overlaps() -> None:
     budget_plan = plan(5, floor_share=0.0)
     audit = Audit(budget_plan)
-    audit.leased("a", 0.0, 100.0, (40, 0))
-    audit.leased("b", 100.0, 200.0, (40, 0))
+    audit.record_lease("a", 0.0, 100.0, (40, 0))
+    audit.record_lease("b", 100.0, 200.0, (40, 0))
     assert audit.violations() == 0
-    audit.leased("c", 150.0, 160.0, (25, 0))
+    audit.record_lease("c", 150.0, 160.0, (25, 0))
     assert audit.violations() == 1
     assert audit.peaks()[0] == 65 / 64
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -48,7 +48,7 @@
             f'sync_ms = 2000.0\n[console]\nsocket = "{self.folder / name}.sock"\n'
         )
         self.nodes[name] = node = await self.nursery.start(self._hold, path)
-        self.relay.behind(name, f"127.0.0.1:{node.ports['fleet']}")
+        self.relay.set_address(name, f"127.0.0.1:{node.ports['fleet']}")
 
     async def _hold(self, path: Path, task_status: trio.TaskStatus[Program]) -> None:
         async with program(config(), "--operator", str(path), fronts=2) as node:
@@ -108,7 +108,7 @@
         async with trio.open_nursery() as nursery:
             members = Members(Relay(nursery), Path(folder), nursery, suspicion)
             for number in range(count):
-                members.fronts[f"m{number}"] = await members.relay.front(f"m{number}")
+                members.fronts[f"m{number}"] = await members.relay.open_udp_front(f"m{number}")
             try:
                 async with trio.open_nursery() as starts:
                     for name in members.fronts:
@@ -162,7 +162,7 @@
 def test_lost_datagrams_cost_no_member_for_good(drop: float) -> None:
     async def scene() -> None:
         async with fleet() as members:
-            members.relay.put("*", "*", Faults(drop=drop))
+            members.relay.set_faults("*", "*", Faults(drop=drop))
             await trio.sleep(15.0)  # 50 probes of each
             if drop <= 0.1:
                 assert not members.told("dead")
@@ -176,7 +176,9 @@
 def test_late_doubled_and_overtaken_datagrams_cost_nothing() -> None:
     async def scene() -> None:
         async with fleet() as members:
-            members.relay.put("*", "*", Faults(delay_ms=10.0, jitter_ms=30.0, duplicate=0.3, reorder=0.3))
+            members.relay.set_faults(
+                "*", "*", Faults(delay_ms=10.0, jitter_ms=30.0, duplicate=0.3, reorder=0.3)
+            )
             await trio.sleep(10.0)
             await members.until(members.agree, 10.0)
             assert not members.told("dead")
@@ -210,7 +212,7 @@
 def test_a_member_that_nobody_hears_is_found_out_and_accuses_nobody() -> None:
     async def scene() -> None:
         async with fleet() as members:
-            members.relay.put("m3", "*", Faults(cut=True))
+            members.relay.set_faults("m3", "*", Faults(cut=True))
             rest = ("m0", "m1", "m2", "m4")
             await members.until(lambda: members.agree(*rest, m3="dead"), 30.0)
             assert (await members.ask("m3", "counters"))["fleet.refutations"] >= 1  # heard, and said in vain
@@ -225,7 +227,7 @@
     async def scene() -> None:
         async with fleet(6) as members:
             one, other = {"m0", "m1", "m2"}, {"m3", "m4", "m5"}
-            members.relay.part(one, other)
+            members.relay.partition(one, other)
             await members.until(lambda: members.agree(*one, m3="dead", m4="dead", m5="dead"), 30.0)
             await members.until(lambda: members.agree(*other, m0="dead", m1="dead", m2="dead"), 30.0)
             members.relay.heal()
