--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What a fleet of some forty gateways breaks that is fine for one, each tested without the bench."""
+"""Failures that a fleet of some forty gateways shows and a single gateway does not."""
 
 from __future__ import annotations
 
@@ -15,28 +15,36 @@
 REPORTS = settings(load_report_fields=("util", "inflight"), instances=40)
 
 
-def answered(rig: Rig, util: float, inflight: float, slow: tuple[float, float] | None = None) -> None:
-    """Ask once; the engine's report is the same everywhere but on engine 1, if that one is slow."""
+def serve_request(
+    rig: Rig, util: float, inflight: float, slow_report: tuple[float, float] | None = None
+) -> None:
+    """Send and serve one request; all engines report the same load, except engine 1 with ``slow_report``."""
     request = rig.ask(SAFE, 100.0)
-    on_slow = slow is not None and rig.sends(request)[0].engine == "10.0.0.1:80"
-    rig.end(request, Status.OK, 100.0, work_ms=100.0, report=slow if on_slow and slow else (util, inflight))
+    on_slow = slow_report is not None and rig.sends(request)[0].engine == "10.0.0.1:80"
+    rig.end(
+        request,
+        Status.OK,
+        100.0,
+        work_ms=100.0,
+        report=slow_report if on_slow and slow_report else (util, inflight),
+    )
     rig.pass_time(20.0)
 
 
-def test_an_engine_that_fills_up_while_its_cores_idle_is_not_drawn_as_an_idle_one() -> None:
-    # Slow disks or a machine gone slow: nothing uses the cores, and all that was sent is still there.
+def test_engine_that_fills_up_with_idle_cores_is_not_treated_as_idle() -> None:
+    # With slow disks or a slow machine the cores are idle while all queries sent there are still running.
     rig = Rig(REPORTS, engines=8)
     for _ in range(40):
-        answered(rig, 0.5, 6.0)
+        serve_request(rig, 0.5, 6.0)
     before = len(rig.sends())
     for _ in range(200):
-        answered(rig, 0.5, 6.0, slow=(0.15, 30.0))
+        serve_request(rig, 0.5, 6.0, slow_report=(0.15, 30.0))
     drawn = Counter(send.engine for send in rig.sends()[before:])
     assert drawn["10.0.0.1:80"] < 200 / 8 / 3
 
 
-def test_an_attempt_that_was_cut_tells_how_slow_its_engine_is() -> None:
-    # All that runs there is stopped at its aim, so no answer ever says how long it would have taken.
+def test_cancelled_attempts_show_how_slow_their_engine_is() -> None:
+    # Every attempt there is cancelled at its objective, so no response shows how long it would have taken.
     rig = Rig(settings(instances=40), engines=8)
     slow = "10.0.0.1:80"
     for _ in range(160):
@@ -50,41 +58,41 @@
             if engine != slow:
                 rig.end(request, Status.OK, 100.0, work_ms=100.0)
         rig.pass_time(20.0)
-    late = Counter(send.engine for send in rig.sends()[-100:])
+    recent = Counter(send.engine for send in rig.sends()[-100:])
     assert rig.gateway.engines[slow].slowness.value > 1.5
-    assert late[slow] < 100 / 8 / 3
+    assert recent[slow] < 100 / 8 / 3
 
 
-def test_one_error_that_another_engine_disproves_is_enough_to_turn_most_away() -> None:
+def test_one_error_followed_by_success_elsewhere_lowers_an_engines_reliability() -> None:
     rig = Rig(settings(instances=40), engines=8)
     for _ in range(60):
         rig.end(rig.ask(SAFE, 100.0), Status.OK, 100.0, work_ms=100.0)
         rig.pass_time(20.0)
     request = rig.ask(SAFE, 100.0)
-    sick = rig.sends(request)[0].engine
+    failing = rig.sends(request)[0].engine
     rig.end(request, Status.ERROR, 20.0)
     rig.end(request, Status.OK, 100.0, work_ms=100.0)
-    assert rig.gateway.outliers.reliability(rig.gateway.now, rig.gateway.engines[sick]) < 0.25
+    assert rig.gateway.outliers.reliability(rig.gateway.now, rig.gateway.engines[failing]) < 0.25
 
 
 def test_gateways_prefer_different_engines_and_cover_all_of_them_evenly() -> None:
-    drawn, first = Counter[str](), Counter[str]()
+    drawn, favourites = Counter[str](), Counter[str]()
     for seed in range(40):
-        rig, mine = Rig(settings(instances=40), engines=30, seed=seed), Counter[str]()
+        rig, own = Rig(settings(instances=40), engines=30, seed=seed), Counter[str]()
         for _ in range(30):
-            request = rig.ask(SAFE, 100.0, table_group=7.0)  # the same tables everywhere
+            request = rig.ask(SAFE, 100.0, table_group=7.0)  # every gateway queries the same tables
             rig.end(request, Status.OK, 100.0, work_ms=100.0)
             rig.pass_time(100.0)
-            mine[rig.sends(request)[0].engine] += 1
-        drawn += mine
-        first[mine.most_common(1)[0][0]] += 1
+            own[rig.sends(request)[0].engine] += 1
+        drawn += own
+        favourites[own.most_common(1)[0][0]] += 1
     assert max(drawn.values()) < 3.0 * 40 * 30 / 30
     assert len(drawn) == 30
-    assert max(first.values()) <= 8  # no engine is the favourite of a fifth of them
+    assert max(favourites.values()) <= 8  # no engine is the favourite of more than a fifth of the gateways
 
 
-def after_a_release(seed: int) -> Rig:
-    """Twelve warm engines, and eighteen that have just started."""
+def gateway_after_release(seed: int) -> Rig:
+    """Return a gateway with twelve warm engines and eighteen that have just started."""
     rig = Rig(settings(instances=40), engines=0, seed=seed)
     rig.members(
         *(entry(i) for i in range(1, 13)),
@@ -94,10 +102,10 @@
     return rig
 
 
-def test_new_engines_start_up_with_light_work_within_their_budget() -> None:
+def test_new_engines_get_only_light_queries_within_their_slow_start_budget() -> None:
     sent, light, heavy = Counter[str](), Counter[bool](), Counter[bool]()
     for seed in range(40):
-        rig = after_a_release(seed)
+        rig = gateway_after_release(seed)
         for number in range(24):  # one second of full load: 30 engines of 8 cores, over 40 gateways
             cost = 1_500.0 if number % 12 == 0 else 100.0
             request = rig.ask(SAFE, cost)
@@ -109,24 +117,23 @@
             if rig.sends(request):
                 rig.end(request, Status.OK, 40.0, work_ms=cost)
     assert light[True] > 0.15 * light.total(), (light, heavy, sent)
-    assert not heavy[True]  # a few of those would spend the whole budget
+    assert not heavy[True]  # a few heavy queries would use up the whole budget
     assert max(sent.values()) < 3.0 * 0.3 * 0.85 * 8.0 * 2_000.0  # thread-milliseconds within the window
 
 
-def test_cold_cores_count_by_their_warmth_where_pressure_is_judged() -> None:
-    rig = after_a_release(1)
+def test_pressure_counts_cold_cores_by_their_warmth() -> None:
+    rig = gateway_after_release(1)
     for engine in list(rig.gateway.engines.values())[:12]:
         engine.other_threads.value = 2.0 * engine.cores
         engine.reported_at = rig.now
-    assert (
-        rig.gateway.admission.pressure(rig.gateway.now, SAFE) > 0.1
-    )  # 24 threads a core on 12 engines, and 5.4 engines' worth beside
+    # 12 engines have 2 other threads per core; the 18 cold ones have the capacity of 5.4 warm engines.
+    assert rig.gateway.admission.pressure(rig.gateway.now, SAFE) > 0.1
     assert rig.gateway.load.capacity(rig.gateway.now, list(rig.gateway.engines.values())) < 8.0 * (
         12 + 18 * 0.31
     )
 
 
-def test_an_attempt_that_may_begin_yet_is_followed_by_no_other() -> None:
+def test_attempt_that_may_still_start_is_not_retried() -> None:
     rig = Rig(settings(instances=40), engines=8)
     for may_still_run in (False, True):
         request = rig.ask(SAFE, 100.0)
@@ -135,8 +142,15 @@
         assert bool(rig.answers(request)) == may_still_run
 
 
-class Site:
-    """Many gateways before shared machines, in steps of virtual time; a restart empties their memory."""
+class SimulatedSite:
+    """Many gateways that share machines, in steps of virtual time; a restarted gateway loses its state.
+
+    Attributes:
+        executed: number of actions of each gateway's log that have been executed.
+        jobs: gateway, request, attempt and start time of each running job.
+        sent: time, engine and thread-milliseconds of each attempt sent.
+        requests: every request, with the gateway that received it.
+    """
 
     STEP_MS = 25.0
 
@@ -152,20 +166,20 @@
         )
         self.entries = {f"10.0.0.{n}:80": entry(n) for n in range(1, engines + 1)}
         self.machines = {name: Machine(8.0, cold_capacity=0.32, warm_up_ms=15_000.0) for name in self.entries}
-        self.rigs = [self.started(seed * 1_000 + number) for number in range(gateways)]
-        self.read = [0] * gateways  # how much of each log was carried out
-        self.jobs: dict[str, tuple[Rig, int, int, float]] = {}  # rig, request, attempt, since
-        self.sent: list[tuple[float, str, float]] = []  # time, engine, thread-milliseconds
-        self.asked: list[tuple[Rig, int]] = []
+        self.rigs = [self.start_gateway(seed * 1_000 + number) for number in range(gateways)]
+        self.executed = [0] * gateways
+        self.jobs: dict[str, tuple[Rig, int, int, float]] = {}
+        self.sent: list[tuple[float, str, float]] = []
+        self.requests: list[tuple[Rig, int]] = []
 
-    def started(self, seed: int) -> Rig:
+    def start_gateway(self, seed: int) -> Rig:
         rig = Rig(self.config, engines=0, seed=seed)
         rig.now = self.now
         rig.members(*self.entries.values(), kind=ListUpdateKind.FULL)
         return rig
 
     def restart(self, gateways: int, cold: int) -> None:
-        """Kill the first gateways and start them anew, while the first engines come back cold."""
+        """Restart the first ``gateways`` gateways without their state, and the first ``cold`` engines."""
         for number in range(1, cold + 1):
             name = f"10.0.0.{number}:80"
             self.entries[name] = entry(number, started=self.now)
@@ -176,9 +190,9 @@
             if held[0] not in self.rigs[:gateways]
             and any(job in machine.jobs for machine in self.machines.values())
         }
-        self.asked = [(rig, request) for rig, request in self.asked if rig not in self.rigs[:gateways]]
+        self.requests = [(rig, request) for rig, request in self.requests if rig not in self.rigs[:gateways]]
         for number in range(gateways):
-            self.rigs[number], self.read[number] = self.started(900_000 + number), 0
+            self.rigs[number], self.executed[number] = self.start_gateway(900_000 + number), 0
         for rig in self.rigs[gateways:]:
             rig.members(*list(self.entries.values())[:cold])
             for request in {send.request for send in rig.sends() if send.engine in list(self.entries)[:cold]}:
@@ -186,20 +200,20 @@
                     rig.end(request, Status.RESET)
 
     def run(self, seconds: float, per_s: float) -> None:
-        """Let clients ask at that rate."""
+        """Simulate clients that send requests at the given rate."""
         for _ in range(int(seconds * 1_000.0 / self.STEP_MS)):
             self.now += self.STEP_MS
             for rig in self.rigs:
                 rig.pass_time(self.now - rig.now)
             for _ in range(int(per_s * self.STEP_MS / 1_000.0 + self.random.random())):
                 rig = self.random.choice(self.rigs)
-                self.asked.append((rig, rig.ask(SAFE, self.random.choice((60.0, 120.0, 300.0)))))
+                self.requests.append((rig, rig.ask(SAFE, self.random.choice((60.0, 120.0, 300.0)))))
             for name, machine in self.machines.items():
                 for job in machine.advance(self.now):
-                    self.ended(name, machine, job)
-            self.carry_out()
+                    self.end_job(name, machine, job)
+            self.execute_actions()
 
-    def ended(self, name: str, machine: Machine, job: Job) -> None:
+    def end_job(self, name: str, machine: Machine, job: Job) -> None:
         rig, request, attempt, since = self.jobs.pop(job.id, (None, 0, 0, 0.0))
         if rig is not None:
             rig.end(
@@ -211,10 +225,10 @@
                 report=(machine.util, float(len(machine.jobs))),
             )
 
-    def carry_out(self) -> None:
-        """Do what the gateways ordered since the last step."""
+    def execute_actions(self) -> None:
+        """Execute the gateways' actions since the last step."""
         for number, rig in enumerate(self.rigs):
-            for _, action in itertools.islice(rig.log, self.read[number], None):
+            for _, action in itertools.islice(rig.log, self.executed[number], None):
                 match action:
                     case SendAttempt(request, engine):
                         cost, job = rig.gateway.requests[request].cost, f"{number}.{id(rig)}.{request}"
@@ -232,30 +246,30 @@
                             machine.remove(job, self.now)
                         if (held := self.jobs.pop(job, None)) is not None:
                             rig.end(request, Status.CANCELLED, self.now - held[3], held[2])
-            self.read[number] = len(rig.log)
+            self.executed[number] = len(rig.log)
 
 
-def test_when_most_gateways_start_anew_beside_cold_engines_all_together_spare_them() -> None:
-    site = Site(60, 40, 1)
+def test_restarted_gateways_together_respect_the_slow_start_of_cold_engines() -> None:
+    site = SimulatedSite(60, 40, 1)
     site.run(1.5, 1_700.0)
-    restart = site.now
+    restarted_ms = site.now
     site.restart(gateways=42, cold=12)
     site.run(2.5, 1_700.0)
     cold = {f"10.0.0.{n}:80" for n in range(1, 13)}
-    after = [(at - restart, engine, cost) for at, engine, cost in site.sent if at > restart]
-    # the site's budget for a cold engine: its capacity at 85 % of the cores, times 2.5, over any second
+    after = [(at - restarted_ms, engine, cost) for at, engine, cost in site.sent if at > restarted_ms]
+    # The budget of a cold engine within any second is 2.5 times its capacity at 85 % of the cores.
     for engine in cold:
         for start in range(0, 1_500, 100):
-            got = sum(cost for at, name, cost in after if name == engine and start <= at < start + 1_000.0)
+            sent = sum(cost for at, name, cost in after if name == engine and start <= at < start + 1_000.0)
             warmth = 0.32 + 0.68 * start / 15_000.0
-            assert got <= 2.5 * 0.85 * 8.0 * warmth * 1_000.0, (engine, start, got)
-    # gateways that know nothing yet spread what they send over the warm engines
+            assert sent <= 2.5 * 0.85 * 8.0 * warmth * 1_000.0, (engine, start, sent)
+    # Gateways without any state spread their attempts over the warm engines.
     early = Counter(engine for at, engine, _ in after if at < 500.0)
     warm = [early[name] for name in site.entries if name not in cold]
     assert max(warm) < 3.0 * sum(warm) / len(warm)
     assert min(warm) > 0
     site.run(4.0, 0.0)
-    # every request of those that live got its answer, and no table of theirs holds anything more
+    # Running gateways have answered all their requests and hold no state of them any more.
     assert not any(rig.gateway.requests or rig.gateway.attempts for rig in site.rigs)
-    refused = sum(bool(rig.answers(request)) for rig, request in site.asked)
-    assert refused < 0.2 * len(site.asked)
+    refused = sum(bool(rig.answers(request)) for rig, request in site.requests)
+    assert refused < 0.2 * len(site.requests)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""A hall that falls silent: found out by several of its engines, avoided, tried again; also on a program."""
+"""Detection, ejection and readmission of a silent zone, in units, in virtual time and in a program."""
 
 from __future__ import annotations
 
@@ -29,65 +29,65 @@
 from fordstair.runtime.counters import Counters
 from fordstair.runtime.deadlines import Deadlines
 from fordstair.snapshots.engine_states import engine_state
-from tests.scenes import play as bounded
+from tests.scenes import play as run_with_timeout
 
 ENGINES = {f"{hall}{n}": number for number, hall in enumerate("abc") for n in range(4)}
 
 
-def halls(engines: dict[str, int] = ENGINES) -> ZoneOutlierDetector:
-    told = ZoneOutlierDetector()
-    told.update_engines(0.0, engines)
-    return told
-
-
-def test_three_engines_that_miss_give_their_hall_away_and_one_word_takes_that_back() -> None:
-    told, now = halls(), ZONE_SILENCE_MS + 1.0
-    told.record_response(now, "b0")
-    assert not told.record_miss(now, "a0")
-    assert not told.record_miss(now, "a0")
-    assert not told.record_miss(now, "a1")
-    assert not told.is_ejected("a3")
-    assert told.record_miss(now, "a2")
-    assert told.is_ejected("a3")
-    assert not told.is_ejected("b1")
-    assert told.record_response(now + 1.0, "a3")
-    assert not told.is_ejected("a0")
-    assert not told.record_miss(now + 2.0, "a0")  # and it counts from the beginning again
-
-
-def test_a_hall_that_was_just_heard_and_one_engine_alone_are_not_suspected() -> None:
-    told = halls()
-    told.record_response(1_000.0, "b0")
-    told.record_response(1_000.0, "a0")
-    assert not any(told.record_miss(1_000.0 + ZONE_SILENCE_MS / 2.0, f"a{n}") for n in (1, 2, 3))
-    lonely = halls({"a0": 0, "b0": 1})
-    lonely.record_response(1_000.0, "b0")
-    assert not any(lonely.record_miss(1_000.0, "a0") for _ in range(5))
-
-
-def test_who_hears_nobody_is_cut_off_itself_and_avoids_nothing() -> None:
-    told, now = halls(), OTHER_ZONE_RESPONSE_MS + 1.0
-    assert not any(told.record_miss(now, engine) for engine in ENGINES)
-
-
-def test_two_halls_lost_in_turn_leave_the_third_and_a_hold_that_is_in_vain_doubles() -> None:
-    told, now, holds = halls(), 1_000.0, list[float]()
-    for hall in "ab":
-        told.record_response(now, "c0")
-        assert [told.record_miss(now, f"{hall}{n}") for n in range(3)] == [False, False, True]
-    told.record_response(now, "c0")
-    assert not any(
-        told.record_miss(now + OTHER_ZONE_RESPONSE_MS + 1.0, f"c{n}") for n in range(4)
-    )  # there is no other way
-    while len(holds) < 4:
-        until = told.zones[0].ejected_until_ms
-        holds.append(until - now)
-        assert told.readmit_expired(until - 1.0) == []
-        assert 0 in told.readmit_expired(until)
+def zone_detector(engines: dict[str, int] = ENGINES) -> ZoneOutlierDetector:
+    detector = ZoneOutlierDetector()
+    detector.update_engines(0.0, engines)
+    return detector
+
+
+def test_three_missing_engines_eject_their_zone_and_one_response_readmits_it() -> None:
+    detector, now = zone_detector(), ZONE_SILENCE_MS + 1.0
+    detector.record_response(now, "b0")
+    assert not detector.record_miss(now, "a0")
+    assert not detector.record_miss(now, "a0")
+    assert not detector.record_miss(now, "a1")
+    assert not detector.is_ejected("a3")
+    assert detector.record_miss(now, "a2")
+    assert detector.is_ejected("a3")
+    assert not detector.is_ejected("b1")
+    assert detector.record_response(now + 1.0, "a3")
+    assert not detector.is_ejected("a0")
+    assert not detector.record_miss(now + 2.0, "a0")  # the count of missing engines was reset
+
+
+def test_zone_that_has_just_responded_and_zone_of_one_engine_are_not_ejected() -> None:
+    detector = zone_detector()
+    detector.record_response(1_000.0, "b0")
+    detector.record_response(1_000.0, "a0")
+    assert not any(detector.record_miss(1_000.0 + ZONE_SILENCE_MS / 2.0, f"a{n}") for n in (1, 2, 3))
+    single = zone_detector({"a0": 0, "b0": 1})
+    single.record_response(1_000.0, "b0")
+    assert not any(single.record_miss(1_000.0, "a0") for _ in range(5))
+
+
+def test_no_zone_is_ejected_while_no_zone_responds() -> None:
+    """A coordinator that gets no response from any zone is disconnected itself."""
+    detector, now = zone_detector(), OTHER_ZONE_RESPONSE_MS + 1.0
+    assert not any(detector.record_miss(now, engine) for engine in ENGINES)
+
+
+def test_last_zone_is_not_ejected_and_repeated_ejections_double_up_to_the_maximum() -> None:
+    detector, now, ejections_ms = zone_detector(), 1_000.0, list[float]()
+    for zone in "ab":
+        detector.record_response(now, "c0")
+        assert [detector.record_miss(now, f"{zone}{n}") for n in range(3)] == [False, False, True]
+    detector.record_response(now, "c0")
+    # The only zone that is left cannot be ejected.
+    assert not any(detector.record_miss(now + OTHER_ZONE_RESPONSE_MS + 1.0, f"c{n}") for n in range(4))
+    while len(ejections_ms) < 4:
+        until = detector.zones[0].ejected_until_ms
+        ejections_ms.append(until - now)
+        assert detector.readmit_expired(until - 1.0) == []
+        assert 0 in detector.readmit_expired(until)
         now = until
-        told.record_response(now, "c0")
-        assert [told.record_miss(now, f"a{n}") for n in range(3)][-1]
-    assert holds == [BASE_EJECTION_MS, 2.0 * BASE_EJECTION_MS, MAX_EJECTION_MS, MAX_EJECTION_MS]
+        detector.record_response(now, "c0")
+        assert [detector.record_miss(now, f"a{n}") for n in range(3)][-1]
+    assert ejections_ms == [BASE_EJECTION_MS, 2.0 * BASE_EJECTION_MS, MAX_EJECTION_MS, MAX_EJECTION_MS]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
@@ -95,48 +95,50 @@
     st.lists(
         st.tuples(
             st.sampled_from(sorted(ENGINES)),
-            st.sampled_from(["heard", "missed", "tried", "listed"]),
+            st.sampled_from(["response", "miss", "readmit", "remove"]),
             st.floats(0.0, 500.0),
         ),
         max_size=60,
     )
 )
-def test_one_hall_is_always_left_and_what_was_heard_last_is_not_avoided(
-    told: list[tuple[str, str, float]],
+def test_some_zone_always_remains_and_the_latest_to_respond_is_not_ejected(
+    steps: list[tuple[str, str, float]],
 ) -> None:
-    known, now, engines = halls(), 0.0, dict(ENGINES)
-    for engine, what, later in told:
-        now += later
-        if what == "listed":
+    detector, now, engines = zone_detector(), 0.0, dict(ENGINES)
+    for engine, event, delay_ms in steps:
+        now += delay_ms
+        if event == "remove":
             engines.pop(engine, None)
-            known.update_engines(now, engines)
-        elif what == "tried":
-            known.readmit_expired(now)
+            detector.update_engines(now, engines)
+        elif event == "readmit":
+            detector.readmit_expired(now)
         elif engine in engines:
-            (known.record_response if what == "heard" else known.record_miss)(now, engine)
-            if what == "heard":
-                assert not known.is_ejected(engine)
+            (detector.record_response if event == "response" else detector.record_miss)(now, engine)
+            if event == "response":
+                assert not detector.is_ejected(engine)
         if engines:
-            assert not all(map(known.is_ejected, engines))
-        assert set(known.zones) == set(engines.values())
+            assert not all(map(detector.is_ejected, engines))
+        assert set(detector.zones) == set(engines.values())
 
 
-class NoWire:
-    """A transport over which nothing goes."""
+class UnusedTransport:
+    """A transport that must not be called."""
 
     def call(self, attempt_request: AttemptRequest) -> Call:
-        raise AssertionError("nothing is sent here")
+        raise AssertionError("no attempt must be sent in this test")
 
     def close_connections(self, engine: Engine) -> None:
         pass
 
 
-def test_a_list_that_comes_anew_gives_no_avoided_hall_back() -> None:
+def test_repeated_engine_list_does_not_readmit_an_ejected_zone() -> None:
     clock = [1_000.0]
-    coordinator = Coordinator(told_settings(), 1, {"rest": NoWire()}, Deadlines(lambda: clock[0]), Counters())
+    coordinator = Coordinator(
+        told_settings(), 1, {"rest": UnusedTransport()}, Deadlines(lambda: clock[0]), Counters()
+    )
     watch = coordinator.extensions.zone_watch = ZoneWatch(coordinator)
 
-    def listed(**starts: float) -> None:
+    def update_engine_list(**starts: float) -> None:
         coordinator.update_engines(
             ListUpdateKind.FULL,
             [
@@ -148,14 +150,14 @@
     def states() -> set[EngineState]:
         return {coordinator.gateway.engines[name].entry.state for name in ENGINES if name.startswith("a")}
 
-    listed()
+    update_engine_list()
     clock[0] += 1_000.0
     watch.engine_responded(1, "b0")
     for engine in ("a0", "a1", "a2"):
         watch.connect_failed(engine)
     assert states() == {EngineState.DRAINING}
     assert not coordinator.engines["a3"].ready
-    listed()
+    update_engine_list()
     assert states() == {EngineState.DRAINING}
     assert not coordinator.engines["a3"].ready
     assert engine_state(coordinator.engines["a3"], 1.0, 1.0, 0.0, 0.0) == "avoided"
@@ -168,18 +170,18 @@
     for engine in ("a0", "a1", "a2"):
         watch.connect_failed(engine)
     assert states() == {EngineState.DRAINING}
-    listed(a2=clock[0])  # a new process: its hall is there
+    update_engine_list(a2=clock[0])  # a new process shows that its zone is reachable
     assert states() == {EngineState.READY}
 
 
-def test_in_virtual_time_a_dark_hall_costs_fewer_connects_and_no_load_runs_twice() -> None:
+def test_ejecting_a_dark_zone_saves_connects_and_runs_no_load_twice() -> None:
     rows = [figures(*run(9, 18, 24.0, 3, eject_silent_zones=ejects), 24.0) for ejects in (False, True)]
     assert all(row["loads_run_twice"] == row["unanswered"] == 0 and row["loads"] > 20 for row in rows)
     assert rows[1]["connect_failed"] < 0.8 * rows[0]["connect_failed"]
     assert rows[1]["dark"] >= rows[0]["dark"] - 0.03
 
 
-def test_a_program_avoids_a_hall_that_falls_silent_and_takes_it_back() -> None:
+def test_program_ejects_a_silent_zone_and_readmits_it() -> None:
     async def scene() -> None:
         with tempfile.TemporaryDirectory(prefix="hal") as folder:
             engines = [
@@ -190,31 +192,31 @@
             async with appliance(Path(folder), engines, "[routing]\navoid_silent_halls = true\n") as node:
                 kinds = [Kind("lookup", "karri-energy", 60.0, 60.0, 5_000.0)]
 
-                async def ask(seconds: float, seed: int) -> float:
+                async def served_share(seconds: float, seed: int) -> float:
                     tally = await Traffic("127.0.0.1", node.ports["listens"], kinds, seed).run(seconds)
                     assert tally.counts["lost"] == tally.counts["answered_twice"] == 0
                     return tally.counts["served"] / tally.counts["asked"]
 
-                async def logged(text: str) -> None:
+                async def wait_for_log(text: str) -> None:
                     with trio.fail_after(15.0):
                         while text not in node.process.log.read_text():
                             await trio.sleep(0.05)
 
-                assert await ask(2.0, 1) > 0.95
-                lost = [engine for engine in engines if engine.hall == "hall-b"]
-                for engine in lost:
+                assert await served_share(2.0, 1) > 0.95
+                silent = [engine for engine in engines if engine.hall == "hall-b"]
+                for engine in silent:
                     engine.go_silent()
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(ask, 4.0, 2)
-                    await logged("zone.ejected")
-                    before = sum(engine.counts["read.POST"] for engine in lost)
-                    await trio.sleep(0.8)  # within the hold nothing new goes there
-                    assert sum(engine.counts["read.POST"] for engine in lost) == before
-                for engine in lost:
+                    nursery.start_soon(served_share, 4.0, 2)
+                    await wait_for_log("zone.ejected")
+                    before = sum(engine.counts["read.POST"] for engine in silent)
+                    await trio.sleep(0.8)  # no new attempts are sent there during the ejection
+                    assert sum(engine.counts["read.POST"] for engine in silent) == before
+                for engine in silent:
                     engine.come_back_cold()
                 await trio.sleep(MAX_EJECTION_MS / 1e3)
-                assert await ask(4.0, 3) > 0.9
-                assert sum(engine.counts["read.POST"] for engine in lost) > before
-                await logged("zone.readmitted")
+                assert await served_share(4.0, 3) > 0.9
+                assert sum(engine.counts["read.POST"] for engine in silent) > before
+                await wait_for_log("zone.readmitted")
 
-    bounded(scene, 60.0)
+    run_with_timeout(scene, 60.0)
