--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -146,8 +146,8 @@
         assert queue is not None, "the fleet's budgets need queues"
         queue.local_limits = LocalLimits(
             fleet.plan.limits,
-            [each.name for each in settings.tenants],
-            [each.name for each in settings.classes],
+            [tenant.name for tenant in settings.tenants],
+            [spec.name for spec in settings.classes],
             lambda now: fleet.allotment_of(self.name),
             fleet.plan.request_interval_ms,
         )
