--- a/benchmarks/fleet_budgets.py
+++ b/benchmarks/fleet_budgets.py
@@ -22,7 +22,7 @@
 from benchmarks.command import run as run_command
 from fordstair.budgets.plan import UNITS_PER_REQUEST_PER_S, BudgetPlan, FleetLimit
 from fordstair.lab.budget_fleet import BudgetFleet
-from fordstair.lab.budget_trial import SAMPLE_S, THREADS, running_fleet
+from fordstair.lab.budget_trial import FLEET_THREADS, SAMPLE_INTERVAL_S, running_fleet
 
 VOTERS = 5
 LEASE_MS = 5_000.0
@@ -179,17 +179,17 @@
     """Send five processes twice the limit in total, one of them five times as much as each other."""
     with tempfile.TemporaryDirectory(prefix="bud") as folder:
         async with running_fleet(Path(folder), seed=seed) as fleet:
-            all_leased_s = await fleet.until_all_leased(20.0)
+            all_leased_s = await fleet.wait_until_all_leased(20.0)
             rates = dict.fromkeys(fleet.names, 8.0) | {"m0": 40.0}
-            tallies, held = await fleet.traffic(rates, seconds, 1_600.0)
+            tallies, held = await fleet.send_traffic(rates, seconds, 1_600.0)
             audit = fleet.audit()
     # Less was requested at the start and at the end.
-    busy_held = held[round(2.0 / SAMPLE_S) : round((seconds - 1.0) / SAMPLE_S)]
+    busy_held = held[round(2.0 / SAMPLE_INTERVAL_S) : round((seconds - 1.0) / SAMPLE_INTERVAL_S)]
     return {
         "seconds": seconds,
         "first_share_s": round(all_leased_s, 2),
-        "threads_held_most": round(max(held) / THREADS, 3),
-        "threads_held_mean": round(statistics.mean(busy_held) / THREADS, 3),
+        "threads_held_most": round(max(held) / FLEET_THREADS, 3),
+        "threads_held_mean": round(statistics.mean(busy_held) / FLEET_THREADS, 3),
         "served": {name: tally.counts["served"] for name, tally in sorted(tallies.items())},
         "asked": {name: tally.counts["asked"] for name, tally in sorted(tallies.items())},
         "lost": sum(tally.counts["lost"] for tally in tallies.values()),
--- a/benchmarks/fleet_service.py
+++ b/benchmarks/fleet_service.py
@@ -30,7 +30,7 @@
 from fordstair.lab.modelled_engine import ModelledEngine
 from fordstair.lab.played_request import PlayedRequest
 from fordstair.lab.replay import met_objective
-from fordstair.lab.site import Queueing, Site
+from fordstair.lab.site import QueueSettings, Site
 
 ENGINES_PER_COORDINATOR = 4
 RATE_PER_COORDINATOR = 40.0  # requests a second
@@ -74,10 +74,10 @@
         engines,
         count,
         seed,
-        Queueing(dict(enumerate(SHARES))),
+        QueueSettings(dict(enumerate(SHARES))),
         plan(count) if fleet else None,
     )
-    records = run_in_virtual_time(partial(site.play, traffic, WARM_MS, script), seed)
+    records = run_in_virtual_time(partial(site.run, traffic, WARM_MS, script), seed)
     return site, [record for coordinator_records in records for record in coordinator_records]
 
 
@@ -94,13 +94,13 @@
             for team, rows in records_by_team.items()
         },
         "out": {
-            team: round(max(held.get(n, 0) for _, held in site.held) / limits[n], 3)
+            team: round(max(held.get(n, 0) for _, held in site.held_threads) / limits[n], 3)
             for n, team in enumerate(TEAMS)
         },
         "waits": round(share, 3),
         "waits_told": released_count,
         "requests": len(records),
-        "unanswered": sum(not record.how for record in records),
+        "unanswered": sum(not record.outcome for record in records),
         "over": site.fleet.audit.violations() if site.fleet is not None else 0,
     }
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -128,7 +128,7 @@
     """Stall a tenth of the members for 1.5 s of every 1.7 s, at 5 % loss; count accusations of the others."""
     network = Network(seed, loss=0.05)
     config = CONFIG if kind is SwimMember else replace(CONFIG, max_suspicion_factor=1.0)
-    addresses = swim_fleet(network, members, config, seed, kind=kind)
+    addresses = swim_fleet(network, members, config, seed, member_type=kind)
     if kind is PlainSwimMember:
         for node in network.nodes.values():
             assert isinstance(node, SwimMember)
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -59,7 +59,7 @@
 
     def come_back() -> None:
         for server in failed:
-            server.come_back_cold()
+            server.restart_cold()
         site.announce(ListUpdateKind.FULL, site.engines, (100.0, 1_500.0))
 
     site.at(SILENT_MS, fail)
@@ -110,13 +110,13 @@
         "dark": served_share(SILENT_MS, RETURN_MS),
         "after": served_share(RETURN_MS, seconds * 1e3),
         "worst_5s": min(served_share(*span) for span in spans),
-        "failed": sum(record.how == "failed" for record in records),
-        "refused_dark": round(statistics.mean(record.how == "refused" for record in silent), 3),
+        "failed": sum(record.outcome == "failed" for record in records),
+        "refused_dark": round(statistics.mean(record.outcome == "refused" for record in silent), 3),
         "connect_failed": sum(each.get(f"outcome.{Status.CONNECT_FAILED.value}", 0) for each in outcomes),
         "cold_peak": round(cold_peak(site), 2),
         "loads": len(loads),
         "loads_run_twice": sum(count > 1 for count in loads.values()),
-        "unanswered": sum(not record.how for record in records),
+        "unanswered": sum(not record.outcome for record in records),
         "requests": len(records),
     }
 
@@ -135,14 +135,14 @@
     ]
     servers = [
         ModelledEngine(
-            f"e-{n}", Machine(CORES, cold_part=INITIAL_CAPACITY, warm_ms=SLOW_START_MS), zone=n % ZONES
+            f"e-{n}", Machine(CORES, cold_capacity=INITIAL_CAPACITY, warm_up_ms=SLOW_START_MS), zone=n % ZONES
         )
         for n in range(engines)
     ]
     site = Site(
         site_settings(coordinators), servers, coordinators, seed, eject_silent_zones=eject_silent_zones
     )
-    records = run_in_virtual_time(partial(site.play, traffic, 1_000.0, script), seed)
+    records = run_in_virtual_time(partial(site.run, traffic, 1_000.0, script), seed)
     return site, [record for coordinator_records in records for record in coordinator_records]
 
 
--- a/fordstair/lab/replay.py
+++ b/fordstair/lab/replay.py
@@ -13,7 +13,7 @@
 from fordstair.lab.billing_close import Arrival, read_arrivals
 from fordstair.lab.machine import Machine
 from fordstair.lab.played_request import PlayedRequest
-from fordstair.lab.virtual import World
+from fordstair.lab.virtual import GatewaySimulation
 from fordstair.scheduling.scheduler import Scheduler
 
 
@@ -57,7 +57,7 @@
 ) -> list[PlayedRequest]:
     """Replay the traffic once; return what became of each request."""
     machines = {each.id: Machine(each.cores) for each in file.engines}
-    return World(settings, machines, seed, scheduler).run(arrivals)
+    return GatewaySimulation(settings, machines, seed, scheduler).run(arrivals)
 
 
 def total_earned_weight(records: list[PlayedRequest], settings: Settings) -> float:
@@ -68,7 +68,7 @@
 def earned_weight(record: PlayedRequest, settings: Settings) -> float:
     """Return a request's weight if served within its latency objective, a part if later, else 0."""
     spec = settings.classes[record.class_index]
-    if record.how != "served":
+    if record.outcome != "served":
         return 0.0
     return spec.priority_weight * (1.0 if met_objective(record, settings) else spec.late_weight)
 
@@ -79,7 +79,7 @@
     objective_ms = (
         spec.latency_objective_ms + spec.latency_objective_work_factor * record.arrival.work_ms / spec.threads
     )
-    return record.how == "served" and record.answered_ms <= objective_ms
+    return record.outcome == "served" and record.answered_ms <= objective_ms
 
 
 def figures_by_team(records: list[PlayedRequest], settings: Settings) -> dict[str, dict[str, Any]]:
@@ -90,7 +90,7 @@
     }
     figures = dict[str, dict[str, Any]]()
     for name, group in {**groups, "all": records}.items():
-        outcomes = Counter(each.how for each in group)
+        outcomes = Counter(each.outcome for each in group)
         waits = sorted(each.released_ms for each in group if not math.isnan(each.released_ms))
         figures[name] = {
             "asked": len(group),
