--- a/fordstair/lab/site.py
+++ b/fordstair/lab/site.py
@@ -2,8 +2,8 @@
 
 ``virtual.GatewaySimulation`` simulates a single decision module. Here each coordinator is the program's own
 ``Coordinator`` with an ``AdmissionQueue`` and, if a plan is given, the fleet's budgets on a network with
-faults. Only fronts and engine transports are replaced, at their ports. It runs under ``clockwork.play`` and
-is deterministic by seed.
+faults. Only fronts and engine transports are replaced, at their ports. It runs under
+``clockwork.run_in_virtual_time`` and is deterministic by seed.
 """
 
 from __future__ import annotations
