--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -1,4 +1,4 @@
-"""SPIFFE identities: what a peer's certificate must be, and mutual TLS from end to end."""
+"""SPIFFE identities: which certificates of peers are valid, and mutual TLS from end to end."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from fordstair.runtime.deadlines import Deadlines
 from tests.scenes import play
 from tests.standins import RestEngine, config, program
-from tests.test_odata import OPERATOR, runs
+from tests.test_odata import OPERATOR, odata_script
 
 START = datetime.datetime(2020, 1, 1)
 END = datetime.datetime(2090, 1, 1)
@@ -31,7 +31,7 @@
 
 
 class Authority:
-    """A trust domain's signer, for tests."""
+    """The certificate authority of a trust domain."""
 
     def __init__(self) -> None:
         self.key = ec.generate_private_key(ec.SECP256R1())
@@ -68,7 +68,7 @@
         return builder.sign(self.key, hashes.SHA256())
 
     def write(self, folder: Path, name: str, uri: str) -> dict[str, str]:
-        """Write an SVID with its key, and the bundle; return their paths."""
+        """Write an SVID, its key and the trust bundle; return their paths."""
         key = ec.generate_private_key(ec.SECP256R1())
         pem = serialization.Encoding.PEM
         texts = {
@@ -98,12 +98,12 @@
         "",
     ],
 )
-def test_what_is_no_workloads_id(text: str) -> None:
+def test_an_invalid_spiffe_id_is_rejected(text: str) -> None:
     with pytest.raises(IdentityError):
         parse_id(text)
 
 
-def test_what_a_peers_certificate_must_be() -> None:
+def test_only_a_valid_peer_certificate_has_an_id() -> None:
     authority, key = Authority(), ec.generate_private_key(ec.SECP256R1())
     assert spiffe_id(authority.sign(key, [KARRI])) == KARRI
     for bad in (
@@ -118,31 +118,31 @@
             spiffe_id(bad)
 
 
-def test_files_that_rotate_are_read_anew_and_broken_ones_are_not_taken(tmp_path: Path) -> None:
+def test_rotated_files_are_reloaded_and_broken_ones_are_not(tmp_path: Path) -> None:
     authority, counters = Authority(), Counters()
-    told = authority.write(tmp_path, "own", KARRI) | {"trust_domain": "solar.example"}
-    identity = Identity(parse_identity_table(told), Deadlines(), counters)
+    paths = authority.write(tmp_path, "own", KARRI) | {"trust_domain": "solar.example"}
+    identity = Identity(parse_identity_table(paths), Deadlines(), counters)
     first = identity.server
     identity.watch()
     assert identity.server is first
-    good = Path(told["certificate"]).read_bytes()
-    Path(told["certificate"]).write_text("half a file")
+    good = Path(paths["certificate"]).read_bytes()
+    Path(paths["certificate"]).write_text("half a file")
     identity.watch()
     assert identity.server is first
     assert counters["identity.reload_failures"] == 1
-    Path(told["certificate"]).write_bytes(good)
-    os.utime(told["certificate"], (1.0, 1.0))
+    Path(paths["certificate"]).write_bytes(good)
+    os.utime(paths["certificate"], (1.0, 1.0))
     identity.watch()
     assert identity.server is not first
     assert counters["identity.rotations"] == 1
 
 
 @asynccontextmanager
-async def secured(one: RestEngine, context: ssl.SSLContext) -> AsyncIterator[RestEngine]:
-    """The stand-in engine behind TLS."""
+async def serve_over_tls(one: RestEngine, ssl_context: ssl.SSLContext) -> AsyncIterator[RestEngine]:
+    """Serve the fake engine over TLS."""
 
     async def serve(stream: trio.SocketStream) -> None:
-        tls = trio.SSLStream(stream, context, server_side=True, https_compatible=True)
+        tls = trio.SSLStream(stream, ssl_context, server_side=True, https_compatible=True)
         try:
             await tls.do_handshake()
         except (trio.BrokenResourceError, ssl.SSLError):
@@ -156,12 +156,12 @@
         nursery.cancel_scope.cancel()
 
 
-def context(protocol: int, paths: dict[str, str]) -> ssl.SSLContext:
-    made = ssl.SSLContext(protocol)
-    made.check_hostname, made.verify_mode = False, ssl.CERT_REQUIRED
-    made.load_verify_locations(paths["bundle"])
-    made.load_cert_chain(paths["certificate"], paths["key"])
-    return made
+def ssl_context(protocol: int, paths: dict[str, str]) -> ssl.SSLContext:
+    context = ssl.SSLContext(protocol)
+    context.check_hostname, context.verify_mode = False, ssl.CERT_REQUIRED
+    context.load_verify_locations(paths["bundle"])
+    context.load_cert_chain(paths["certificate"], paths["key"])
+    return context
 
 
 @pytest.mark.parametrize(
@@ -173,10 +173,15 @@
         (KARRI, "spiffe://solar.example/no-engine", 503),
     ],
 )
-def test_mutual_tls_from_client_to_engine(tmp_path: Path, client: str, engine_id: str, status: int) -> None:
+def test_mutual_tls_authenticates_the_client_and_the_engine(
+    tmp_path: Path, client: str, engine_id: str, status: int
+) -> None:
     authority = Authority()
     own = authority.write(tmp_path, "own", "spiffe://solar.example/coordinator")
-    theirs, peer = authority.write(tmp_path, "engine", engine_id), authority.write(tmp_path, "client", client)
+    engine_paths, client_paths = (
+        authority.write(tmp_path, "engine", engine_id),
+        authority.write(tmp_path, "client", client),
+    )
     lines = [f'{name} = "{path}"' for name, path in own.items()]
     operator = tmp_path / "appliance.toml"
     operator.write_text(
@@ -194,14 +199,16 @@
     )
 
     async def scene() -> None:
-        one = RestEngine(runs(1))
+        one = RestEngine(odata_script(1))
         async with (
-            secured(one, context(ssl.PROTOCOL_TLS_SERVER, theirs)),
+            serve_over_tls(one, ssl_context(ssl.PROTOCOL_TLS_SERVER, engine_paths)),
             program(config(one.address), "--operator", str(operator)) as node,
         ):
             plain = await trio.open_tcp_stream("127.0.0.1", node.ports["odata"])
-            tls = trio.SSLStream(plain, context(ssl.PROTOCOL_TLS_CLIENT, peer), https_compatible=True)
-            # a team named in a header counts for nothing where there are identities
+            tls = trio.SSLStream(
+                plain, ssl_context(ssl.PROTOCOL_TLS_CLIENT, client_paths), https_compatible=True
+            )
+            # With identities configured, the team header is ignored.
             await tls.send_all(
                 b"GET /odata/Settlements HTTP/1.1\r\nHost: x\r\nX-Team: karri-energy\r\n"
                 b"Connection: close\r\n\r\n"
--- a/tests/test_odata.py
+++ b/tests/test_odata.py
@@ -61,25 +61,25 @@
 
 
 @asynccontextmanager
-async def appliance(
+async def odata_program(
     tmp_path: Path, *engines: RestEngine, odata: tuple[int, ...] = (), settings: dict[str, Any] = SETTINGS
 ) -> AsyncIterator[Program]:
-    """The program with both fronts; the engines at these positions are spoken to in OData."""
+    """Run the program with both fronts; the engines at the positions in ``odata`` use OData."""
     operator = tmp_path / "appliance.toml"
     operator.write_text(
         OPERATOR + "".join(f'[[engine]]\nid = "s-{number:08x}"\nprotocol = "odata"\n' for number in odata)
     )
-    told = config(*(one.address for one in engines), settings=settings)
-    async with program(told, "--operator", str(operator)) as node:
+    configuration = config(*(one.address for one in engines), settings=settings)
+    async with program(configuration, "--operator", str(operator)) as node:
         yield node
 
 
 def call(node: Program, method: str, path: str, body: object = None, **headers: str) -> tuple[int, Any, Any]:
-    """Make one HTTP call; return status, headers and JSON."""
+    """Make one HTTP call; return its status, headers and body, parsed if it is JSON."""
     connection = http.client.HTTPConnection("127.0.0.1", node.ports["odata"], timeout=30)
-    told = {name.replace("_", "-"): value for name, value in headers.items()}
+    sent_headers = {name.replace("_", "-"): value for name, value in headers.items()}
     text = None if body is None else ujson.dumps(body)
-    connection.request(method, path, text, {"Content-Type": "application/json"} | told)
+    connection.request(method, path, text, {"Content-Type": "application/json"} | sent_headers)
     response = connection.getresponse()
     read = response.read()
     connection.close()
@@ -93,9 +93,9 @@
     return await trio.to_thread.run_sync(lambda: call(node, method, path, body, **headers))
 
 
-def runs(polls: int) -> Script:
-    """An OData engine: 202, so many more, then two pages by a next link."""
-    asked: Counter[str] = Counter()
+def odata_script(polls: int) -> Script:
+    """Return the script of an OData engine: 202 to the POST and to ``polls`` polls, then two linked pages."""
+    polls_by_path: Counter[str] = Counter()
 
     async def script(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
@@ -107,8 +107,8 @@
             return 204, {}, b""
         if "page" in path:
             return 200, {}, b'{"value":[{"x":"d","y":"e","z":"f"}]}'
-        asked[path] += 1
-        if asked[path] <= polls:
+        polls_by_path[path] += 1
+        if polls_by_path[path] <= polls:
             return 202, {}, b""
         page = {"value": [{"x": "a", "y": "b", "z": "c"}], "@odata.nextLink": "page?n=2"}
         return 200, {"AsyncResult": "200"}, ujson.dumps(page).encode()
@@ -124,17 +124,17 @@
     return 204, {}, b""
 
 
-def test_one_read_from_end_to_end_and_its_statement(tmp_path: Path) -> None:
+def test_a_read_returns_its_rows_and_sends_the_expected_statement(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with engine(runs(1)) as one, appliance(tmp_path, one, odata=(0,)) as node:
-            status, _, told = await ask(
+        async with engine(odata_script(1)) as one, odata_program(tmp_path, one, odata=(0,)) as node:
+            status, _, payload = await ask(
                 node,
                 "GET",
                 "/odata/Settlements?$filter=account%20eq%20'it''s'&$orderby=period%20desc&$top=9"
                 "&$select=account,amount",
             )
             assert status == 200
-            assert told["value"] == [
+            assert payload["value"] == [
                 {"account": "a", "amount": "c"},
                 {"account": "d", "amount": "f"},
             ]
@@ -144,9 +144,9 @@
                 "SELECT account, period, amount FROM settlement_7.lines WHERE account = 'it''s' "
                 "ORDER BY period DESC FETCH FIRST 9 ROWS ONLY"
             )
-            status, _, told = await ask(node, "GET", "/odata/Settlements('k')")
+            status, _, payload = await ask(node, "GET", "/odata/Settlements('k')")
             assert status == 200
-            assert told["amount"] == "c"
+            assert payload["amount"] == "c"
             assert (await ask(node, "GET", "/odata/"))[2]["value"][1]["name"] == "Readings"
             assert b'Name="SettlementsRow"' in (await ask(node, "GET", "/odata/$metadata"))[2]
 
@@ -167,19 +167,21 @@
         ("/odata/Settlements?$skiptoken=0-1", 410, "ResultGone"),
     ],
 )
-def test_errors_have_their_status_and_body(tmp_path: Path, path: str, status: int, code: str) -> None:
+def test_an_invalid_request_gets_the_expected_status_and_error_code(
+    tmp_path: Path, path: str, status: int, code: str
+) -> None:
     async def scene() -> None:
-        async with engine() as one, appliance(tmp_path, one) as node:
-            got, headers, told = await ask(node, "GET", path)
-            assert (got, told["error"]["code"], headers["OData-Version"]) == (status, code, "4.01")
+        async with engine() as one, odata_program(tmp_path, one) as node:
+            got, headers, payload = await ask(node, "GET", path)
+            assert (got, payload["error"]["code"], headers["OData-Version"]) == (status, code, "4.01")
             assert not one.posts
 
     play(scene)
 
 
-def test_a_paged_result_that_outlives_the_clients_patience(tmp_path: Path) -> None:
+def test_a_paged_result_is_served_by_next_links_until_it_expires(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with engine(five_rows) as one, appliance(tmp_path, one) as node:
+        async with engine(five_rows) as one, odata_program(tmp_path, one) as node:
             _, _, first = await ask(node, "GET", "/odata/Settlements?$count=true")
             assert first["@odata.count"] == 5
             assert len(first["value"]) == 2
@@ -189,16 +191,16 @@
             assert len(last["value"]) == 1
             assert "@odata.nextLink" not in last
             await trio.sleep(2.2)
-            status, _, told = await ask(node, "GET", first["@odata.nextLink"])
+            status, _, payload = await ask(node, "GET", first["@odata.nextLink"])
             assert status == 410
-            assert told["error"]["code"] == "ResultGone"
+            assert payload["error"]["code"] == "ResultGone"
             assert len(one.posts) == 1
 
     play(scene)
 
 
-def test_kept_results_stay_within_their_number_and_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    """64 results of many short rows would have passed the limit on memory."""
+def test_stored_results_stay_within_their_count_and_memory_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The count alone does not bound the memory: 64 results of many short rows would exceed its limit."""
     one = EntitySet("S", "s.t", ("a",), "lookup", "lookup")
     kept = StoredResults(3, 1000.0, Deadlines())
     names = [kept.store(Result("t", [b"x"] * 10, one, ("a",), 2)) for _ in range(5)]
@@ -212,13 +214,13 @@
     assert len(kept) == 1
 
 
-def test_pages_that_come_too_late_are_a_timeout_and_the_engine_is_told(tmp_path: Path) -> None:
+def test_a_read_past_its_deadline_gets_504_and_its_query_is_cancelled(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with engine(runs(10_000)) as one, appliance(tmp_path, one, odata=(0,)) as node:
+        async with engine(odata_script(10_000)) as one, odata_program(tmp_path, one, odata=(0,)) as node:
             start = time.monotonic()
-            status, headers, told = await ask(node, "GET", "/odata/Settlements", Prefer="wait=1")
+            status, headers, payload = await ask(node, "GET", "/odata/Settlements", Prefer="wait=1")
             assert status == 504
-            assert told["error"]["code"] == "Timeout"
+            assert payload["error"]["code"] == "Timeout"
             assert int(headers["Retry-After"]) >= 1
             assert time.monotonic() - start < 10.0
             while not one.deleted:
@@ -228,11 +230,11 @@
 
 
 @pytest.mark.parametrize("odata", [(), (0,)])
-def test_a_load_whose_engine_breaks_mid_batch_is_not_sent_again(
+def test_a_load_in_a_batch_is_not_sent_again_after_its_engine_disconnects(
     tmp_path: Path, odata: tuple[int, ...]
 ) -> None:
     async def scene() -> None:
-        async with engine(breaks) as one, appliance(tmp_path, one, odata=odata) as node:
+        async with engine(breaks) as one, odata_program(tmp_path, one, odata=odata) as node:
             part = {
                 "id": "1",
                 "method": "POST",
@@ -240,18 +242,18 @@
                 "body": READING,
                 "headers": {"Repeatability-Request-ID": "r-1"},
             }
-            for _ in range(2):  # the client sends the whole batch again
-                status, _, told = await ask(node, "POST", "/odata/$batch", {"requests": [part]})
+            for _ in range(2):  # The client retries the whole batch.
+                status, _, payload = await ask(node, "POST", "/odata/$batch", {"requests": [part]})
                 assert status == 200
-                assert told["responses"][0]["status"] == 502
+                assert payload["responses"][0]["status"] == 502
             assert len(one.posts) == 1
 
     play(scene)
 
 
-def test_a_client_that_drops_mid_batch_starts_nothing_more(tmp_path: Path) -> None:
+def test_no_further_part_starts_after_the_client_disconnects_mid_batch(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with engine(never) as one, appliance(tmp_path, one) as node:
+        async with engine(never) as one, odata_program(tmp_path, one) as node:
             parts = [{"id": str(n), "method": "POST", "url": "Readings", "body": READING} for n in range(3)]
             body = ujson.dumps({"requests": parts}).encode()
             stream = await trio.open_tcp_stream("127.0.0.1", node.ports["odata"])
@@ -271,18 +273,18 @@
     play(scene)
 
 
-def test_a_batch_answers_part_by_part(tmp_path: Path) -> None:
+def test_a_batch_gets_one_response_per_part(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with engine() as one, appliance(tmp_path, one) as node:
+        async with engine() as one, odata_program(tmp_path, one) as node:
             parts = [
                 {"id": "a", "method": "POST", "url": "Readings", "body": READING},
                 {"id": "b", "method": "GET", "url": "/odata/Settlements"},
                 {"id": "c", "method": "GET", "url": "Nothing"},
                 {"id": "d", "method": "GET", "url": "Settlements", "dependsOn": ["c"]},
             ]
-            _, _, told = await ask(node, "POST", "/odata/$batch", {"requests": parts})
-            assert [part["status"] for part in told["responses"]] == [201, 200, 404, 424]
-            assert told["responses"][0]["headers"]["location"] == "/odata/Readings('m%27%271')"
+            _, _, payload = await ask(node, "POST", "/odata/$batch", {"requests": parts})
+            assert [part["status"] for part in payload["responses"]] == [201, 200, 404, 424]
+            assert payload["responses"][0]["headers"]["location"] == "/odata/Readings('m%27%271')"
             assert one.posts[0][1] == (
                 b"INSERT INTO readings_2.intervals (meter, started, kwh) "
                 b"VALUES ('m''1', '2026-01-01', '3.5')"
@@ -297,10 +299,10 @@
 
 @pytest.mark.parametrize("batch", [False, True])
 @pytest.mark.parametrize("connected_before", [True, False])
-def test_what_a_request_waited_in_a_paused_program_comes_off_its_clients_time(
+def test_time_that_a_request_waits_in_a_paused_program_counts_against_its_deadline(
     tmp_path: Path, connected_before: bool, batch: bool
 ) -> None:
-    # Guards against a deadline that is counted from when the request was read.
+    # Guards against a deadline that counts from when the request is read instead of from its arrival.
     request = b"GET /odata/Settlements HTTP/1.1\r\nHost: x\r\nPrefer: wait=%d\r\n\r\n" % WAIT_S
     if batch:
         body = ujson.dumps({"requests": [{"id": "1", "method": "GET", "url": "Settlements"}]}).encode()
@@ -310,9 +312,9 @@
         )
 
     async def scene() -> None:
-        async with engine(never) as one, appliance(tmp_path, one) as node:
+        async with engine(never) as one, odata_program(tmp_path, one) as node:
             port = node.ports["odata"]
-            if connected_before:  # it is accepted, and rests
+            if connected_before:  # The program accepts the connection before the pause.
                 stream = await trio.open_tcp_stream("127.0.0.1", port)
                 await stream.send_all(b"GET /odata/ HTTP/1.1\r\nHost: x\r\n\r\n")
                 assert b" 200 " in await stream.receive_some(65536)
@@ -332,30 +334,30 @@
     play(scene)
 
 
-def test_a_refusal_says_when_to_come_back(tmp_path: Path) -> None:
+def test_a_rejection_has_a_retry_after_header(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with appliance(tmp_path) as node:  # no engine at all: nothing can run
-            status, headers, told = await ask(node, "POST", "/odata/Readings", READING)
-            assert (status, told["error"]["code"]) == (503, "Overloaded")
+        async with odata_program(tmp_path) as node:  # Without an engine no request can run.
+            status, headers, payload = await ask(node, "POST", "/odata/Readings", READING)
+            assert (status, payload["error"]["code"]) == (503, "Overloaded")
             assert int(headers["Retry-After"]) >= 1
 
     play(scene)
 
 
 @pytest.mark.parametrize("script", ["served", "silent", "broken"])
-def test_both_protocols_get_the_same_answers_at_the_same_time(tmp_path: Path, script: str) -> None:
-    """Each kind of client asks the same of the same engines, one of which expects OData."""
+def test_clients_of_both_protocols_get_the_same_outcomes_side_by_side(tmp_path: Path, script: str) -> None:
+    """Both kinds of client send the same requests to the same engines, one of which uses OData."""
     scripts: dict[str, tuple[Script, Script]] = {
-        "served": (at_once, runs(0)),
-        "silent": (never, runs(10_000)),
+        "served": (at_once, odata_script(0)),
+        "silent": (never, odata_script(10_000)),
         "broken": (breaks, breaks),
     }
 
-    # Where all is to be served, a machine short of time must not make the module refuse: neither what is
-    # late nor, with all sixteen out at once, for the threads that they hold.
-    wait_s, patient = (30, {"promiseMs": 60_000.0, "giveUpMs": 60_000.0}) if script == "served" else (1, {})
+    # Where all requests should be served, a slow machine must not cause rejections, neither for lateness nor,
+    # with all sixteen requests in flight at once, for the threads that they hold.
+    wait_s, limits = (30, {"promiseMs": 60_000.0, "giveUpMs": 60_000.0}) if script == "served" else (1, {})
     settings = SETTINGS | {
-        "categories": [spec | patient for spec in SETTINGS["categories"]],
+        "categories": [spec | limits for spec in SETTINGS["categories"]],
         "extra": SETTINGS["extra"] | {"cpuOfKind": [200]},
     }
 
@@ -364,32 +366,32 @@
         async with (
             engine(rest) as one,
             engine(odata) as two,
-            appliance(tmp_path, one, two, odata=(1,), settings=settings) as node,
+            odata_program(tmp_path, one, two, odata=(1,), settings=settings) as node,
         ):
             counts: dict[str, Counter[str]] = {"msgpack": Counter(), "odata": Counter()}
-            took: dict[tuple[str, str], list[float]] = {}
+            durations_s: dict[tuple[str, str], list[float]] = {}
 
             async def by_msgpack(number: int, class_name: str) -> None:
                 client, start = await node.client(), time.monotonic()
-                asked = await client.ask(class_name, limit=str(wait_s * 1000), txn=f"{number:016x}")
-                error, result = await client.answer(asked)
+                request_id = await client.ask(class_name, limit=str(wait_s * 1000), txn=f"{number:016x}")
+                error, result = await client.answer(request_id)
                 assert error or result == ROWS
                 counts["msgpack"][
                     {"Overloaded": "refused", "Internal": "failed"}[error[0]] if error else "served"
                 ] += 1
-                took.setdefault(("msgpack", class_name), []).append(time.monotonic() - start)
+                durations_s.setdefault(("msgpack", class_name), []).append(time.monotonic() - start)
 
             async def by_odata(number: int, class_name: str) -> None:
                 start, wait = time.monotonic(), f"wait={wait_s}"
                 if class_name == "meter-load":
                     status, headers, _ = await ask(node, "POST", "/odata/Readings", READING, Prefer=wait)
                 else:
-                    status, headers, told = await ask(node, "GET", "/odata/Settlements", Prefer=wait)
-                    assert status != 200 or len(told["value"]) == 2
+                    status, headers, payload = await ask(node, "GET", "/odata/Settlements", Prefer=wait)
+                    assert status != 200 or len(payload["value"]) == 2
                 counts["odata"][
                     "served" if status < 300 else "refused" if "Retry-After" in headers else "failed"
                 ] += 1
-                took.setdefault(("odata", class_name), []).append(time.monotonic() - start)
+                durations_s.setdefault(("odata", class_name), []).append(time.monotonic() - start)
 
             async with trio.open_nursery() as nursery:
                 for number, class_name in enumerate(("settlement", "meter-load") * 4):
@@ -397,25 +399,25 @@
                     nursery.start_soon(by_odata, number, class_name)
             expected = {"served": {"served": 8}}.get(script, {"refused": 4, "failed": 4})
             assert counts["msgpack"] == counts["odata"] == Counter(expected)
-            for (_, class_name), times in took.items():
+            for (_, class_name), times in durations_s.items():
                 assert len(times) == 4
                 assert max(times) < 10.0
-                # a load that may run has only its deadline to end it; a read may be moved and refused before
+                # Only its deadline ends a load that may run; a read may be retried and rejected earlier.
                 assert script != "silent" or class_name != "meter-load" or min(times) > 0.8
             loads = [
                 headers.get("x-txn") or ujson.loads(body)["Txn"]
                 for headers, body in (*one.posts, *two.posts)
                 if "meter-load" in (headers.get("x-lane", ""), body.decode()) or b"meter-load" in body
             ]
-            assert len(loads) == len(set(loads)) == 8  # each once
+            assert len(loads) == len(set(loads)) == 8  # Each load was sent once.
 
     play(scene)
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /odata/Settlements HTTP/1.1\r\nHost: a\r\n"])
-def test_a_client_that_is_silent_or_stops_in_a_request_is_closed(tmp_path: Path, sent: bytes) -> None:
+def test_a_client_that_is_idle_or_stops_within_a_request_is_disconnected(tmp_path: Path, sent: bytes) -> None:
     async def scene() -> None:
-        async with engine() as one, appliance(tmp_path, one) as node:
+        async with engine() as one, odata_program(tmp_path, one) as node:
             stream = await trio.open_tcp_stream("127.0.0.1", node.ports["odata"])
             await stream.send_all(sent)
             with trio.fail_after(20.0):
@@ -424,13 +426,14 @@
     play(scene)
 
 
-def test_a_body_that_is_too_large_is_refused_and_its_refusal_arrives(tmp_path: Path) -> None:
+def test_a_client_whose_body_is_too_large_receives_the_413_response(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with engine() as one, appliance(tmp_path, one) as node:
+        async with engine() as one, odata_program(tmp_path, one) as node:
             stream = await trio.open_tcp_stream("127.0.0.1", node.ports["odata"])
             head = b"POST /odata/Readings HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n"
             await stream.send_all(head)
-            await stream.send_all(b"x" * 600_000)  # more than is read: a plain close would send a reset
+            # The front reads only part of this body, so a plain close would send a reset.
+            await stream.send_all(b"x" * 600_000)
             got = b""
             with trio.fail_after(20.0):
                 while chunk := await stream.receive_some(65536):
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Parsers against random cuts of valid messages and random garbage."""
+"""Parsers with random prefixes of valid messages and with random bytes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from tests.standins import SETTINGS, config
 
 many = settings(max_examples=150, derandomize=True, deadline=None)
-plain = (
+scalars = (
     st.none()
     | st.booleans()
     | st.integers(-(2**63), 2**64 - 1)
@@ -32,27 +32,27 @@
     | st.binary(max_size=300)
 )
 values = st.recursive(
-    plain,
+    scalars,
     lambda inner: st.lists(inner, max_size=20) | st.dictionaries(st.binary(max_size=5), inner, max_size=20),
     max_leaves=30,
 )
 SETS = {"S": EntitySet("S", "s_1.t", ("a", "b"), "lookup", "lookup")}
 
 
-def whole(value: Any) -> Any:
-    """Copy slices out."""
+def copy_slices(value: Any) -> Any:
+    """Replace each memoryview in a value with a copy of its bytes."""
     if isinstance(value, memoryview):
         return bytes(value)
     if isinstance(value, list):
-        return [whole(item) for item in value]
-    return {whole(k): whole(v) for k, v in value.items()} if isinstance(value, dict) else value
+        return [copy_slices(item) for item in value]
+    return {copy_slices(k): copy_slices(v) for k, v in value.items()} if isinstance(value, dict) else value
 
 
 @many
 @given(values, st.data())
-def test_messagepack_agrees_with_the_library_and_knows_every_cut(value: Any, data: Any) -> None:
+def test_messagepack_reads_as_the_library_does_and_detects_every_truncation(value: Any, data: Any) -> None:
     packed = msgpack.packb(value)
-    assert whole(read(memoryview(packed))[0]) == msgpack.unpackb(packed, strict_map_key=False)
+    assert copy_slices(read(memoryview(packed))[0]) == msgpack.unpackb(packed, strict_map_key=False)
     cut = data.draw(st.integers(0, len(packed) - 1))
     with pytest.raises(IncompleteMessageError) as short:
         read(memoryview(packed[:cut]))
@@ -61,7 +61,7 @@
 
 @many
 @given(st.binary(max_size=200))
-def test_garbage_is_a_value_incomplete_or_malformed(garbage: bytes) -> None:
+def test_random_bytes_are_a_value_incomplete_or_malformed(garbage: bytes) -> None:
     try:
         _, end = read(memoryview(garbage))
         assert 0 < end <= len(garbage)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("data", [b"\x91" * 20 + b"\xc0", b"\xdd\xff\xff\xff\xff", b"\x81\x90\xc0", b"\xc1"])
-def test_bounds_of_messagepack(data: bytes) -> None:
+def test_invalid_or_oversized_messagepack_is_malformed(data: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         read(memoryview(data))
 
@@ -89,7 +89,7 @@
     st.lists(st.tuples(st.integers(0, 2**64 - 1), st.integers(0, 2)), min_size=1, max_size=6),
     st.integers(1, 40),
 )
-def test_frames_survive_any_cut(events: list[tuple[int, int]], size: int) -> None:
+def test_frames_are_read_from_chunks_of_any_size(events: list[tuple[int, int]], size: int) -> None:
     record = struct.pack(">I4sHBBBHIQ", 0xC41F7A, bytes((10, 1, 0, 9)), 6565, 1, 2, 0, 3, 4000, 77)
     stream = b"".join(
         struct.pack(">IQB", 9 + 27 * bool(kind), number, kind) + record * bool(kind)
@@ -132,30 +132,30 @@
         ("select t_3.a from s_4.b as t_3", 4),
     ],
 )
-def test_group_of_tables(statement: str, group: float) -> None:
+def test_the_table_group_is_the_number_in_the_schema_name(statement: str, group: float) -> None:
     assert table_group(statement) == group
 
 
 @many
 @given(st.text(max_size=60), st.sampled_from(["$filter", "$orderby", "$top", "$skip", "$select", "$count"]))
-def test_options_are_understood_or_refused(text: str, option: str) -> None:
+def test_query_options_are_parsed_or_rejected(text: str, option: str) -> None:
     try:
         assert parse_read("S", {option: text}, SETS).statement.startswith("SELECT a, b FROM s_1.t")
     except ODataError as error:
         assert error.status in (400, 501)
 
 
-def test_settings_are_flattened_as_the_modules_reader_takes_them() -> None:
+def test_nested_settings_are_flattened_to_dotted_keys_and_parsed() -> None:
     assert dict(flatten({"a": {"b": [1, 2], "c": [{"d": True}]}, "e": "x, y"})) == {
         "a.b": "1,2",
         "a.c.count": "1",
         "a.c.0.d": "true",
         "e": "x__y",
     }
-    told = parse(config("127.0.0.1:1"))
-    assert [spec.threads for spec in told.settings.classes] == [1, 4, 2]
-    assert told.connect_timeout_ms == 250.0
-    assert told.known[0].engines[0].entry.engine == "s-00000000"
+    configuration = parse(config("127.0.0.1:1"))
+    assert [spec.threads for spec in configuration.settings.classes] == [1, 4, 2]
+    assert configuration.connect_timeout_ms == 250.0
+    assert configuration.known[0].engines[0].entry.engine == "s-00000000"
 
 
 @pytest.mark.parametrize(
@@ -170,7 +170,7 @@
         ({"settings": SETTINGS | {"instances": "many"}}, "instances"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_names_its_field(change: dict[str, Any], named: str) -> None:
+def test_the_error_for_an_invalid_configuration_names_its_field(change: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError, match=named) as error:
         parse(config() | change)
     assert "\n" not in str(error.value)
--- a/tests/test_read_delay.py
+++ b/tests/test_read_delay.py
@@ -1,4 +1,4 @@
-"""How long a message may have lain unread on its connection."""
+"""Estimates of how long input waited on its connection before it was read."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @pytest.mark.parametrize("gap_ms", [SHORT_GAP_MS - 1.0, 800.0])
 @pytest.mark.parametrize("gap", ["before it is accepted", "while it is not read from"])
-def test_what_comes_while_nobody_waits_for_it_is_as_old_as_that_gap(gap: str, gap_ms: float) -> None:
-    # Guards against a poll after a pause that saw nothing of a connection which did not wait yet.
-    now = [10_000.0]
+def test_input_that_arrives_between_waits_may_be_as_old_as_the_gap(gap: str, gap_ms: float) -> None:
+    # Guards against trusting a poll after a pause that did not cover a connection which was not waiting yet.
+    now_ms = [10_000.0]
 
     async def scene() -> None:
         ours, peer = socket.socketpair()
@@ -24,23 +24,23 @@
             stream = trio.SocketStream(trio.socket.from_stdlib_socket(ours))
             accepted_late = gap == "before it is accepted"
             delay = ReadDelay(
-                stream, PollWatch(), Deadlines(lambda: now[0]), gap_ms if accepted_late else 0.0
+                stream, PollWatch(), Deadlines(lambda: now_ms[0]), gap_ms if accepted_late else 0.0
             )
             if not accepted_late:
                 delay.begin_wait()
-                now[0] += 5_000.0  # it waits, and nothing comes
+                now_ms[0] += 5_000.0  # The connection waits and no input arrives.
                 peer.send(b"first")
                 delay.note_readable()
                 assert delay.last_delay_ms == 0.0
                 assert await stream.receive_some(100) == b"first"
-                delay.note_drained(now[0])
-                now[0] += gap_ms
+                delay.note_drained(now_ms[0])
+                now_ms[0] += gap_ms
             peer.send(b"second")
             delay.begin_wait()
             delay.note_readable()
             assert delay.last_delay_ms == (gap_ms if gap_ms > SHORT_GAP_MS else 0.0)
-            now[0] += 30.0
-            delay.begin_wait()  # the rest of what came is older still
+            now_ms[0] += 30.0
+            delay.begin_wait()  # The rest of the input is older still.
             delay.note_readable()
             assert delay.last_delay_ms == (gap_ms + 30.0 if gap_ms > SHORT_GAP_MS else 30.0)
             await stream.aclose()
@@ -48,13 +48,15 @@
     trio.run(scene)
 
 
-def test_what_a_short_read_leaves_behind_is_as_old_as_what_it_took(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a read that returns less than there is, and counts as having read all there was.
+def test_input_that_a_partial_read_leaves_is_as_old_as_the_input_it_returned(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Guards against a partial read that counts as having read all available input.
     now_ms = [10_000.0]
-    reads = trio.SocketStream.receive_some
+    receive_some = trio.SocketStream.receive_some
 
     async def one_byte(stream: trio.SocketStream, most: int | None = None) -> bytes:
-        data = await reads(stream, 1)
+        data = await receive_some(stream, 1)
         now_ms[0] += 30.0
         return data
 
@@ -70,7 +72,7 @@
                 assert delay.last_delay_ms == 30.0 * number
             peer.send(b"n")
             await timed.receive_some()
-            assert delay.last_delay_ms <= 30.0  # all had been read before
+            assert delay.last_delay_ms <= 30.0  # All earlier input had been read.
             await stream.aclose()
 
     monkeypatch.setattr(trio.SocketStream, "receive_some", one_byte)
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs and says what it says."""
+"""The README's example runs and prints the expected output."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 def test_readme_example_runs() -> None:
     example = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert example
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", example[1]], cwd=ROOT, capture_output=True, text=True, timeout=30, check=True
     )
-    assert done.stdout == "send request 1 to one of 2 engines\n"
+    assert process.stdout == "send request 1 to one of 2 engines\n"
 
 
 def test_invalid_settings_name_the_field() -> None:
--- a/tests/test_rpc_requests.py
+++ b/tests/test_rpc_requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients on the platform's front: what is answered, and with what."""
+"""Client requests on the platform's RPC front and their answers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 from tests.scenes import ROWS, ends, play
 from tests.standins import SETTINGS, Answered, RestEngine, at_once, config, engine, never, program
 
-EFFECTS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}  # site file, settings
+# Maps the effect names of a site file to those of the platform's settings.
+EFFECTS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 SITES = [
     tomllib.loads((Path(__file__).parent.parent / f"deploy/sites/{name}.toml").read_text())
     for name in ("quay-freight", "tram-fares")
@@ -20,8 +21,8 @@
 CLASSES: list[dict[str, Any]] = [spec for site in SITES for spec in site["class"]]
 
 
-def settings_of(*classes: dict[str, Any]) -> dict[str, Any]:
-    """The settings of a site with these classes of a site file."""
+def platform_settings(*classes: dict[str, Any]) -> dict[str, Any]:
+    """Return settings with the given classes of a site file."""
     categories = [
         {
             "name": spec["name"],
@@ -37,7 +38,7 @@
     return SETTINGS | {"categories": categories, "extra": extra}
 
 
-def test_a_query_is_served_with_all_its_pages_and_unchanged_on_its_way() -> None:
+def test_a_query_reaches_the_engine_unchanged_and_returns_all_pages() -> None:
     async def scene() -> None:
         async with engine() as one, program(config(one.address)) as node:
             client = await node.client()
@@ -59,33 +60,33 @@
 async def full_at_first(
     one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
 ) -> Answered | bytes | None:
-    """Say that there is no room, until each query has come twice."""
+    """Answer 503 to the first attempt of each query and serve the second."""
     if method == "POST" and len(one.posts) % 2:
         return 503, {"X-Unrun": "1"}, b""
     return await at_once(one, method, path, headers, body)
 
 
 @pytest.mark.parametrize("spec", CLASSES, ids=lambda spec: spec["name"])
-def test_each_field_of_a_variants_class_reaches_the_engine_as_its_client_sent_it(
+def test_each_field_reaches_the_engine_unchanged_in_the_classes_of_the_site_files(
     spec: dict[str, Any],
 ) -> None:
-    # Guards against a field that is dropped or changed on its way, in the first attempt or in a retry.
+    # Guards against a field that is dropped or changed before the engine, in the first attempt or in a retry.
     txn = "9B1f03aa5c7e2d41"
     key = '55CF3773/28d8 d2bd;4c"63=~0a,\\x'
     item = 'meter "7", b\\c'
     statement = b"SELECT '\xc3\xa9\xff\x00' FROM sales_17.orders -- \r\n"
 
     async def scene() -> None:
-        told = config(settings=settings_of(*CLASSES))
+        configuration = config(settings=platform_settings(*CLASSES))
         async with (
             engine(full_at_first) as one,
-            program(config(one.address, settings=told["settings"])) as node,
+            program(config(one.address, settings=configuration["settings"])) as node,
         ):
             client = await node.client()
-            number = await client.ask(
+            request_id = await client.ask(
                 spec["name"], body=statement, txn=txn, unique=key, item=item, limit="1500"
             )
-            assert await client.answer(number) == (None, ROWS)
+            assert await client.answer(request_id) == (None, ROWS)
             assert len(one.posts) == 2
             for headers, body in one.posts:
                 assert headers["x-txn"] == txn
@@ -98,8 +99,8 @@
 
 
 @pytest.mark.parametrize("key", ["", "a\r\nX-Lane: b", "\u00e9"])
-def test_a_key_of_order_that_cannot_be_passed_on_is_named(key: str) -> None:
-    # Guards against a request whose engine is told another order than its client meant, or a header injected.
+def test_an_ordering_key_that_cannot_be_forwarded_is_rejected_and_named(key: str) -> None:
+    # Guards against an engine that receives another order than the client meant, and an injected header.
     async def scene() -> None:
         async with engine() as one, program(config(one.address)) as node:
             client = await node.client()
@@ -112,12 +113,12 @@
 
 
 @pytest.mark.parametrize("key", [None, "", " a", "a ", "a\r\nX-Lane: b", "\u00e9", "a" * 257])
-def test_a_class_with_keys_needs_one_that_can_be_passed_on(key: str | None) -> None:
-    # Guards against a load that its engine cannot tell from its own repeat, and against a header injected.
+def test_a_class_with_idempotency_keys_requires_one_that_can_be_forwarded(key: str | None) -> None:
+    # Guards against a repeated load that its engine cannot detect, and against header injection.
     spec = next(spec for spec in CLASSES if spec["effect"] == "keyed")
 
     async def scene() -> None:
-        async with engine() as one, program(config(one.address, settings=settings_of(spec))) as node:
+        async with engine() as one, program(config(one.address, settings=platform_settings(spec))) as node:
             client = await node.client()
             fields = {} if key is None else {"unique": key}
             error, _ = await client.answer(await client.ask(spec["name"], **fields))
@@ -128,7 +129,7 @@
     play(scene)
 
 
-def test_what_cannot_be_used_is_answered_and_harms_nobody_else() -> None:
+def test_an_invalid_request_is_answered_and_other_clients_are_unaffected() -> None:
     async def scene() -> None:
         async with engine() as one, program(config(one.address)) as node:
             client, other = await node.client(), await node.client()
@@ -143,8 +144,8 @@
                 await client.ask(cpu="-1"),
                 await client.ask(limit=""),
             ]
-            for number in bad:
-                error, _ = await client.answer(number)
+            for request_id in bad:
+                error, _ = await client.answer(request_id)
                 assert error[0] == "Invalid"
             await client.stream.send_all(b"\x94\x00\x63\xc1\xc1")
             error, _ = await client.answer(0x63)
@@ -154,45 +155,46 @@
     play(scene)
 
 
-def test_a_site_without_teams_serves_whatever_team_is_named() -> None:
+def test_a_site_without_teams_serves_requests_of_any_team_or_none() -> None:
     async def scene() -> None:
-        told = {name: value for name, value in SETTINGS.items() if name != "projects"}
-        async with engine() as one, program(config(one.address, settings=told)) as node:
+        settings = {name: value for name, value in SETTINGS.items() if name != "projects"}
+        async with engine() as one, program(config(one.address, settings=settings)) as node:
             client = await node.client()
             assert await client.answer(await client.ask(team="whoever")) == (None, ROWS)
             client.last += 1
-            fields = {"txn": f"{client.last:016x}", "limit": "3000"}  # and where none is named
+            fields = {"txn": f"{client.last:016x}", "limit": "3000"}  # The request names no team.
             await client.send([0, client.last, "lookup", [fields, b"SELECT a FROM sales_17.orders"]])
             assert await client.answer(client.last) == (None, ROWS)
 
     play(scene)
 
 
-def test_ids_count_up_and_a_txn_is_open_once() -> None:
+def test_request_ids_must_increase_and_an_open_txn_must_be_unique() -> None:
     async def scene() -> None:
         async with engine(never) as one, program(config(one.address)) as node:
             client, other = await node.client(), await node.client()
             await client.ask(limit="5000", txn="00000000000000AA")
-            while not one.posts:  # of two connections either may be read first
+            while not one.posts:  # The program may read the two connections in either order.
                 await trio.sleep(0.01)
             again = await other.ask(limit="5000", txn="00000000000000aa", body=b"SELECT 2")
             assert (await other.answer(again))[0][0] == "Invalid"
             await client.send([0, 2, "nonsense", [{}, b""]])
             assert (await client.answer(2))[0][0] == "Invalid"
-            await client.send([0, 2, "lookup", [{}, b""]])  # answered already: a second answer would be wrong
+            # Id 2 is already answered, so a second answer would be a fault.
+            await client.send([0, 2, "lookup", [{}, b""]])
             assert b"Invalid" not in await ends(client, 5.0)
 
     play(scene)
 
 
-def test_the_33rd_open_request_fails_and_the_others_go_on() -> None:
+def test_the_33rd_open_request_is_rejected_and_the_others_continue() -> None:
     async def scene() -> None:
-        # so many engines that the module lets all of them in
+        # There are enough engines for the decision module to admit all requests.
         async with engine(never) as one, program(config(*[one.address] * 16)) as node:
             client = await node.client()
-            numbers = [await client.ask("meter-load", limit="5000") for _ in range(33)]
-            assert (await client.answer(numbers[-1]))[0][0] == "Invalid"
-            for number in numbers[:-1]:
-                assert (await client.answer(number))[0][0] in ("Internal", "Overloaded")
+            request_ids = [await client.ask("meter-load", limit="5000") for _ in range(33)]
+            assert (await client.answer(request_ids[-1]))[0][0] == "Invalid"
+            for request_id in request_ids[:-1]:
+                assert (await client.answer(request_id))[0][0] in ("Internal", "Overloaded")
 
     play(scene)
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -1,4 +1,4 @@
-"""A stepped wall clock changes nothing: real processes, stepped at a barrier while requests are open."""
+"""A step of the wall clock changes nothing: real processes, stepped at a barrier while requests are open."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 
 class Faults:
-    """The faults of one program under the shim."""
+    """Controls the faults of one program that runs under the fault shim."""
 
     def __init__(self, node: Program, path: Path) -> None:
         self.node, self.path = node, path
 
     async def apply(self, **faults: Any) -> None:
-        """Let these faults hold; return once they do."""
+        """Replace the faults; return once the program has applied them."""
         before = self.node.log.count(APPLIED)
         self.path.write_text(ujson.dumps(faults))
         os.kill(self.node.process.pid, signal.SIGUSR2)
@@ -48,19 +48,21 @@
 
 
 @asynccontextmanager
-async def faulty_program(told: dict[str, Any], **faults: Any) -> AsyncIterator[tuple[Program, Faults]]:
+async def faulty_program(
+    configuration: dict[str, Any], **faults: Any
+) -> AsyncIterator[tuple[Program, Faults]]:
     """Run the program under the fault shim, with these faults from its start."""
     with TemporaryDirectory() as folder:
         path = Path(folder) / "faults.json"
         path.write_text(ujson.dumps(faults))
         async with program(
-            told, module="fordstair.lab.fault_shim", environ={ENVIRONMENT_VARIABLE: str(path)}
+            configuration, module="fordstair.lab.fault_shim", environ={ENVIRONMENT_VARIABLE: str(path)}
         ) as node:
             yield node, Faults(node, path)
 
 
-class HeldEngine:
-    """The script of an engine whose queries run until the gate opens, and then end as told."""
+class GatedScript:
+    """The script of an engine whose queries run until the gate opens and then get one given response."""
 
     def __init__(self, end: Answered) -> None:
         self.end, self.gate, self.begun = end, trio.Event(), trio.Event()
@@ -80,26 +82,29 @@
         return self.end if self.gate.is_set() else (202, {}, b"")
 
 
-LOST: Answered = (500, {}, b"")
+FAILED: Answered = (500, {}, b"")
 SERVED: Answered = (200, {"X-Sheets": "2"}, b"a\tb\tc\n")
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
-def test_a_load_that_may_have_run_is_never_sent_again_over_a_step(step_ms: float) -> None:
-    """The incident: the first attempt ends without proof after the step, and another engine has room."""
+def test_a_load_that_may_have_run_is_not_sent_again_after_a_clock_step(step_ms: float) -> None:
+    """Regression test for an incident: a load was sent again, to a free engine, after a step.
+
+    The first attempt had failed after the step, without proof that it never ran.
+    """
 
     async def scene() -> None:
-        held = HeldEngine(LOST)
+        script = GatedScript(FAILED)
         async with (
-            engine(held) as one,
-            engine(held) as two,
+            engine(script) as one,
+            engine(script) as two,
             faulty_program(config(one.address, two.address)) as (node, faults),
         ):
             client = await node.client()
             number = await client.ask("meter-load", limit="20000")
-            await held.begun.wait()
+            await script.begun.wait()
             await faults.apply(wall_step_ms=step_ms)
-            held.gate.set()
+            script.gate.set()
             error, _ = await client.answer(number)
             assert (error[0], len(one.posts) + len(two.posts)) == ("Internal", 1)
 
@@ -107,16 +112,16 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
-def test_a_step_neither_ends_nor_holds_up_what_is_open(step_ms: float) -> None:
+def test_a_clock_step_neither_ends_nor_delays_an_open_request(step_ms: float) -> None:
     async def scene() -> None:
-        held = HeldEngine(SERVED)
-        async with engine(held) as one, faulty_program(config(one.address)) as (node, faults):
+        script = GatedScript(SERVED)
+        async with engine(script) as one, faulty_program(config(one.address)) as (node, faults):
             client = await node.client()
             number = await client.ask("settlement", limit="20000")
-            await held.begun.wait()
+            await script.begun.wait()
             await faults.apply(wall_step_ms=step_ms)
-            await trio.sleep(0.5)  # a deadline that the step has passed would end it now
-            held.gate.set()
+            await trio.sleep(0.5)  # A deadline on the wall clock would have ended the request by now.
+            script.gate.set()
             assert await client.answer(number, 3.0) == (None, ROWS)
             assert await client.answer(await client.ask(), 3.0) == (None, ROWS)
 
@@ -124,14 +129,14 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
-def test_a_deadline_is_kept_over_a_step(step_ms: float) -> None:
+def test_a_deadline_is_unaffected_by_a_clock_step(step_ms: float) -> None:
     async def scene() -> None:
-        held = HeldEngine(SERVED)
-        async with engine(held) as one, faulty_program(config(one.address)) as (node, faults):
+        script = GatedScript(SERVED)
+        async with engine(script) as one, faulty_program(config(one.address)) as (node, faults):
             client = await node.client()
             start = trio.current_time()
             number = await client.ask("meter-load", limit="2000")
-            await held.begun.wait()
+            await script.begun.wait()
             await faults.apply(wall_step_ms=step_ms)
             error, _ = await client.answer(number, 4.0)
             assert error[0] == "Internal"
@@ -144,7 +149,7 @@
 
 
 class Clocks:
-    """A monotonic and a wall clock that a test sets."""
+    """A monotonic and a wall clock that the test advances."""
 
     def __init__(self) -> None:
         self.monotonic_ms, self.wall_ms = 1_000_000.0, 1.7e12
@@ -160,7 +165,7 @@
         self.wall_ms += span_ms + step_ms
 
 
-def test_unix_time_mixes_with_no_span() -> None:
+def test_unix_times_support_no_arithmetic_or_comparison_with_numbers() -> None:
     with pytest.raises(TypeError):
         UnixMs(1.0) - UnixMs(0.0)  # type: ignore[operator]
     with pytest.raises(TypeError):
@@ -180,7 +185,7 @@
     assert wall.unix(clocks.monotonic_ms) == clocks.unix()
 
 
-def test_a_start_is_dated_once_and_a_start_of_zero_is_long_past() -> None:
+def test_a_start_time_is_estimated_once_and_a_missing_one_is_long_past() -> None:
     clocks = Clocks()
     starts = StartTimes(clocks.monotonic)
     before = starts.monotonic_start("a", UnixMs(1.7e12 - 3_000.0), announced=False)
@@ -195,11 +200,11 @@
 
 @pytest.mark.parametrize("seen_before", [False, True])
 @pytest.mark.parametrize("age_ms", [0.0, 1_000.0, 20_000.0, MAX_ANNOUNCEMENT_DELAY_MS - 1.0])
-def test_an_announced_engine_never_looks_older_than_it_is(age_ms: float, seen_before: bool) -> None:
-    # Guards against a cold engine that gets a warm one's load since a wall clock was ahead by under a minute.
+def test_an_announced_engine_never_appears_older_than_it_is(age_ms: float, seen_before: bool) -> None:
+    # Guards against a cold engine that gets a warm one's load because a wall clock is under a minute ahead.
     clocks = Clocks()
     starts = StartTimes(clocks.monotonic)
-    if seen_before:  # news that came at once
+    if seen_before:  # An announcement without delay bounds the clocks' offset.
         starts.monotonic_start("prompt", UnixMs(clocks.wall_ms), announced=True)
         clocks.pass_time(90_000.0)
     moment = starts.monotonic_start("late", UnixMs(clocks.wall_ms - age_ms), announced=True)
@@ -207,17 +212,19 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
-def test_a_step_of_discoverys_clock_makes_no_announced_engine_look_an_hour_old(step_ms: float) -> None:
+def test_an_announced_engine_does_not_appear_an_hour_old_after_discoverys_clock_is_stepped(
+    step_ms: float,
+) -> None:
     clocks = Clocks()
     starts = StartTimes(clocks.monotonic)
     starts.monotonic_start("a", UnixMs(clocks.wall_ms), announced=True)
     clocks.pass_time(1_000.0, step_ms)
     age_ms = clocks.monotonic_ms - starts.monotonic_start("b", UnixMs(clocks.wall_ms), announced=True)
-    assert age_ms == (5_000.0 if step_ms == -5_000.0 else 0.0)  # a short step cannot be told from late news
+    assert age_ms == (5_000.0 if step_ms == -5_000.0 else 0.0)  # A short step looks like a late announcement.
 
 
-def test_a_list_makes_no_cold_engine_look_warm() -> None:
-    # Guards against a cold engine that gets a warm one's load since the wall clock was ahead as we started.
+def test_a_listed_engine_counts_as_older_than_the_youngest_but_never_as_too_old() -> None:
+    # Guards against a cold engine that gets a warm one's load because the wall clock was ahead at the start.
     clocks = Clocks()
     starts = StartTimes(clocks.monotonic)
     ages_ms = {"oldest": 600_000.0, "older": 12_000.0, "youngest": 2_000.0}
@@ -228,14 +235,14 @@
         assert ages_ms[name] - ages_ms["youngest"] <= estimated_age_ms <= ages_ms[name]
 
 
-def test_a_program_dates_the_engines_of_its_configuration_by_their_list() -> None:
-    told = config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
-    servers = told["known"]["cmds"][0]["nodes"]["servers"]
+def test_engine_start_times_in_the_configuration_are_converted_to_monotonic_time() -> None:
+    configuration = config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
+    servers = configuration["known"]["cmds"][0]["nodes"]["servers"]
     for server, started_ms in zip(servers, (0, 1.7e12 - 9_000.0, 1.7e12), strict=True):
-        server["started_ms"] = started_ms  # years ago by any clock: the clock may be years ahead
+        server["started_ms"] = started_ms  # Long past on any clock; the wall clock may be years ahead.
 
     async def scene() -> None:
-        async with inside(told) as node:
+        async with inside(configuration) as node:
             entries = [engine.entry for engine in node.coordinator.engines.values()]
             assert entries[0].started_ms == 0.0
             assert entries[2].started_ms - entries[1].started_ms == pytest.approx(9_000.0, abs=50.0)
@@ -244,12 +251,12 @@
     trio.run(scene)
 
 
-def test_a_claim_is_kept_over_a_restart_whatever_the_wall_clock_says(tmp_path: Path) -> None:
+def test_a_claim_survives_a_restart_after_a_clock_step(tmp_path: Path) -> None:
     disk, granted_ms = RecordFile(str(tmp_path / "ledger")), 1_700_000_000_000
     disk.open()
     disk.write([claim_record("key", ClaimEntry("a:1:1", granted_ms))])
     disk.close()
-    later_ms = granted_ms + 10 * HOUR_MS  # a step, or a long time down: nobody can tell
+    later_ms = granted_ms + 10 * HOUR_MS  # A step cannot be told from a long downtime.
     assert load_state(RecordFile(disk.path), later_ms).entries == [
         ("key", ClaimEntry("a:1:1", int(later_ms)))
     ]
@@ -258,8 +265,8 @@
 # --- the guard ------------------------------------------------------------------------------------
 
 
-def attempt(guard: SendGuard, status: Status, *, at_ms: float = 0.0, may_still_run: bool = False) -> None:
-    """Let an attempt begin and end."""
+def run_attempt(guard: SendGuard, status: Status, *, at_ms: float = 0.0, may_still_run: bool = False) -> None:
+    """Begin and end an attempt."""
     assert guard.denial(at_ms) is None
     guard.begin(at_ms)
     assert guard.denial(at_ms) is Denial.ANOTHER_IN_FLIGHT
@@ -268,12 +275,12 @@
 
 @pytest.mark.parametrize("status", [each for each in Status if each is not Status.OK])
 @pytest.mark.parametrize("idempotency", list(Idempotency))
-def test_the_guard_allows_a_repeat_by_what_may_have_run_at_any_time(
+def test_the_send_guard_allows_a_repeat_by_whether_an_attempt_may_have_run(
     idempotency: Idempotency, status: Status
 ) -> None:
     for later_ms in (-HOUR_MS, 0.0, 4_999.0, HOUR_MS):
         guard = SendGuard(idempotency, deduplication_window_ms=5_000.0)
-        attempt(guard, status, at_ms=0.0)
+        run_attempt(guard, status, at_ms=0.0)
         expected = None
         if not status.proves_not_run and idempotency is Idempotency.NON_IDEMPOTENT:
             expected = Denial.MAY_HAVE_RUN
@@ -282,24 +289,28 @@
         assert guard.denial(later_ms) is expected
 
 
-def test_the_guard_knows_what_may_begin_yet_and_what_never_began() -> None:
+def test_the_send_guard_counts_an_attempt_that_may_still_run_but_not_one_that_never_began() -> None:
     guard = SendGuard(Idempotency.IDEMPOTENT, 0.0)
-    guard.end(Status.TIMEOUT, may_still_run=True)  # its connection never came up
-    attempt(guard, Status.RESET, may_still_run=True)
+    guard.end(Status.TIMEOUT, may_still_run=True)  # Its connection was never established.
+    run_attempt(guard, Status.RESET, may_still_run=True)
     assert guard.denial(0.0) is Denial.ANOTHER_IN_FLIGHT
     assert Denial.ANOTHER_IN_FLIGHT.violates is Invariant.ONE_ATTEMPT_IN_FLIGHT
     assert Denial.REQUEST_FINISHED.violates is None
 
 
-def test_what_the_module_orders_against_the_rule_is_counted_and_not_sent(
+def test_an_unsafe_repeat_that_the_decision_module_orders_is_counted_and_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("fordstair.decisions.retries.must_not_be_retried", lambda request: False)
 
     async def scene() -> None:
-        held = HeldEngine(LOST)
-        held.gate.set()
-        async with engine(held) as one, engine(held) as two, inside(config(one.address, two.address)) as node:
+        script = GatedScript(FAILED)
+        script.gate.set()
+        async with (
+            engine(script) as one,
+            engine(script) as two,
+            inside(config(one.address, two.address)) as node,
+        ):
             client = await connect(node)
             error, _ = await client.answer(await client.ask("meter-load", limit="20000"))
             assert (error[0], len(one.posts) + len(two.posts)) == ("Internal", 1)
--- a/tests/test_untrusted_input.py
+++ b/tests/test_untrusted_input.py
@@ -1,4 +1,4 @@
-"""Whatever engines, clients and discovery send: the errors raised are the typed ones alone."""
+"""Untrusted input from engines, clients and discovery raises only the typed errors."""
 
 from __future__ import annotations
 
@@ -46,20 +46,23 @@
 from tests.test_odata import OPERATOR, READING
 
 many = settings(max_examples=200, derandomize=True, deadline=None)
-CUT_ADDRESS = "http://[::1"  # that urlsplit rejects
-DIGITS = "9" * 5_000  # that int() rejects
+# urlsplit rejects this address, and int() rejects this many digits.
+MALFORMED_URL = "http://[::1"
+TOO_MANY_DIGITS = "9" * 5_000
 SURROGATE = "\ud800"
-odd_text = st.text(max_size=40) | st.sampled_from([CUT_ADDRESS, "//[", DIGITS, "/a b", "/é", "-1", "²"])
-header_value = odd_text.map(lambda text: text.encode("latin-1", "replace"))
+hostile_text = st.text(max_size=40) | st.sampled_from(
+    [MALFORMED_URL, "//[", TOO_MANY_DIGITS, "/a b", "/é", "-1", "²"]
+)
+header_value = hostile_text.map(lambda text: text.encode("latin-1", "replace"))
 json_value = st.recursive(
-    st.none() | st.booleans() | st.integers() | st.floats() | odd_text | st.just(SURROGATE),
-    lambda inner: st.lists(inner, max_size=4) | st.dictionaries(odd_text, inner, max_size=4),
+    st.none() | st.booleans() | st.integers() | st.floats() | hostile_text | st.just(SURROGATE),
+    lambda inner: st.lists(inner, max_size=4) | st.dictionaries(hostile_text, inner, max_size=4),
     max_leaves=12,
 )
 
 
 def attempt(transport_type: type[HttpTransport]) -> HttpCall:
-    """One attempt in a protocol of engines, of which nothing has been sent."""
+    """Return an attempt over one engine protocol, with nothing sent yet."""
     deadlines = Deadlines()
     pool = ConnectionPool(deadlines, Counters())
     transport: Any = transport_type(pool, deadlines, ("util", "inflight"))
@@ -90,35 +93,36 @@
     ),
     st.binary(max_size=40) | json_value.map(lambda value: ujson.dumps({"value": value}).encode()),
 )
-@example(ODataTransport, 202, {b"location": CUT_ADDRESS.encode()}, b"")
+@example(ODataTransport, 202, {b"location": MALFORMED_URL.encode()}, b"")
 @example(ODataTransport, 202, {b"location": b"/a b"}, b"")
-@example(ODataTransport, 200, {b"asyncresult": DIGITS.encode()}, b"")
+@example(ODataTransport, 200, {b"asyncresult": TOO_MANY_DIGITS.encode()}, b"")
 @example(ODataTransport, 200, {}, b'{"value":[{"a":"\\ud800"}]}')
 @example(ODataTransport, 200, {}, b'{"value":[],"@odata.nextLink":"http://[::1"}')
-@example(RestTransport, 200, {b"x-sheets": DIGITS.encode()}, b"a\tb\tc\n")
-def test_an_engines_answer_is_progress_a_failed_attempt_or_no_answer(
+@example(RestTransport, 200, {b"x-sheets": TOO_MANY_DIGITS.encode()}, b"a\tb\tc\n")
+def test_an_engine_response_is_progress_a_failed_attempt_or_a_protocol_error(
     transport_type: type[HttpTransport], status: int, headers: dict[bytes, bytes], body: bytes
 ) -> None:
-    # Guards against an attempt that ends by the guard against internal errors.
+    # Guards against a response that ends its attempt with an internal error.
     call = attempt(transport_type)
     try:
         call.read_progress(HttpResponse(status, headers, body))
     except (AttemptFailedError, ProtocolError):
         return
-    assert all("!" <= char <= "~" for char in call.path)  # what it named can be asked for
+    # A path that the response named can be requested.
+    assert all("!" <= char <= "~" for char in call.path)
 
 
 class StubStatements(StatementRunner):
-    """Runs no statement: writes it as it would be sent, and has one row for each."""
+    """Encodes each statement as it would be sent, but runs none; each returns one row."""
 
     async def run(self, statement: Statement) -> Sequence[bytes]:
-        """Return the row."""
+        """Encode the statement and return the row."""
         self._query(statement)
         return [b"a\tb\tc\n"]
 
 
 def odata_router() -> ODataRouter:
-    """A router in a program that is not started."""
+    """Return a router of a coordinator that is not started."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "appliance.toml"
         path.write_text(OPERATOR)
@@ -130,7 +134,7 @@
 
 
 def coordinator() -> Coordinator:
-    """A coordinator that is not started."""
+    """Return a coordinator that is not started."""
     return Coordinator(parse(config()).settings, 1, {}, Deadlines(), Counters())
 
 
@@ -141,12 +145,12 @@
 @many
 @given(
     st.sampled_from(["GET", "POST"]),
-    st.builds(lambda start, end: start + end, st.sampled_from([*TARGETS, ""]), odd_text),
+    st.builds(lambda start, end: start + end, st.sampled_from([*TARGETS, ""]), hostile_text),
     json_value | st.fixed_dictionaries({name: json_value for name in READING}),
-    odd_text,
+    hostile_text,
 )
-@example("GET", CUT_ADDRESS, None, "")
-@example("GET", f"/odata/Settlements?$skiptoken=a-{DIGITS}", None, "")
+@example("GET", MALFORMED_URL, None, "")
+@example("GET", f"/odata/Settlements?$skiptoken=a-{TOO_MANY_DIGITS}", None, "")
 @example("POST", "/odata/Readings", READING | {"meter": SURROGATE}, "")
 @example("POST", "/odata/Readings", READING | {"kwh": float("inf")}, "")
 @example("POST", "/odata/$batch", {"requests": [{"id": "1", "method": "GET", "url": "//["}]}, "")
@@ -156,7 +160,7 @@
 def test_every_request_at_the_odata_front_is_answered(
     method: str, target: str, body: object, header: str
 ) -> None:
-    # Guards against a request that is read, and whose connection closes without an answer.
+    # Guards against a request whose connection is closed without an answer.
     headers = {"content-type": "application/json", "prefer": header, "repeatability-request-id": header}
     encoded = ujson.dumps(body).encode("utf-8", "surrogatepass")
     response = trio.run(ROUTER.respond, ODataRequest(method, target, headers, encoded))
@@ -168,14 +172,14 @@
 @many
 @given(json_value, st.binary(max_size=60))
 @example(["lookup", {"unique": SURROGATE}], b"")
-def test_a_message_of_a_client_is_one_or_is_malformed(value: object, noise: bytes) -> None:
-    taken = coordinator()
+def test_a_client_message_is_valid_or_raises_a_typed_error(value: object, noise: bytes) -> None:
+    unstarted = coordinator()
     packed = msgpack.packb([0, 1, "lookup", value], unicode_errors="surrogatepass", default=str)
     for encoded in (packed, noise):
         try:
             message = rpc_wire.read_message(read(memoryview(encoded))[0])
             if isinstance(message, rpc_wire.RequestMessage):
-                read_query(message.method, message.params, taken, 1_000)
+                read_query(message.method, message.params, unstarted, 1_000)
         except (IncompleteMessageError, MalformedMessageError, InvalidRequestError):
             pass
         rpc_wire.read_request_id(memoryview(encoded))
@@ -183,10 +187,10 @@
 
 @many
 @given(st.binary(max_size=80))
-def test_what_discovery_and_a_console_send_is_read_or_malformed(noise: bytes) -> None:
-    framed = (9 + len(noise)).to_bytes(4, "big") + bytes(8) + b"\x01" + noise
+def test_input_from_discovery_and_the_console_is_valid_or_raises_a_typed_error(noise: bytes) -> None:
+    frame_bytes = (9 + len(noise)).to_bytes(4, "big") + bytes(8) + b"\x01" + noise
     try:
-        if (frame := read_frame(memoryview(framed))) is not None:
+        if (frame := read_frame(memoryview(frame_bytes))) is not None:
             read_event(frame)
     except FrameError:
         pass
@@ -197,19 +201,19 @@
 
 
 @pytest.mark.parametrize("address", ["nowhere", "", "host:", "127.0.0.1:99999", "127.0.0.1:x"])
-def test_an_engine_of_the_configuration_whose_address_cannot_be_used_is_named(address: str) -> None:
-    # Guards against an address that fails each attempt with an internal error.
+def test_the_error_for_an_unusable_engine_address_names_its_field(address: str) -> None:
+    # Guards against an address with which every attempt fails with an internal error.
     with pytest.raises(ConfigError, match="known"):
         parse(config(address) | {"settings": SETTINGS})
 
 
-def test_a_page_token_whose_number_is_too_long_names_no_page() -> None:
-    # Guards against the same end of a connection by a token of a result that is stored.
+def test_a_page_token_with_an_invalid_start_gets_410() -> None:
+    # Guards against a connection that is closed without an answer for a bad token of a stored result.
     results = StoredResults(10, 1_000.0, Deadlines())
     readings = EntitySet("Readings", "readings_2.intervals", ("meter",), "settlement", "lookup")
     name = results.store(Result("karri-energy", [b"a", b"b"], readings, ("meter",), 1))
     assert results.page(f"{name}-1", "karri-energy").start == 1
-    for start in (DIGITS, "2", "", "-1", "²"):
+    for start in (TOO_MANY_DIGITS, "2", "", "-1", "²"):
         with pytest.raises(ODataError) as error:
             results.page(f"{name}-{start}", "karri-energy")
         assert error.value.status == 410
--- a/tests/wires/recordings.py
+++ b/tests/wires/recordings.py
@@ -1,4 +1,4 @@
-"""Shared by the tests of the wires: the recorded messages, and streams that note what passes through them."""
+"""Shared by the tests of wire formats: the recorded messages, and wrappers that record what is sent."""
 
 from __future__ import annotations
 
@@ -21,66 +21,67 @@
 
 
 def recorded(wire: str) -> dict[str, str]:
-    """Return the messages of a wire by name, as the program sent them before the names were changed."""
-    told: dict[str, str] = ujson.loads((FOLDER / f"{wire}.json").read_text())
-    return told
+    """Return the messages of a wire format by name, as sent before identifiers were renamed."""
+    messages: dict[str, str] = ujson.loads((FOLDER / f"{wire}.json").read_text())
+    return messages
 
 
-class Tap(trio.abc.Stream):
-    """Passes everything on, and keeps what was received."""
+class RecordingStream(trio.abc.Stream):
+    """Passes all calls on to a stream and records what it receives."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream = stream
         self.received = b""
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Receive, and keep it."""
+        """Receive data and record it."""
         chunk = bytes(await self.stream.receive_some(max_bytes))
         self.received += chunk
         return chunk
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
-        """Send."""
+        """Send the data."""
         await self.stream.send_all(data)
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Wait for the stream beneath."""
+        """Wait for the underlying stream."""
         await self.stream.wait_send_all_might_not_block()
 
     async def aclose(self) -> None:
-        """Close the stream beneath."""
+        """Close the underlying stream."""
         await self.stream.aclose()
 
 
-class TappedEngine(RestEngine):
-    """A stand-in engine that keeps the bytes of each request, in the order of their arrival."""
+class RecordingEngine(RestEngine):
+    """A fake engine that records the bytes of each request, in the order of their arrival."""
 
     def __init__(self, script: Script) -> None:
-        super().__init__(self._note)
-        self.answers = script
+        super().__init__(self._record)
+        self.answer_script = script
         self.requests: list[str] = []
-        self._taps: list[Tap] = []
+        self._streams: list[RecordingStream] = []
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Serve one connection."""
-        tap = Tap(stream)
-        self._taps.append(tap)
-        await super().serve(tap)
+        recorder = RecordingStream(stream)
+        self._streams.append(recorder)
+        await super().serve(recorder)
 
-    async def _note(
+    async def _record(
         self, engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> tuple[int, dict[str, str], bytes] | bytes | None:
-        for tap in self._taps:  # one of them has brought this request, and is read again after its answer
-            if tap.received:
-                self.requests.append(PORT.sub("HOST", tap.received.decode()))
-                tap.received = b""
-        return await self.answers(engine, method, path, headers, body)
+        # One of the streams has received this request; it is not read again until the response is sent.
+        for recorder in self._streams:
+            if recorder.received:
+                self.requests.append(PORT.sub("HOST", recorder.received.decode()))
+                recorder.received = b""
+        return await self.answer_script(engine, method, path, headers, body)
 
 
 @asynccontextmanager
-async def tapped_engine(script: Script) -> AsyncIterator[TappedEngine]:
-    """A stand-in engine on a port of its own, whose requests are kept."""
-    one = TappedEngine(script)
+async def recording_engine(script: Script) -> AsyncIterator[RecordingEngine]:
+    """Run a recording engine on its own port."""
+    one = RecordingEngine(script)
     async with trio.open_nursery() as nursery:
         listeners = await nursery.start(partial(trio.serve_tcp, one.serve, 0, host="127.0.0.1"))
         one.address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
@@ -88,51 +89,51 @@
         nursery.cancel_scope.cancel()
 
 
-class Datagrams:
-    """Notes what members on a network send: the first few of each tag, and a digest of all.
+class DatagramRecorder:
+    """Records what members on a network send: the first messages of each tag, and a digest of all.
 
-    The digest also changes where a field changes its place or its meaning, and each message can still be read
-    and written again.
+    The digest also detects a field that changes its position or meaning although each message can still be
+    decoded and encoded again.
     """
 
-    FIRST = 3
+    MESSAGES_PER_TAG = 3
 
     def __init__(self, network: Network) -> None:
         self._digest = blake2b(digest_size=16)
         self._count = 0
         self._of_tag: dict[int, list[str]] = {}
         self._add = network.add
-        network.add = self._add_noted  # type: ignore[method-assign]  # each member is heard from its start on
+        network.add = self._add_recorded  # type: ignore[method-assign]  # Records each member from its start.
 
     def messages(self) -> dict[str, str]:
-        """Return them by name."""
-        told = {
+        """Return the recorded messages by name."""
+        messages = {
             f"tag {tag}, {number}": text
             for tag, texts in sorted(self._of_tag.items())
             for number, text in enumerate(texts)
         }
-        return told | {"digest": f"{self._count} {self._digest.hexdigest()}"}
+        return messages | {"digest": f"{self._count} {self._digest.hexdigest()}"}
 
-    def _add_noted(self, name: str, node: Node) -> None:
-        take = node.outgoing
+    def _add_recorded(self, name: str, node: Node) -> None:
+        original_outgoing = node.outgoing
 
         def outgoing() -> list[tuple[str, bytes]]:
-            out = list(take())
-            for to, datagram in out:
-                self._note(f"{name}>{to}".encode(), datagram)
-            return out
+            outgoing_datagrams = list(original_outgoing())
+            for to, datagram in outgoing_datagrams:
+                self._record(f"{name}>{to}".encode(), datagram)
+            return outgoing_datagrams
 
-        node.outgoing = outgoing  # type: ignore[method-assign]  # the network asks the member itself
+        node.outgoing = outgoing  # type: ignore[method-assign]  # The network calls it on the member.
         self._add(name, node)
 
-    def _note(self, way: bytes, datagram: bytes) -> None:
-        self._digest.update(way + b"|" + datagram + b"|")
+    def _record(self, route: bytes, datagram: bytes) -> None:
+        self._digest.update(route + b"|" + datagram + b"|")
         self._count += 1
         first = self._of_tag.setdefault(msgpack.unpackb(datagram)[0], [])
-        if len(first) < self.FIRST:
+        if len(first) < self.MESSAGES_PER_TAG:
             first.append(datagram.hex())
 
 
-def datagrams(wire: str) -> dict[str, bytes]:
-    """Return the recorded messages of a wire, without their digest."""
+def recorded_datagrams(wire: str) -> dict[str, bytes]:
+    """Return the recorded messages of a wire format, without their digest."""
     return {name: bytes.fromhex(text) for name, text in recorded(wire).items() if name != "digest"}
--- a/tests/wires/test_budgets.py
+++ b/tests/wires/test_budgets.py
@@ -7,7 +7,7 @@
 from fordstair.budgets.messages import decode, encode
 from fordstair.budgets.plan import BudgetPlan, FleetLimit
 from fordstair.lab.budget_fleet import BudgetFleet
-from tests.wires.recordings import Datagrams, datagrams, recorded
+from tests.wires.recordings import DatagramRecorder, recorded, recorded_datagrams
 
 LIMITS = (FleetLimit("threads", 64, "karri", quantum=4, min_useful=4), FleetLimit("rate", 200_000))
 
@@ -17,7 +17,7 @@
     fleet = BudgetFleet(
         BudgetPlan("c", LIMITS, tuple(f"m{n}" for n in range(5)), lease_ms=1_000.0), 0, 11, loss=0.1
     )
-    sent = Datagrams(fleet.network)
+    sent = DatagramRecorder(fleet.network)
     for number in range(5):
         fleet.start(f"m{number}")
     fleet.wanted = lambda name: (8 * int(name[1:]), 10_000 * (5 - int(name[1:])))
@@ -32,7 +32,7 @@
     return sent.messages()
 
 
-@pytest.mark.parametrize(("name", "datagram"), datagrams("budgets").items())
+@pytest.mark.parametrize(("name", "datagram"), recorded_datagrams("budgets").items())
 def test_a_recorded_message_round_trips(name: str, datagram: bytes) -> None:
     assert encode(decode(datagram)) == datagram
 
--- a/tests/wires/test_membership.py
+++ b/tests/wires/test_membership.py
@@ -10,7 +10,7 @@
 from fordstair.lab.virtual_network import Network
 from fordstair.membership.configuration import MembershipConfig
 from fordstair.membership.messages import decode, encode
-from tests.wires.recordings import Datagrams, datagrams, recorded
+from tests.wires.recordings import DatagramRecorder, recorded, recorded_datagrams
 
 CONFIG = MembershipConfig("gardens", "x", "x:1")
 
@@ -18,7 +18,7 @@
 def sent_messages() -> dict[str, str]:
     """Return the messages that a fleet of eight sends in 40 s, with packet loss, a death and a pause."""
     network = Network(11, loss=0.1)
-    sent = Datagrams(network)
+    sent = DatagramRecorder(network)
     addresses = swim_fleet(network, 8, replace(CONFIG, push_pull_interval_ms=3_000.0), 11)
     network.run(10_000.0)
     network.kill(addresses[3])
@@ -27,7 +27,7 @@
     return sent.messages()
 
 
-@pytest.mark.parametrize(("name", "datagram"), datagrams("membership").items())
+@pytest.mark.parametrize(("name", "datagram"), recorded_datagrams("membership").items())
 def test_decoding_and_encoding_again_preserves_each_message(name: str, datagram: bytes) -> None:
     assert encode(decode(datagram)) == datagram
 
--- a/tests/wires/test_odata_front.py
+++ b/tests/wires/test_odata_front.py
@@ -11,7 +11,7 @@
 
 from tests.scenes import play
 from tests.standins import RestEngine, Script, breaks, engine
-from tests.test_odata import READING, appliance, five_rows
+from tests.test_odata import READING, five_rows, odata_program
 from tests.wires.recordings import recorded
 
 JSON = "Content-Type: application/json\r\n"
@@ -25,9 +25,9 @@
     {"id": "f", "method": "GET", "url": "$metadata"},
 ]
 BATCH = ujson.dumps({"requests": PARTS})
-NAMED = JSON + "Repeatability-Request-ID: r-1\r\n"
+REPEATABLE = JSON + "Repeatability-Request-ID: r-1\r\n"
 
-# name: method, path, headers, body
+# The calls by name; each has a method, path, headers and body.
 SERVED = {
     "service document": ("GET", "/odata/", "", ""),
     "metadata": ("GET", "/odata/$metadata", "", ""),
@@ -37,8 +37,8 @@
     "entity": ("GET", "/odata/Settlements('a0')", "", ""),
     "load": ("POST", "/odata/Readings", JSON, LOAD),
     "load, minimal": ("POST", "/odata/Readings", JSON + "Prefer: return=minimal\r\n", LOAD),
-    "named load": ("POST", "/odata/Readings", NAMED, LOAD),
-    "repeated load": ("POST", "/odata/Readings", NAMED, LOAD),
+    "named load": ("POST", "/odata/Readings", REPEATABLE, LOAD),
+    "repeated load": ("POST", "/odata/Readings", REPEATABLE, LOAD),
     "batch": ("POST", "/odata/$batch", JSON, BATCH),
     "no such set": ("GET", "/odata/Nothing", "", ""),
     "no such path": ("GET", "/other", "", ""),
@@ -56,19 +56,19 @@
 }
 BROKEN = {
     "failed": ("POST", "/odata/Readings", JSON, LOAD),
-    "failed, named": ("POST", "/odata/Readings", NAMED, LOAD),
-    "failed, repeated": ("POST", "/odata/Readings", NAMED, LOAD),
+    "failed, named": ("POST", "/odata/Readings", REPEATABLE, LOAD),
+    "failed, repeated": ("POST", "/odata/Readings", REPEATABLE, LOAD),
     "timeout": ("GET", "/odata/Settlements", "Prefer: wait=0\r\n", ""),
 }
 
 
 async def exchange(port: int, method: str, path: str, headers: str, body: str) -> str:
-    """Make one call on a connection of its own; return the answer's bytes, as text."""
+    """Make one call on a new connection; return the response's bytes, as text."""
     async with await trio.open_tcp_stream("127.0.0.1", port) as stream:
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\n{headers}Content-Length: {len(body)}\r\n\r\n"
         await stream.send_all((head + body).encode())
         answer = b""
-        while b"\r\n\r\n" not in answer or len(answer) < whole(answer):
+        while b"\r\n\r\n" not in answer or len(answer) < response_length(answer):
             chunk = await stream.receive_some(65_536)
             assert chunk, (path, answer)
             answer += chunk
@@ -76,37 +76,37 @@
     return re.sub("Retry-After: [1-9][0-9]*", "Retry-After: <s>", text)
 
 
-def whole(answer: bytes) -> int:
-    """Return how long an answer is whose head has come."""
-    told = re.search(rb"(?i)\r\ncontent-length: ([0-9]+)", answer)
-    return answer.index(b"\r\n\r\n") + 4 + (int(told[1]) if told else 0)
+def response_length(answer: bytes) -> int:
+    """Return the length of a response whose head has been received."""
+    content_length = re.search(rb"(?i)\r\ncontent-length: ([0-9]+)", answer)
+    return answer.index(b"\r\n\r\n") + 4 + (int(content_length[1]) if content_length else 0)
 
 
 async def answers(
     folder: Path, script: Script | None, calls: dict[str, tuple[str, str, str, str]]
 ) -> dict[str, str]:
     folder.mkdir()
-    told = dict[str, str]()
+    answers_by_name = dict[str, str]()
     async with engine(script or five_rows) as one:
         engines: list[RestEngine] = [one] if script is not None else []
-        async with appliance(folder, *engines) as node:
+        async with odata_program(folder, *engines) as node:
             for name, call in calls.items():
-                told[name] = await exchange(node.ports["odata"], *call)
-    return told
+                answers_by_name[name] = await exchange(node.ports["odata"], *call)
+    return answers_by_name
 
 
 def messages() -> dict[str, str]:
-    told = dict[str, str]()
+    answers_by_name = dict[str, str]()
 
     async def scene() -> None:
         with tempfile.TemporaryDirectory() as folder:
-            told.update(await answers(Path(folder) / "served", five_rows, SERVED))
-            told.update(await answers(Path(folder) / "broken", breaks, BROKEN))
+            answers_by_name.update(await answers(Path(folder) / "served", five_rows, SERVED))
+            answers_by_name.update(await answers(Path(folder) / "broken", breaks, BROKEN))
             refused = {"refused": ("GET", "/odata/Settlements", "", "")}
-            told.update(await answers(Path(folder) / "none", None, refused))
+            answers_by_name.update(await answers(Path(folder) / "none", None, refused))
 
     play(scene)
-    return told
+    return answers_by_name
 
 
 def test_answers_are_the_recorded_bytes() -> None:
--- a/tests/wires/test_rest.py
+++ b/tests/wires/test_rest.py
@@ -1,4 +1,4 @@
-"""Requests towards the platform's engines, as bytes of HTTP/1.1 with their headers in order."""
+"""Requests to the platform's engines, as bytes of HTTP/1.1 with their headers in order."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from tests.scenes import play
 from tests.standins import RestEngine, config, connect, inside, program
-from tests.wires.recordings import recorded, tapped_engine
+from tests.wires.recordings import recorded, recording_engine
 
 TXN = "9b1f03aa5c7e2d41"
 
@@ -16,7 +16,7 @@
 async def two_pages(
     engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
 ) -> tuple[int, dict[str, str], bytes]:
-    """A query that runs on once, and has two pages."""
+    """Accept a query that is still running, then serve two pages."""
     if method == "POST":
         return 202, {}, b""
     if path.endswith("/0"):
@@ -24,46 +24,48 @@
     return 200, {"X-Sheet": "1"}, b"d\te\tf\n"
 
 
-async def no_end(
+async def endless_query(
     engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
 ) -> tuple[int, dict[str, str], bytes]:
-    """A query that runs on."""
+    """Serve a query that never ends."""
     if method in ("DELETE", "PUT"):
         return 204, {}, b""
     await trio.sleep(0.05)
     return 202, {}, b""
 
 
-async def until(engine: RestEngine, method: str) -> None:
-    """Wait until an engine has got such a request."""
+async def wait_for_request(engine: RestEngine, method: str) -> None:
+    """Wait until the engine has received a request with this method."""
     while method not in engine.calls:
         await trio.sleep(0.01)
 
 
 def messages() -> dict[str, str]:
-    told = dict[str, str]()
+    requests_by_name = dict[str, str]()
 
     async def scene() -> None:
-        async with tapped_engine(two_pages) as one, program(config(one.address)) as node:
+        async with recording_engine(two_pages) as one, program(config(one.address)) as node:
             client = await node.client()
             error, _ = await client.answer(await client.ask(txn=TXN))
             assert error is None
             names = ("start", "poll", "further page")
-            told.update(zip(names, one.requests, strict=True))
-        async with tapped_engine(no_end) as one, inside(config(one.address)) as coordination:
+            requests_by_name.update(zip(names, one.requests, strict=True))
+        async with recording_engine(endless_query) as one, inside(config(one.address)) as coordination:
             client = await connect(coordination)
             number = await client.ask("meter-load", txn=TXN)
-            await until(one, "GET")
+            await wait_for_request(one, "GET")
             coordinator = coordination.coordinator
             coordinator.priorities.set_deprioritized(next(iter(coordinator.live.values())), True)
-            await until(one, "PUT")
+            await wait_for_request(one, "PUT")
             await client.send([2, "cancelRequest", [number]])
-            await until(one, "DELETE")
+            await wait_for_request(one, "DELETE")
             for name, method in (("start of a load", "POST"), ("priority", "PUT"), ("cancel", "DELETE")):
-                told[name] = next(each for each in one.requests if each.startswith(method))
+                requests_by_name[name] = next(each for each in one.requests if each.startswith(method))
 
     play(scene)
-    return {name: re.sub("(?i)(x-limit-ms: )[0-9]+", r"\1<ms>", text) for name, text in told.items()}
+    return {
+        name: re.sub("(?i)(x-limit-ms: )[0-9]+", r"\1<ms>", text) for name, text in requests_by_name.items()
+    }
 
 
 def test_requests_are_the_recorded_bytes() -> None:
--- a/tests/wires/test_rpc.py
+++ b/tests/wires/test_rpc.py
@@ -1,4 +1,4 @@
-"""The platform's protocol towards clients: answers as bytes of MessagePack-RPC."""
+"""Answers to clients of the platform's protocol, as bytes of MessagePack-RPC."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return {key: value for key, value in FIELDS.items() if key != name}
 
 
-AT_ONCE: dict[str, object] = {
+WITH_WORKING_ENGINE: dict[str, object] = {
     "alive": [0, 1, "alive", [{}]],
     "served": [0, 1, "lookup", [FIELDS, STATEMENT]],
     "unknown class": [0, 1, "nothing", [FIELDS, STATEMENT]],
@@ -41,7 +41,7 @@
     "no request": [0, 1, 2, 3],
     "malformed": [0, 1, "lookup", [1] * 100],
 }
-BROKEN: dict[str, object] = {
+WITH_DISCONNECTING_ENGINE: dict[str, object] = {
     "rejected": [0, 1, "lookup", [FIELDS | {"limit": "400"}, STATEMENT]],
     "failed": [0, 1, "meter-load", [FIELDS | {"limit": "900", "txn": f"{1:016x}"}, STATEMENT]],
 }
@@ -49,7 +49,7 @@
 
 async def answers(script: Script, messages: dict[str, object]) -> dict[str, str]:
     """Return the answer to each message, each sent on a connection of its own."""
-    told = dict[str, str]()
+    answers_by_name = dict[str, str]()
     async with engine(script) as one, program(config(one.address)) as node:
         for name, message in messages.items():
             async with await trio.open_tcp_stream("127.0.0.1", node.ports["listens"]) as stream:
@@ -62,19 +62,19 @@
                     unpacker.feed(chunk)
                     if next(iter(unpacker), None) is not None:
                         break
-                told[name] = re.sub(rb"\xa5later[\xa1-\xbf][0-9]+", b"\xa5later<ms>", answer).hex()
-    return told
+                answers_by_name[name] = re.sub(rb"\xa5later[\xa1-\xbf][0-9]+", b"\xa5later<ms>", answer).hex()
+    return answers_by_name
 
 
 def messages() -> dict[str, str]:
-    told = dict[str, str]()
+    answers_by_name = dict[str, str]()
 
     async def scene() -> None:
-        told.update(await answers(at_once, AT_ONCE))
-        told.update(await answers(breaks, BROKEN))
+        answers_by_name.update(await answers(at_once, WITH_WORKING_ENGINE))
+        answers_by_name.update(await answers(breaks, WITH_DISCONNECTING_ENGINE))
 
     play(scene)
-    return told
+    return answers_by_name
 
 
 def test_answers_are_the_recorded_bytes() -> None:
