--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Membership among several running programs; the project's relay and signals put faults between them."""
+"""Membership among several running programs, with faults injected by the relay and by signals."""
 
 from __future__ import annotations
 
@@ -22,61 +22,62 @@
 from tests.scenes import play
 from tests.standins import ROOT, Program, config, program
 
-# Times are short so that a death shows within seconds; what is asserted is in periods and suspicions.
+# The times are short so that a death shows within seconds; the assertions are in periods and suspicions.
 PROBE_MS, SUSPICION = 300.0, 8.0
 
 
-class Members:
-    """Running programs by name, each behind its front of the relay."""
+class FleetProcesses:
+    """The running programs by name, each behind its own address of the relay."""
 
     def __init__(self, relay: Relay, folder: Path, nursery: trio.Nursery, suspicion: float) -> None:
         self.relay, self.folder, self.nursery, self.suspicion = relay, folder, nursery, suspicion
-        self.fronts: dict[str, str] = {}
+        self.addresses: dict[str, str] = {}
         self.nodes: dict[str, Program] = {}
-        self.former: list[Program] = []
+        self.replaced: list[Program] = []
 
     async def start(self, name: str) -> None:
-        """Start a member, or start one of this name anew."""
+        """Start a member, or restart it if it has run before."""
         if name in self.nodes:
-            self.former.append(self.nodes[name])
-        seeds = [front for other, front in self.fronts.items() if other != name][:2]
+            self.replaced.append(self.nodes[name])
+        seeds = [address for other, address in self.addresses.items() if other != name][:2]
         path = self.folder / f"{name}.toml"
         path.write_text(
             f'[fleet]\ncluster = "gardens"\nmember = "{name}"\nlisten = "127.0.0.1:0"\n'
-            f'advertise = "{self.fronts[name]}"\nseeds = {ujson.dumps(seeds, escape_forward_slashes=False)}\n'
+            f'advertise = "{self.addresses[name]}"\n'
+            f"seeds = {ujson.dumps(seeds, escape_forward_slashes=False)}\n"
             f"probe_ms = {PROBE_MS}\ntimeout_ms = 120.0\nsuspicion = {self.suspicion}\nsuspicion_most = 2.0\n"
             f'sync_ms = 2000.0\n[console]\nsocket = "{self.folder / name}.sock"\n'
         )
-        self.nodes[name] = node = await self.nursery.start(self._hold, path)
+        self.nodes[name] = node = await self.nursery.start(self._run, path)
         self.relay.behind(name, f"127.0.0.1:{node.ports['fleet']}")
 
-    async def _hold(self, path: Path, task_status: trio.TaskStatus[Program]) -> None:
+    async def _run(self, path: Path, task_status: trio.TaskStatus[Program]) -> None:
         async with program(config(), "--operator", str(path), fronts=2) as node:
             task_status.started(node)
             await trio.sleep_forever()
 
     async def ask(self, name: str, command: str) -> Any:
-        """Return a table of one member's console."""
+        """Run a command on the console of a member; return its answer."""
         return await query_console(self.folder / f"{name}.sock", command)
 
     async def view(self, name: str) -> dict[str, dict[str, Any]]:
-        """Return what one member believes of all, itself among them."""
+        """Return the member table of one member by name, including itself."""
         return {row["name"]: row for row in await self.ask(name, "members")}
 
     async def states(self, *names: str) -> list[dict[str, str]]:
-        """Return the states that these members, or all, hold the others in."""
+        """Return the states of all members as seen by each of the named members, or by all."""
         views = [await self.view(name) for name in names or self.nodes]
         return [{other: row["state"] for other, row in view.items()} for view in views]
 
-    async def agree(self, *names: str, **states: str) -> bool:
-        """Whether these members, or all, hold everybody for alive, but those whose state is named."""
-        wanted = dict.fromkeys(self.nodes, "alive") | states
-        return all(view == wanted for view in await self.states(*names))
+    async def see_states(self, *names: str, **states: str) -> bool:
+        """Return whether the named members, or all, see everyone alive except for the given states."""
+        expected = dict.fromkeys(self.nodes, "alive") | states
+        return all(view == expected for view in await self.states(*names))
 
-    async def until(self, holds: Callable[[], Awaitable[bool]], within_s: float) -> None:
-        """Wait until something holds; fail with what the members believe."""
+    async def wait_until(self, condition: Callable[[], Awaitable[bool]], within_s: float) -> None:
+        """Wait until a condition holds; on a timeout, fail with the states that the members see."""
         with trio.move_on_after(within_s):
-            while not await holds():
+            while not await condition():
                 await trio.sleep(0.1)
             return
         raise AssertionError(
@@ -87,8 +88,8 @@
             }
         )
 
-    def told(self, state: str) -> set[tuple[str, str]]:
-        """Return who has ever told of a member in that state: observer and member."""
+    def reported(self, state: str) -> set[tuple[str, str]]:
+        """Return each pair of observer and member for which the observer has logged that state."""
         found = set()
         for name, node in self.nodes.items():
             for line in node.log:
@@ -102,37 +103,37 @@
 
 
 @asynccontextmanager
-async def fleet(count: int = 5, suspicion: float = SUSPICION) -> AsyncIterator[Members]:
-    """That many programs that all know each other."""
+async def fleet(count: int = 5, suspicion: float = SUSPICION) -> AsyncIterator[FleetProcesses]:
+    """Run ``count`` programs that all know each other."""
     with tempfile.TemporaryDirectory(prefix="fleet") as folder:
         async with trio.open_nursery() as nursery:
-            members = Members(Relay(nursery), Path(folder), nursery, suspicion)
+            members = FleetProcesses(Relay(nursery), Path(folder), nursery, suspicion)
             for number in range(count):
-                members.fronts[f"m{number}"] = await members.relay.front(f"m{number}")
+                members.addresses[f"m{number}"] = await members.relay.front(f"m{number}")
             try:
                 async with trio.open_nursery() as starts:
-                    for name in members.fronts:
+                    for name in members.addresses:
                         starts.start_soon(members.start, name)
-                await members.until(members.agree, 20.0)
+                await members.wait_until(members.see_states, 20.0)
                 yield members
             finally:
-                for node in (*members.nodes.values(), *members.former):
+                for node in (*members.nodes.values(), *members.replaced):
                     with contextlib.suppress(ProcessLookupError):
                         node.process.send_signal(signal.SIGCONT)
                         node.process.kill()
                 nursery.cancel_scope.cancel()
 
 
-def test_a_member_killed_is_dead_for_all_and_comes_back_with_a_greater_incarnation() -> None:
+def test_a_killed_member_is_dead_for_all_and_rejoins_with_a_greater_incarnation() -> None:
     async def scene() -> None:
         async with fleet() as members:
             before = (await members.view("m1"))["m4"]["incarnation"]
             members.signal("m4", signal.SIGKILL)
             rest = ("m0", "m1", "m2", "m3")
-            await members.until(lambda: members.agree(*rest, m4="dead"), 25.0)
-            assert {name for _, name in members.told("dead")} == {"m4"}
+            await members.wait_until(lambda: members.see_states(*rest, m4="dead"), 25.0)
+            assert {name for _, name in members.reported("dead")} == {"m4"}
             await members.start("m4")
-            await members.until(members.agree, 15.0)
+            await members.wait_until(members.see_states, 15.0)
             assert (await members.view("m1"))["m4"]["incarnation"] > before
 
     play(scene, 110.0)
@@ -143,48 +144,48 @@
     pause_s: float, dies: bool
 ) -> None:
     async def scene() -> None:
-        # the shortest suspicion is 15 s: a pause of 10 s is borne, one of 60 s is not
+        # The shortest suspicion lasts 15 s: a member survives a pause of 10 s but not one of 60 s.
         async with fleet(suspicion=50.0) as members:
             members.signal("m2", signal.SIGSTOP)
             await trio.sleep(pause_s)
-            assert {name for _, name in members.told("dead")} == ({"m2"} if dies else set())
+            assert {name for _, name in members.reported("dead")} == ({"m2"} if dies else set())
             members.signal("m2", signal.SIGCONT)
-            await members.until(members.agree, 20.0)
+            await members.wait_until(members.see_states, 20.0)
             counts = await members.ask("m2", "counters")
             assert counts["fleet.stalls"] >= 1
             assert counts["fleet.refutations"] >= 1 or pause_s < 5.0
-            assert {name for _, name in members.told("dead")} == ({"m2"} if dies else set())
+            assert {name for _, name in members.reported("dead")} == ({"m2"} if dies else set())
 
     play(scene, 110.0)
 
 
 @pytest.mark.parametrize("drop", [0.1, 0.3, 0.5])
-def test_lost_datagrams_cost_no_member_for_good(drop: float) -> None:
+def test_all_members_are_alive_again_after_datagram_loss(drop: float) -> None:
     async def scene() -> None:
         async with fleet() as members:
             members.relay.put("*", "*", Faults(drop=drop))
-            await trio.sleep(15.0)  # 50 probes of each
+            await trio.sleep(15.0)  # Each member sends 50 probes.
             if drop <= 0.1:
-                assert not members.told("dead")
+                assert not members.reported("dead")
             assert members.relay.counts["dropped"] > 50
             members.relay.heal()
-            await members.until(members.agree, 20.0)
+            await members.wait_until(members.see_states, 20.0)
 
     play(scene, 110.0)
 
 
-def test_late_doubled_and_overtaken_datagrams_cost_nothing() -> None:
+def test_delayed_duplicated_and_reordered_datagrams_cause_no_death() -> None:
     async def scene() -> None:
         async with fleet() as members:
             members.relay.put("*", "*", Faults(delay_ms=10.0, jitter_ms=30.0, duplicate=0.3, reorder=0.3))
             await trio.sleep(10.0)
-            await members.until(members.agree, 10.0)
-            assert not members.told("dead")
+            await members.wait_until(members.see_states, 10.0)
+            assert not members.reported("dead")
 
     play(scene, 110.0)
 
 
-def test_a_way_cut_on_one_side_costs_nobody_and_is_found() -> None:
+def test_a_one_way_cut_between_two_members_is_detected_and_causes_no_death() -> None:
     async def scene() -> None:
         async with fleet() as members:
             members.relay.cut("m0", "m1")
@@ -193,94 +194,97 @@
                 zero, one = await members.view("m0"), await members.view("m1")
                 return bool(zero["m1"]["cut_off"] and one["m0"]["cut_off"])
 
-            await members.until(found, 40.0)
-            assert not members.told("dead")
+            await members.wait_until(found, 40.0)
+            assert not members.reported("dead")
             for name in ("m2", "m3", "m4"):
                 assert not any(row["cut_off"] for row in (await members.view(name)).values())
             members.relay.heal()
 
-            async def mended() -> bool:
-                return await members.agree() and not await found()
+            async def healed() -> bool:
+                return await members.see_states() and not await found()
 
-            await members.until(mended, 20.0)
+            await members.wait_until(healed, 20.0)
 
     play(scene, 110.0)
 
 
-def test_a_member_that_nobody_hears_is_found_out_and_accuses_nobody() -> None:
+def test_a_member_whose_datagrams_are_lost_is_dead_for_all_and_causes_no_other_death() -> None:
     async def scene() -> None:
         async with fleet() as members:
             members.relay.put("m3", "*", Faults(cut=True))
             rest = ("m0", "m1", "m2", "m4")
-            await members.until(lambda: members.agree(*rest, m3="dead"), 30.0)
-            assert (await members.ask("m3", "counters"))["fleet.refutations"] >= 1  # heard, and said in vain
-            assert {name for observer, name in members.told("dead") if observer != "m3"} == {"m3"}
+            await members.wait_until(lambda: members.see_states(*rest, m3="dead"), 30.0)
+            # It receives the suspicion and refutes it, but nobody receives the refutation.
+            assert (await members.ask("m3", "counters"))["fleet.refutations"] >= 1
+            assert {name for observer, name in members.reported("dead") if observer != "m3"} == {"m3"}
             members.relay.heal()
-            await members.until(members.agree, 20.0)
+            await members.wait_until(members.see_states, 20.0)
 
     play(scene, 110.0)
 
 
-def test_two_halves_hold_each_other_for_dead_and_become_one_view_again() -> None:
+def test_two_partitions_see_each_other_dead_and_agree_again_after_healing() -> None:
     async def scene() -> None:
         async with fleet(6) as members:
             one, other = {"m0", "m1", "m2"}, {"m3", "m4", "m5"}
             members.relay.part(one, other)
-            await members.until(lambda: members.agree(*one, m3="dead", m4="dead", m5="dead"), 30.0)
-            await members.until(lambda: members.agree(*other, m0="dead", m1="dead", m2="dead"), 30.0)
+            await members.wait_until(lambda: members.see_states(*one, m3="dead", m4="dead", m5="dead"), 30.0)
+            await members.wait_until(
+                lambda: members.see_states(*other, m0="dead", m1="dead", m2="dead"), 30.0
+            )
             members.relay.heal()
-            await members.until(members.agree, 2.0 * 2.0 + 5.0 * PROBE_MS / 1000.0 + 2.0)
+            await members.wait_until(members.see_states, 2.0 * 2.0 + 5.0 * PROBE_MS / 1000.0 + 2.0)
 
     play(scene, 110.0)
 
 
-def test_a_slow_member_accuses_no_healthy_one_to_death() -> None:
+def test_a_slow_member_causes_no_death_of_a_healthy_one() -> None:
     async def scene() -> None:
         async with fleet() as members:
-            for _ in range(12):  # its processor is given to others two thirds of the time
+            for _ in range(12):  # The member is paused two thirds of the time.
                 members.signal("m0", signal.SIGSTOP)
                 await trio.sleep(0.8)
                 members.signal("m0", signal.SIGCONT)
                 await trio.sleep(0.4)
-            assert {name for _, name in members.told("dead")} <= {"m0"}
-            await members.until(members.agree, 20.0)
+            assert {name for _, name in members.reported("dead")} <= {"m0"}
+            await members.wait_until(members.see_states, 20.0)
             assert (await members.ask("m0", "counters"))["fleet.stalls"] >= 3
 
     play(scene, 110.0)
 
 
-def test_a_member_that_ends_on_sigterm_has_left() -> None:
+def test_a_member_stopped_by_sigterm_has_left() -> None:
     async def scene() -> None:
         async with fleet(4) as members:
             assert await members.nodes["m1"].stop() == 0
-            await members.until(lambda: members.agree("m0", "m2", "m3", m1="left"), 10.0)
-            assert not members.told("dead")
+            await members.wait_until(lambda: members.see_states("m0", "m2", "m3", m1="left"), 10.0)
+            assert not members.reported("dead")
 
     play(scene, 110.0)
 
 
-def test_noise_and_strangers_are_counted_and_dropped() -> None:
+def test_malformed_and_foreign_datagrams_are_counted_and_dropped() -> None:
     async def scene() -> None:
         async with fleet(3) as members:
             port = members.nodes["m0"].ports["fleet"]
             with trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM) as sock:
-                stranger = TablePart(
+                foreign = TablePart(
                     "others", "x", (Update("x", "127.0.0.1:1", 1, MemberState.ALIVE, "x"),), True
                 )
-                for datagram in (b"", b"\xc1", b"x" * 3_000, encode(stranger), encode(stranger)[:-3]):
+                for datagram in (b"", b"\xc1", b"x" * 3_000, encode(foreign), encode(foreign)[:-3]):
                     await sock.sendto(datagram, ("127.0.0.1", port))
 
             async def counted() -> bool:
                 counts = await members.ask("m0", "counters")
                 return (counts.get("fleet.malformed"), counts.get("fleet.foreign")) == (4, 1)
 
-            await members.until(counted, 10.0)
-            assert await members.agree()
+            await members.wait_until(counted, 10.0)
+            assert await members.see_states()
 
     play(scene, 110.0)
 
 
-def test_nothing_of_it_is_loaded_or_listens_as_the_platform_starts_the_program() -> None:
+def test_without_a_fleet_configuration_no_membership_code_is_loaded_and_no_udp_port_is_open() -> None:
     code = (
         "import sys, fordstair.entry_point as m; m.read_configuration; "
         "sys.exit(any(n.startswith(('fordstair.membership', 'odata_query')) for n in sys.modules))"
