--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""One small test for each kind of failure, at the level of its symptom."""
+"""How a gateway reacts to each kind of failure; one small test per symptom."""
 
 from __future__ import annotations
 
@@ -32,7 +32,10 @@
 
 
 def serve(rig: Rig, rounds: int, slow: dict[int, float] | None = None) -> Counter[int]:
-    """Serve quick requests one by one; the engines named take so many times as long."""
+    """Serve quick requests one by one and count them by engine number.
+
+    ``slow`` maps an engine's number to the factor by which its latency is longer.
+    """
     chosen: Counter[int] = Counter()
     for _ in range(rounds):
         r = rig.ask(SAFE, 100.0)
@@ -43,15 +46,15 @@
     return chosen
 
 
-def choices(rig: Rig, count: int = 300) -> Counter[int]:
-    """Where requests of no load would go now."""
+def sample_selections(rig: Rig, count: int = 300) -> Counter[int]:
+    """Select an engine repeatedly for an idempotent request; count the selections by engine number."""
     request = TrackedRequest.from_event(RequestArrived(0, SAFE, 3000.0), CLASSES[SAFE])
     picks = [rig.gateway.selector.select(rig.gateway.now, request) for _ in range(count)]
     return Counter(int(e.entry.engine[7]) for e in picks if e is not None)
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.RESET, Status.CONNECT_FAILED, Status.FULL])
-def test_fast_failures_lose_the_draw_and_come_back(status: Status) -> None:
+def test_an_engine_that_fails_fast_is_avoided_and_recovers(status: Status) -> None:
     rig = Rig()
     serve(rig, 30)
     means = rig.gateway.cost_model.class_mean(SAFE)
@@ -62,15 +65,14 @@
         if not rig.answers(r):
             rig.end(r, Status.OK, 100.0, work_ms=100.0)
         rig.now += 5.0
-    assert choices(rig)[1] < 30
-    assert rig.gateway.cost_model.class_mean(SAFE) == pytest.approx(
-        means, rel=0.05
-    )  # quick errors teach no cost
+    assert sample_selections(rig)[1] < 30
+    # Fast errors are not samples of a query's cost.
+    assert rig.gateway.cost_model.class_mean(SAFE) == pytest.approx(means, rel=0.05)
     rig.pass_time(30000.0)
-    assert choices(rig)[1] > 50
+    assert sample_selections(rig)[1] > 50
 
 
-def test_silence_marks_the_engine_and_moves_what_it_holds() -> None:
+def test_a_silent_engine_raises_its_silence_score_and_its_requests_are_retried_elsewhere() -> None:
     rig = Rig(settings(max_attempts=4))
     serve(rig, 30)
     asked = [rig.ask(SAFE, 100.0) for _ in range(12)]
@@ -86,25 +88,25 @@
         assert rig.sends(r)[-1].engine != "10.0.0.1:80"
     assert engine(rig, 1).silence_score >= 1.0 or len(hung) < 2
     rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.1,)))
-    assert engine(rig, 1).silence_score > 0.0  # a shallow probe proves only a live process
+    assert engine(rig, 1).silence_score > 0.0  # a health check only shows that the process is alive
 
 
-def test_a_slow_engine_gets_less_and_forgiveness_brings_it_back() -> None:
+def test_a_slow_engine_gets_fewer_requests_and_recovers_with_time() -> None:
     rig = Rig()
     chosen = serve(rig, 300, {1: 6.0})
     assert chosen[1] < 0.6 * min(chosen[2], chosen[3])
     rig.pass_time(40000.0)
-    assert choices(rig)[1] > 50
+    assert sample_selections(rig)[1] > 50
 
 
-def test_all_slow_at_once_is_no_engines_fault() -> None:
+def test_engines_that_all_become_slow_at_once_are_not_avoided() -> None:
     rig = Rig()
     serve(rig, 60)
     serve(rig, 120, {1: 3.0, 2: 3.0, 3: 3.0})
     assert all(selection_factor(rig.gateway, e) > 0.4 for e in rig.gateway.engines.values())
 
 
-def test_most_engines_silent_still_count_in_pressure() -> None:
+def test_pressure_includes_silent_engines_when_most_are_silent() -> None:
     rig = Rig()
     for number in (1, 2):
         engine(rig, number).silence_score = 3.0
@@ -112,20 +114,19 @@
     assert rig.gateway.admission.pressure(rig.gateway.now, SAFE) == 1.0
 
 
-def test_reports_steer_the_draw_and_their_age_fades() -> None:
+def test_load_reports_affect_selection_and_lose_weight_with_age() -> None:
     rig = Rig(settings(instances=3))
     for _ in range(10):
         rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.9,)))
         rig.feed(HealthCheckEnded("10.0.0.2:80", Status.OK, 1.0, (0.05,)))
         rig.feed(HealthCheckEnded("10.0.0.3:80", Status.OK, 1.0, (0.05,)))
-    assert choices(rig)[1] < 30
+    assert sample_selections(rig)[1] < 30
     rig.pass_time(60000.0)
-    assert (
-        rig.gateway.load.threads_per_core(rig.gateway.now, engine(rig, 1)) < 0.01
-    )  # own threads alone, and there are none
+    # Only own threads still count, and there are none.
+    assert rig.gateway.load.threads_per_core(rig.gateway.now, engine(rig, 1)) < 0.01
 
 
-def test_own_sends_count_at_once_without_any_report() -> None:
+def test_own_attempts_count_as_load_at_once_without_load_reports() -> None:
     rig = Rig(settings(load_report_fields=()))
     for _ in range(24):
         rig.ask(SAFE, 100.0)
@@ -134,7 +135,7 @@
 
 
 @pytest.mark.parametrize("odd", [math.nan, math.inf, -1.0, 1e30])
-def test_odd_figures_neither_crash_nor_poison(odd: float) -> None:
+def test_invalid_figures_neither_crash_the_gateway_nor_distort_its_estimates(odd: float) -> None:
     rig = Rig()
     serve(rig, 20)
     before = rig.gateway.cost_model.class_mean(SAFE)
@@ -151,7 +152,7 @@
     )
 
 
-def test_a_still_clock_a_start_ahead_of_it_and_one_engine() -> None:
+def test_a_single_engine_with_a_start_time_in_the_future_is_used_while_the_clock_stands_still() -> None:
     rig = Rig(settings(slow_start_ms=0.0), engines=0)
     rig.members(entry(1, started=9e9), kind=ListUpdateKind.FULL)
     for _ in range(50):
@@ -159,7 +160,7 @@
     assert len(rig.sends()) == 50
 
 
-def test_bad_plan_told_by_notes_is_cut_and_tried_elsewhere() -> None:
+def test_a_bad_plan_shown_by_progress_reports_is_cancelled_and_retried_elsewhere() -> None:
     rig = Rig(settings(classes=(HEAVY,), progress_interval_ms=1000.0))
     r = rig.ask(0, 2000.0, time_left_ms=20000.0)
     first = rig.sends(r)[0].engine
@@ -173,32 +174,33 @@
     assert rig.sends(r)[-1].engine != first
 
 
-def test_bad_plan_without_notes_is_cut_by_elapsed_time() -> None:
+def test_a_bad_plan_without_progress_reports_is_cancelled_by_elapsed_time() -> None:
     rig = Rig(settings(classes=(HEAVY,)))
     r = rig.ask(0, 2000.0, time_left_ms=20000.0)
-    rig.gateway.engines[rig.sends(r)[0].engine].last_activity_at = rig.now + 1.0  # it answers others
+    # The engine responds to other requests.
+    rig.gateway.engines[rig.sends(r)[0].engine].last_activity_at = rig.now + 1.0
     rig.pass_time(2900.0)
     assert not rig.cancels(r)
     rig.pass_time(2500.0)
     assert rig.cancels(r)
 
 
-def test_pressure_refuses_the_heavy_first_and_at_once() -> None:
+def test_pressure_rejects_expensive_requests_first_and_at_once() -> None:
     rig = Rig(settings(classes=(HEAVY,)))
     for _ in range(30):
         r = rig.ask(0, 2000.0, time_left_ms=20000.0)
         rig.end(r, Status.OK, 1000.0, work_ms=2000.0)
     for e in rig.gateway.engines.values():
-        e.own_threads = 13  # 1.6 threads a core
+        e.own_threads = 13  # 1.6 threads per core
     heavy, light = rig.ask(0, 8000.0, time_left_ms=20000.0), rig.ask(0, 100.0, time_left_ms=20000.0)
     while not rig.of(RejectRequest, heavy):
         heavy = rig.ask(0, 8000.0, time_left_ms=20000.0)
-        assert heavy < 60, "the bucket never empties"
+        assert heavy < 60, "the token bucket of expensive requests never runs empty"
     assert rig.sends(light)
     assert not rig.sends(heavy)
 
 
-def test_a_tenants_excess_is_refused_under_pressure_only() -> None:
+def test_requests_over_a_tenants_quota_are_rejected_under_pressure_only() -> None:
     config = settings(classes=(HEAVY,), tenants=(Tenant("one", 5.0), Tenant("two", 5.0)))
     rig = Rig(config)
     calm = [rig.ask(0, 10.0, tenant=0, time_left_ms=9000.0) for _ in range(12)]
@@ -207,21 +209,21 @@
         e.own_threads = 12
     assert rig.of(RejectRequest, rig.ask(0, 10.0, tenant=0, time_left_ms=9000.0))
     rig.ask(0, 10.0, tenant=1, time_left_ms=9000.0)
-    rig.now += 1000.0  # its bucket started at a random part and has filled
+    rig.now += 1000.0  # its token bucket started at a random level and is full by now
     assert rig.sends(rig.ask(0, 10.0, tenant=1, time_left_ms=9000.0))
 
 
-def test_grants_follow_what_was_needed() -> None:
+def test_memory_grants_follow_the_measured_memory() -> None:
     rig = Rig()
     for _ in range(200):
         rig.end(rig.ask(SAFE, 100.0, memory_mb=100.0), Status.OK, 100.0, work_ms=100.0, memory_mb=200.0)
     terms = rig.of(SetQueryResources)[-1]
     assert 195.0 < terms.memory_mb < 230.0
     r = rig.ask(SAFE, 100.0, memory_mb=1e9)
-    assert rig.of(SetQueryResources, r)[-1].memory_mb == 16384.0  # never more than one query may have
+    assert rig.of(SetQueryResources, r)[-1].memory_mb == 16384.0  # the most that one query may be granted
 
 
-def test_a_load_keeps_others_off_its_table_group() -> None:
+def test_a_load_avoids_an_engine_that_runs_a_load_of_the_same_table_group() -> None:
     rig = Rig(engines=3)
     load = rig.ask(LOAD, 3000.0, table_group=4.0)
     holder = rig.sends(load)[0].engine
@@ -229,7 +231,7 @@
     assert sum(rig.sends(r)[0].engine != holder for r in elsewhere) >= 1
 
 
-def test_a_restarted_engine_begins_without_its_old_marks() -> None:
+def test_a_restarted_engine_starts_without_its_old_silence_score() -> None:
     rig = Rig()
     engine(rig, 1).silence_score = 4.0
     rig.pass_time(5000.0)
@@ -237,16 +239,16 @@
     assert engine(rig, 1).silence_score == 0.0
     assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) < 0.5
     rig.members(entry(1, EngineState.DRAINING, started=rig.now))
-    assert 1 not in choices(rig)
+    assert 1 not in sample_selections(rig)
 
 
-def test_a_fresh_gateway_keeps_its_buckets_open() -> None:
+def test_a_new_gateway_admits_expensive_requests() -> None:
     rig = Rig(settings(classes=(HEAVY,)))
     assert rig.sends(rig.ask(0, 50.0, time_left_ms=9000.0))
     assert rig.sends(rig.ask(0, 90000.0, time_left_ms=90000.0))
 
 
-def test_same_seed_same_actions() -> None:
+def test_the_same_seed_gives_the_same_actions() -> None:
     logs = []
     for _ in range(2):
         rig = Rig(seed=7)
@@ -255,7 +257,7 @@
     assert logs[0] == logs[1]
 
 
-def test_an_engine_that_refused_connects_counts_as_cold_when_it_answers() -> None:
+def test_an_engine_that_refused_connections_counts_as_cold() -> None:
     rig = Rig(settings(max_attempts=1))
     for _ in range(20):
         r = rig.ask(SAFE, 100.0)
@@ -266,21 +268,21 @@
     assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) == 1.0
 
 
-def test_a_connection_that_is_late_shows_no_engine_to_be_down_and_one_that_never_comes_up_does() -> None:
+def test_an_engine_counts_as_cold_after_a_failed_connection_and_not_after_a_late_one() -> None:
     rig = Rig(settings(max_attempts=1))
     for _ in range(20):
         r = rig.ask(SAFE, 100.0)
         late = rig.sends(r)[0].engine == "10.0.0.1:80"
         rig.end(r, Status.CONNECT_FAILED if late else Status.OK, 250.0, may_connect_late=late)
     assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) == 1.0
-    # warm or not, it is avoided while connections to it are slow
+    # Connections to it are slow, so it is avoided although it counts as warm.
     assert rig.gateway.outliers.reliability(rig.gateway.now, engine(rig, 1)) < 0.6
     rig.feed(HealthCheckEnded("10.0.0.1:80", Status.CONNECT_FAILED, 3_000.0))
     assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 1)) < 0.5
     assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, engine(rig, 2)) == 1.0
 
 
-def test_no_storm_of_attempts_where_no_budget_is_stated() -> None:
+def test_retries_are_limited_without_a_configured_retry_budget() -> None:
     rig = Rig(settings(max_attempts=5))
     for _ in range(100):
         r = rig.ask(SAFE, 100.0)
@@ -289,45 +291,49 @@
     assert len(rig.sends()) <= 100 + 10 + 50
 
 
-def test_a_marked_engine_does_not_win_by_looking_idle() -> None:
+def test_a_failing_engine_is_not_preferred_because_it_is_idle() -> None:
     rig = Rig()
-    engine(rig, 1).error_rate.value = 0.9  # it fails at once, so nothing of it is ever out
+    engine(rig, 1).error_rate.value = 0.9  # it fails at once, so it never has attempts in flight
     for number in (2, 3):
         engine(rig, number).own_threads = 16
-    assert choices(rig, 1000)[1] < 50
+    assert sample_selections(rig, 1000)[1] < 50
 
 
-def test_a_full_counter_refuses_the_light_as_well_and_opens_again() -> None:
-    """Light requests were let in without bound under pressure, until the engines paged and nothing ended."""
-    rig = Rig(settings(classes=(HEAVY,), instances=2), engines=2)  # 16 cores, 8 of them this gateway's part
+def test_the_limit_on_own_threads_also_rejects_light_requests_until_one_ends() -> None:
+    # Guards against light requests that are admitted without limit under pressure, until the engines page
+    # memory to disk and no query ends.
+    rig = Rig(settings(classes=(HEAVY,), instances=2), engines=2)  # 16 cores, 8 of them this gateway's share
     asked = [rig.ask(0, 10.0, time_left_ms=20000.0) for _ in range(40)]
-    out = [r for r in asked if rig.sends(r)]
-    assert 1.0 <= 2 * len(out) / 8 <= 3.0  # threads a core
-    assert all(rig.of(RejectRequest, r) for r in asked if r not in out)
-    rig.end(out[0], Status.OK, 10.0)
+    sent = [r for r in asked if rig.sends(r)]
+    assert 1.0 <= 2 * len(sent) / 8 <= 3.0  # threads per core
+    assert all(rig.of(RejectRequest, r) for r in asked if r not in sent)
+    rig.end(sent[0], Status.OK, 10.0)
     assert rig.sends(rig.ask(0, 10.0, time_left_ms=20000.0))
 
 
-def test_errors_of_one_bad_statement_mark_no_engine() -> None:
-    """Bad clients' statements reach engines, which answer an error each: none of them is sick for that."""
+def test_a_faulty_statement_does_not_raise_the_error_rate_of_engines() -> None:
+    # Guards against engines that are avoided because of a client's faulty statement, to which each engine
+    # responds with an error.
     ample = RetryBudget(100.0, 1.0, 5000.0)
     rig = Rig(settings(retry_budget=ample), engines=4)
     for _ in range(10):
         bad = rig.ask(SAFE)
         while not rig.answers(bad):
             rig.end(bad, Status.ERROR, 1.0)
-        assert len(rig.sends(bad)) == 2  # a third engine would find no more use for it
+        assert len(rig.sends(bad)) == 2  # after errors from two engines, a third attempt gains nothing
     assert all(one.error_rate.value == 0.0 for one in rig.gateway.engines.values())
     good = rig.ask(SAFE)
     rig.end(good, Status.ERROR, 1.0)
     rig.end(good)
     sick = rig.gateway.engines[rig.sends(good)[0].engine]
-    assert sick.error_rate.value == 1.0  # another engine could serve it
+    assert sick.error_rate.value == 1.0  # another engine served the same request
 
 
 @pytest.mark.parametrize("jam", [False, True])
-def test_late_work_goes_on_while_calm_and_ends_at_its_aim_in_a_jam(jam: bool) -> None:
-    """What is late earns little, and what it holds keeps a jam going."""
+def test_a_late_query_runs_on_without_pressure_and_is_abandoned_at_its_objective_in_overload(
+    jam: bool,
+) -> None:
+    # Guards against late queries that prolong an overload: they are worth little, but hold their threads.
     rig = Rig(settings(classes=(HEAVY,), progress_interval_ms=500.0))
     r = rig.ask(0, 100.0, time_left_ms=20000.0)
     for step in range(30):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The seven rules, without the bench: by cases, and by random legal event sequences."""
+"""The gateway's seven rules, without the bench: by cases, and by random legal event sequences."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     assert not rig.of(RejectRequest, r)  # it may have run
 
 
-def test_no_engine_means_a_refusal_at_once() -> None:
+def test_without_any_engine_a_request_is_rejected_at_once() -> None:
     rig = Rig(engines=0)
     assert len(rig.of(RejectRequest, rig.ask())) == 1
 
 
-def test_late_outcome_and_unknown_ids_are_passed_over() -> None:
+def test_late_outcomes_and_unknown_ids_are_ignored() -> None:
     rig = Rig()
     r = rig.ask()
     rig.feed(ClientDisconnected(r))
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED])
-def test_unsafe_is_failed_once_it_may_have_run(status: Status) -> None:
+def test_a_load_that_may_have_run_fails_without_a_retry(status: Status) -> None:
     rig = Rig()
     r = rig.ask(LOAD)
     rig.end(r, status)
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("status", [Status.FULL, Status.CONNECT_FAILED])
-def test_unsafe_goes_out_again_only_while_it_never_ran(status: Status) -> None:
+def test_a_load_is_retried_only_while_no_attempt_can_have_run(status: Status) -> None:
     rig = Rig()
     r = rig.ask(LOAD)
     rig.end(r, status)
@@ -64,7 +64,7 @@
     assert len(rig.of(FailRequest, r)) == 1
 
 
-def test_keyed_goes_out_again_only_while_its_duplicates_are_remembered() -> None:
+def test_a_request_with_an_idempotency_key_is_retried_only_within_the_deduplication_window() -> None:
     rig = Rig()
     soon, late = rig.ask(KEYED), rig.ask(KEYED)
     rig.end(soon, Status.ERROR)
@@ -76,7 +76,9 @@
 
 
 @pytest.mark.parametrize("scope", [DeduplicationScope.ZONE, DeduplicationScope.CELL])
-def test_keyed_group_binds_later_sends_and_the_answer(scope: DeduplicationScope) -> None:
+def test_retries_with_an_idempotency_key_stay_within_the_deduplication_scope(
+    scope: DeduplicationScope,
+) -> None:
     keyed = RequestClass(
         "keyed",
         Idempotency.WITH_KEY,
@@ -96,29 +98,30 @@
         assert len(rig.of(FailRequest, r)) == 1
 
 
-def test_drained_and_gone_engines_get_nothing_new() -> None:
+def test_draining_and_gone_engines_get_no_new_attempts() -> None:
     rig = Rig()
     rig.members(entry(1, EngineState.DRAINING), entry(2, EngineState.GONE))
     for _ in range(30):
         r = rig.ask()
         assert rig.sends(r)[-1].engine == "10.0.0.3:80"
-        rig.end(r)  # else the counter is full in the end
+        rig.end(r)  # otherwise the limit on own threads is reached
     rig.members(entry(4), kind=ListUpdateKind.FULL)
     assert rig.sends(rig.ask())[-1].engine == "10.0.0.4:80"
 
 
-def test_cold_engine_gets_no_more_than_this_gateways_part() -> None:
+def test_a_cold_engine_gets_no_more_than_this_gateways_share_of_its_budget() -> None:
     config = settings(instances=2)
     rig = Rig(config, engines=1)
     rig.members(entry(9, started=rig.now), kind=ListUpdateKind.FULL)
     for _ in range(400):
         rig.ask(SAFE, 100.0)
         rig.pass_time(5.0)
-    budget = 3.0 * 0.5 * 0.85 * 8.0 * 2000.0 / 2  # twice the warmth reached by then is not passed either
+    # The warm-up factor stays below 0.5 for the time that is played.
+    budget = 3.0 * 0.5 * 0.85 * 8.0 * 2000.0 / 2
     assert 0 < len(rig.sends()) * 100.0 <= budget
 
 
-def test_order_is_kept_and_a_key_rests_after_an_uncertain_end() -> None:
+def test_an_ordering_key_is_sent_in_order_and_waits_the_settle_time_after_an_uncertain_end() -> None:
     rig = Rig()
     first, second, other = (
         rig.ask(LOAD, ordering_key=7),
@@ -136,7 +139,7 @@
     assert rig.sends(second)
 
 
-def test_order_waits_for_the_outcome_of_a_client_that_left() -> None:
+def test_an_ordering_key_waits_for_the_outcome_of_a_request_whose_client_disconnected() -> None:
     rig = Rig()
     first, second = rig.ask(LOAD, ordering_key=7), rig.ask(LOAD, ordering_key=7)
     rig.feed(ClientDisconnected(first))
@@ -145,7 +148,7 @@
     assert rig.sends(second)
 
 
-def test_what_waits_behind_a_key_is_answered_in_time() -> None:
+def test_a_request_that_waits_for_its_ordering_key_is_answered_by_its_deadline() -> None:
     rig = Rig()
     rig.ask(LOAD, ordering_key=7)
     waiting = rig.ask(LOAD, ordering_key=7, time_left_ms=3000.0)
@@ -156,26 +159,26 @@
     assert len(rig.of(RejectRequest, hopeless)) == 1
 
 
-def test_placement_holds_even_when_all_of_it_is_down() -> None:
+def test_placement_limits_hold_when_no_allowed_engine_is_left() -> None:
     bound = RequestClass("bound", allowed_machine_kinds=frozenset({1}), allowed_zones=frozenset({0}))
     rig = Rig(settings(classes=(bound,)), engines=0)
     rig.members(entry(1, kind=0), entry(2, kind=1), entry(3, kind=1, zone=1), kind=ListUpdateKind.FULL)
     for _ in range(20):
         r = rig.ask(0)
         assert rig.sends(r)[-1].engine == "10.0.0.2:80"
-        rig.end(r)  # else the counter is full in the end
+        rig.end(r)  # otherwise the limit on own threads is reached
     rig.members(entry(2, EngineState.GONE))
     sent = len(rig.sends())
     assert rig.of(RejectRequest, rig.ask(0))
     assert len(rig.sends()) == sent
 
 
-def test_attempt_budget_at_its_edge() -> None:
+def test_the_retry_budget_is_enforced_exactly() -> None:
     rig = Rig(settings(retry_budget=RetryBudget(2.0, 0.1, 5000.0), max_attempts=2))
     asked = [rig.ask() for _ in range(20)]
     for r in asked:
         rig.end(r, Status.ERROR, latency=1.0)
-    assert sum(len(rig.sends(r)) == 2 for r in asked) == 4  # 2 free and a tenth of 20
+    assert sum(len(rig.sends(r)) == 2 for r in asked) == 4  # 2 retries, and 0.1 for each of 20 requests
     rig.pass_time(5002.0)
     r = rig.ask()
     rig.end(r, Status.ERROR, latency=1.0)
@@ -184,9 +187,9 @@
 
 @hypothesis_settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32), st.integers(1, 5))
-def test_random_histories_keep_the_rules(seed: int, engines: int) -> None:
-    """Random arrivals, outcomes, departures and list changes; every rule is checked on the log."""
-    chance = Random(seed)
+def test_random_event_sequences_keep_the_rules(seed: int, engines: int) -> None:
+    """Random arrivals, outcomes, disconnects and engine list changes; every rule is checked on the log."""
+    random = Random(seed)
     keyed = RequestClass(
         "keyed",
         Idempotency.WITH_KEY,
@@ -197,101 +200,116 @@
     )
     config = settings(classes=(*CLASSES[:2], keyed), retry_budget=RetryBudget(3.0, 0.1, 5000.0))
     rig = Rig(config, engines, seed)
-    out: dict[tuple[int, int], float] = {}
+    in_flight: dict[tuple[int, int], float] = {}
     ended: dict[tuple[int, int], tuple[float, Status]] = {}
-    over: dict[int, float] = {}
-    born: dict[int, tuple[float, int, int, float]] = {}
-    drained: dict[str, float] = {}
-    read = 0
-
-    def take_in() -> None:
-        nonlocal read
-        for at, action in rig.log[read:]:
+    finished_at: dict[int, float] = {}
+    arrivals: dict[int, tuple[float, int, int, float]] = {}
+    drained_at: dict[str, float] = {}
+    checked = 0
+
+    def check_new_actions() -> None:
+        nonlocal checked
+        for at, action in rig.log[checked:]:
             if isinstance(action, SendAttempt):
-                r, number = action.request, len([k for k in (*out, *ended) if k[0] == action.request])
-                assert r not in over, "sent after its end"
-                assert not [k for k in out if k[0] == r], "two attempts out"
-                assert drained.get(action.engine) is None, "sent to an engine that drains"
-                class_index, key = born[r][1], born[r][2]
+                r, number = action.request, len([k for k in (*in_flight, *ended) if k[0] == action.request])
+                assert r not in finished_at, "an attempt was sent after its request had ended"
+                assert not [k for k in in_flight if k[0] == r], "two attempts of one request in flight"
+                assert (
+                    drained_at.get(action.engine) is None
+                ), "an attempt was sent to an engine that is draining or gone"
+                class_index, key = arrivals[r][1], arrivals[r][2]
                 before = [v[1] for k, v in ended.items() if k[0] == r]
                 if class_index == LOAD:
-                    assert all(s.proves_not_run for s in before), "an unsafe repeat"
+                    assert all(s.proves_not_run for s in before), "a load was repeated that may have run"
                 if class_index != SAFE and key:
-                    for q, (_, c, k, _) in born.items():
+                    for q, (_, c, k, _) in arrivals.items():
                         if q < r and k == key and c != SAFE:
-                            assert q in over, "out of order"
-                            assert not [o for o in out if o[0] == q], "out of order"
-                            rests = [
+                            assert (
+                                q in finished_at
+                            ), "sent while an earlier request of its ordering key is open"
+                            assert not [
+                                o for o in in_flight if o[0] == q
+                            ], "sent while an earlier one is in flight"
+                            uncertain_ends = [
                                 v[0]
                                 for o, v in ended.items()
                                 if o[0] == q and v[1] in (Status.TIMEOUT, Status.RESET, Status.CANCELLED)
                             ]
-                            assert number or all(at >= t + 500.0 for t in rests), "the key had no rest"
-                out[(r, number)] = at
+                            assert number or all(
+                                at >= t + 500.0 for t in uncertain_ends
+                            ), "sent within the settle time"
+                in_flight[(r, number)] = at
             elif isinstance(action, RejectRequest | FailRequest):
-                assert action.request not in over, "two answers"
-                over[action.request] = at
-                states = [v[1] for k, v in ended.items() if k[0] == action.request]
-                hanging = [k for k in out if k[0] == action.request]
-                if isinstance(action, RejectRequest) and born[action.request][1] == LOAD:
-                    assert not hanging, "refused what may have run"
-                    assert all(s.proves_not_run for s in states), "refused what may have run"
+                assert action.request not in finished_at, "a request was answered after it had ended"
+                finished_at[action.request] = at
+                statuses = [v[1] for k, v in ended.items() if k[0] == action.request]
+                still_in_flight = [k for k in in_flight if k[0] == action.request]
+                if isinstance(action, RejectRequest) and arrivals[action.request][1] == LOAD:
+                    assert not still_in_flight, "a load was rejected with an attempt in flight"
+                    assert all(s.proves_not_run for s in statuses), "a load was rejected that may have run"
             elif isinstance(action, CancelAttempt):
-                assert (action.request, action.attempt) in {*out, *ended}, "cancelled an attempt never made"
-            read += 1
-
-    for _ in range(chance.randrange(20, 120)):
-        dice = chance.random()
-        if dice < 0.45:
+                assert (action.request, action.attempt) in {
+                    *in_flight,
+                    *ended,
+                }, "an attempt was cancelled that was never sent"
+            checked += 1
+
+    for _ in range(random.randrange(20, 120)):
+        draw = random.random()
+        if draw < 0.45:
             rig.ids += 1
-            class_index, key = chance.randrange(3), chance.choice([0, 1, 2])
-            budget = chance.choice([50.0, 1500.0, 6000.0])
-            born[rig.ids] = (rig.now, class_index, key, budget)
+            class_index, key = random.randrange(3), random.choice([0, 1, 2])
+            budget = random.choice([50.0, 1500.0, 6000.0])
+            arrivals[rig.ids] = (rig.now, class_index, key, budget)
             rig.ids -= 1
-            rig.ask(class_index, chance.choice([0.0, 50.0, 2000.0]), ordering_key=key, time_left_ms=budget)
-        elif dice < 0.75 and out:
-            pick = chance.choice(list(out))
-            status = chance.choice(list(Status))
-            sent = out.pop(pick)
+            rig.ask(class_index, random.choice([0.0, 50.0, 2000.0]), ordering_key=key, time_left_ms=budget)
+        elif draw < 0.75 and in_flight:
+            pick = random.choice(list(in_flight))
+            status = random.choice(list(Status))
+            sent = in_flight.pop(pick)
             ended[pick] = (rig.now, status)
             if status is Status.OK:
-                over.setdefault(pick[0], rig.now)
+                finished_at.setdefault(pick[0], rig.now)
             rig.end(pick[0], status, rig.now - sent, pick[1])
-        elif dice < 0.8 and set(born) - set(over):
-            r = chance.choice(sorted(set(born) - set(over)))
-            over[r] = rig.now
+        elif draw < 0.8 and set(arrivals) - set(finished_at):
+            r = random.choice(sorted(set(arrivals) - set(finished_at)))
+            finished_at[r] = rig.now
             rig.feed(ClientDisconnected(r))
-        elif dice < 0.87:
-            number = chance.randrange(1, engines + 1)
-            state = chance.choice([EngineState.DRAINING, EngineState.READY, EngineState.GONE])
+        elif draw < 0.87:
+            number = random.randrange(1, engines + 1)
+            state = random.choice([EngineState.DRAINING, EngineState.READY, EngineState.GONE])
             name = f"10.0.0.{number}:80"
-            drained.pop(name, None)
+            drained_at.pop(name, None)
             if state is not EngineState.READY:
-                drained[name] = rig.now
-            rig.members(entry(number, state, chance.choice([0.0, rig.now])))
+                drained_at[name] = rig.now
+            rig.members(entry(number, state, random.choice([0.0, rig.now])))
         else:
-            for _ in range(chance.randrange(1, 60)):
+            for _ in range(random.randrange(1, 60)):
                 rig.pass_time(5.0)
-                take_in()
+                check_new_actions()
                 for k in [
                     k
-                    for k in out
+                    for k in in_flight
                     if rig.of(CancelAttempt, k[0])
                     and k[1] in {c.attempt for c in rig.of(CancelAttempt, k[0])}
                 ]:
-                    sent = out.pop(k)
+                    sent = in_flight.pop(k)
                     ended[k] = (rig.now, Status.CANCELLED)
                     rig.end(k[0], Status.CANCELLED, rig.now - sent, k[1])
-                    take_in()
-        take_in()
-        for r, (at, _, _, budget) in born.items():
-            assert r in over or rig.now <= at + budget + 20.0, "no answer in time"
+                    check_new_actions()
+        check_new_actions()
+        for r, (at, _, _, budget) in arrivals.items():
+            assert (
+                r in finished_at or rig.now <= at + budget + 20.0
+            ), "a request has no answer by its deadline"
     times = [(t, a.request) for t, a in rig.log if isinstance(a, SendAttempt)]
     seen: set[int] = set()
-    extras = []
+    retries = []
     for t, r in times:
         if r in seen:
-            extras.append(t)
-            taken = sum(1 for b in born.values() if t - 5000.0 < b[0] <= t)
-            assert sum(1 for x in extras if x > t - 5000.0) <= 3.0 + 0.1 * taken, "over the attempt budget"
+            retries.append(t)
+            arrived = sum(1 for b in arrivals.values() if t - 5000.0 < b[0] <= t)
+            assert (
+                sum(1 for x in retries if x > t - 5000.0) <= 3.0 + 0.1 * arrived
+            ), "the retry budget was exceeded"
         seen.add(r)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""What hundreds of mostly quiet gateways break, each tested on single gateways without the bench."""
+"""Failures that appear with hundreds of mostly idle gateways, tested on single gateways without the bench."""
 
 from __future__ import annotations
 
@@ -14,120 +14,127 @@
 from fordstair.decisions.tracked_request import TrackedRequest
 from tests.helpers import CLASSES, LOAD, SAFE, Rig, entry, selection_factor, settings
 
-MANY = 250  # gateways
+GATEWAYS = 250
 
 
-def sends_to(rigs: list[Rig], number: int) -> int:
+def count_sends_to(rigs: list[Rig], number: int) -> int:
     return sum(s.engine == f"10.0.0.{number}:80" for rig in rigs for s in rig.sends())
 
 
-def engine_of(rig: Rig, number: int) -> TrackedEngine:
+def engine_by_number(rig: Rig, number: int) -> TrackedEngine:
     return rig.gateway.engines[f"10.0.0.{number}:80"]
 
 
-def test_a_cold_engine_gets_a_part_from_all_gateways_together_but_not_too_much() -> None:
-    # An even part of the cold budget is less than one query at each of the gateways.
-    config = settings(instances=MANY, slow_start_overload_factor=3.0, slow_start_window_ms=2000.0)
-    rigs = [Rig(config, engines=0, seed=seed) for seed in range(MANY)]
+def test_a_cold_engine_gets_some_work_from_all_gateways_together_within_its_budget() -> None:
+    # Guards against a cold engine that gets nothing, since an even share of its budget is less than one query
+    # at each of the gateways, and against one that gets too much from all of them together.
+    config = settings(instances=GATEWAYS, slow_start_overload_factor=3.0, slow_start_window_ms=2000.0)
+    rigs = [Rig(config, engines=0, seed=seed) for seed in range(GATEWAYS)]
     for rig in rigs:
         rig.members(*(entry(i) for i in range(1, 10)), entry(10, started=990.0), kind=ListUpdateKind.FULL)
         for _ in range(2):
             rig.ask(SAFE, 100.0)
-    cold, all_sends = sends_to(rigs, 10), sum(len(rig.sends()) for rig in rigs)
-    assert all_sends == 2 * MANY
+    cold, total = count_sends_to(rigs, 10), sum(len(rig.sends()) for rig in rigs)
+    assert total == 2 * GATEWAYS
     budget = 3.0 * 0.3 * 0.85 * 8.0 * 2000.0  # thread-milliseconds within the window
     assert 0 < cold * 100.0 < budget
-    assert cold < all_sends / 10  # less than an even part of the traffic
+    assert cold < total / 10  # less than an even share of the traffic
 
 
-def test_with_every_engine_cold_the_gateways_hold_back_together() -> None:
-    rigs = [Rig(settings(instances=MANY), engines=0, seed=seed) for seed in range(MANY)]
+def test_with_every_engine_cold_all_gateways_together_stay_within_the_budget() -> None:
+    rigs = [Rig(settings(instances=GATEWAYS), engines=0, seed=seed) for seed in range(GATEWAYS)]
     for rig in rigs:
         rig.members(*(entry(i, started=990.0) for i in range(1, 4)), kind=ListUpdateKind.FULL)
         rig.ask(LOAD, 4000.0, ordering_key=1)
-    part = sum(len(rig.sends()) for rig in rigs) / MANY
-    assert 0.0 < part < 3.0 * 0.3 / 2.0  # of full load: half of what the rule allows
-    assert all(rig.sends() or rig.answers(1) for rig in rigs)  # nobody is left without an answer
+    load_share = sum(len(rig.sends()) for rig in rigs) / GATEWAYS
+    # As a share of full load, half of what the rule allows.
+    assert 0.0 < load_share < 3.0 * 0.3 / 2.0
+    assert all(rig.sends() or rig.answers(1) for rig in rigs)  # no request is left without an answer
 
 
-def costly(rig: Rig) -> TrackedRequest:
-    """A request of ten times its class's mean."""
+def expensive_request(rig: Rig) -> TrackedRequest:
+    """Return a request whose cost is ten times the mean of its class."""
     rig.gateway.cost_model.classes[SAFE].cost.add(100.0)
     request = TrackedRequest.from_event(RequestArrived(0, SAFE, 3000.0), CLASSES[SAFE])
     request.cost = 1000.0
     return request
 
 
-def press(rig: Rig) -> float:
-    """A little pressure, by lateness; without any, buckets do not bind."""
+def apply_pressure(rig: Rig) -> float:
+    """Cause pressure by lateness, since token buckets reject nothing without it; return the pressure."""
     rig.gateway.load.lateness.value = 0.45
     rig.gateway.load.lateness.updated_at = rig.gateway.now
     return rig.gateway.admission.pressure(rig.gateway.now, SAFE)
 
 
-def test_buckets_of_many_gateways_do_not_open_full_together() -> None:
-    rigs = [Rig(settings(instances=MANY), seed=seed) for seed in range(MANY)]
-    assert all(press(rig) > 0.1 for rig in rigs)
-    let_in = sum(not rig.gateway.admission.rejection(rig.gateway.now, costly(rig)) for rig in rigs)
-    assert 0.2 * MANY < let_in < 0.8 * MANY  # not one each at once, and not none
+def test_token_buckets_of_many_gateways_do_not_all_start_full() -> None:
+    rigs = [Rig(settings(instances=GATEWAYS), seed=seed) for seed in range(GATEWAYS)]
+    assert all(apply_pressure(rig) > 0.1 for rig in rigs)
+    admitted = sum(
+        not rig.gateway.admission.rejection(rig.gateway.now, expensive_request(rig)) for rig in rigs
+    )
+    assert 0.2 * GATEWAYS < admitted < 0.8 * GATEWAYS  # neither one at each gateway at once, nor none
 
 
-def test_small_shares_admit_by_chance_and_keep_their_rate() -> None:
-    rig = Rig(settings(instances=MANY))
-    request, let_in, p = costly(rig), 0, press(rig)
+def test_a_gateway_with_a_small_share_admits_expensive_requests_at_its_rate() -> None:
+    rig = Rig(settings(instances=GATEWAYS))
+    request, admitted, pressure = expensive_request(rig), 0, apply_pressure(rig)
     for _ in range(4000):
         rig.gateway.now += 1000.0
-        press(rig)
-        let_in += not rig.gateway.admission.rejection(rig.gateway.now, request)
-    rate = 24.0 / MANY * (1.0 - p) ** 2  # a second: cores over thread-seconds, an even part, less by pressure
-    assert let_in == pytest.approx(rate * 4000.0, rel=0.2)
+        apply_pressure(rig)
+        admitted += not rig.gateway.admission.rejection(rig.gateway.now, request)
+    # Per second: cores over thread-seconds, divided evenly between the gateways and reduced by pressure.
+    rate = 24.0 / GATEWAYS * (1.0 - pressure) ** 2
+    assert admitted == pytest.approx(rate * 4000.0, rel=0.2)
 
 
-def test_in_calm_a_small_share_refuses_no_heavy_query() -> None:
-    rig = Rig(settings(instances=MANY))
-    assert not any(rig.gateway.admission.rejection(rig.gateway.now, costly(rig)) for _ in range(20))
+def test_without_pressure_a_gateway_with_a_small_share_rejects_no_expensive_request() -> None:
+    rig = Rig(settings(instances=GATEWAYS))
+    assert not any(
+        rig.gateway.admission.rejection(rig.gateway.now, expensive_request(rig)) for _ in range(20)
+    )
 
 
-def test_a_quiet_gateway_reads_an_engine_without_report_as_loaded_as_the_others() -> None:
+def test_an_engine_without_a_load_report_counts_as_loaded_as_the_others() -> None:
     rig = Rig(engines=4)
     for number in (1, 2, 3):
         rig.feed(HealthCheckEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (0.75,)))
     loads = [
-        rig.gateway.load.threads_per_core(rig.gateway.now, engine_of(rig, number)) for number in (1, 2, 3, 4)
+        rig.gateway.load.threads_per_core(rig.gateway.now, engine_by_number(rig, number))
+        for number in (1, 2, 3, 4)
     ]
     assert loads[3] == pytest.approx(loads[0], rel=0.05)
     rig.pass_time(120000.0)
-    assert (
-        rig.gateway.load.threads_per_core(rig.gateway.now, engine_of(rig, 4)) < 0.01
-    )  # no reports at all: own threads alone
+    # No report counts any more; only own threads do.
+    assert rig.gateway.load.threads_per_core(rig.gateway.now, engine_by_number(rig, 4)) < 0.01
 
 
-def test_a_fresh_report_replaces_one_that_is_old() -> None:
+def test_a_load_report_replaces_an_estimate_that_is_old() -> None:
     rig = Rig()
     for _ in range(5):
         rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.9,)))
     rig.pass_time(10000.0)
     rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (0.3,)))
-    assert engine_of(rig, 1).other_threads.value == pytest.approx(0.3 * 8.0 / 0.75)
+    assert engine_by_number(rig, 1).other_threads.value == pytest.approx(0.3 * 8.0 / 0.75)
 
 
-def test_a_heavy_query_looks_at_a_few_engines_and_goes_to_the_least_busy() -> None:
+def test_an_expensive_query_checks_a_few_engines_and_goes_to_the_least_busy() -> None:
     rig = Rig(settings(health_checks=True), engines=30)
     for step in range(20):
         rig.ask(SAFE, 10.0 if step == 0 else 1.0)
     rig.pass_time(1000.0)
     before = len(rig.of(CheckHealth))
     r = rig.ask(LOAD, 4000.0, ordering_key=1)
-    asked = rig.of(CheckHealth)[before:]
-    assert 2 <= len(asked) <= ENGINES_CHECKED_PER_ATTEMPT
+    checks = rig.of(CheckHealth)[before:]
+    assert 2 <= len(checks) <= ENGINES_CHECKED_PER_ATTEMPT
     assert not rig.sends(r)
-    for place, probe in enumerate(asked):
-        rig.feed(HealthCheckEnded(probe.engine, Status.OK, 1.0, (0.05 if place == 0 else 0.95,)))
+    for index, check in enumerate(checks):
+        rig.feed(HealthCheckEnded(check.engine, Status.OK, 1.0, (0.05 if index == 0 else 0.95,)))
     rig.pass_time(HEALTH_CHECK_WAIT_MS + 1.0)
-    assert rig.sends(r)[0].engine == asked[0].engine
+    assert rig.sends(r)[0].engine == checks[0].engine
 
 
-def test_a_held_query_goes_out_without_any_answer_and_probes_are_rationed() -> None:
+def test_a_query_held_for_health_checks_is_sent_without_results_and_checks_are_limited() -> None:
     rig = Rig(settings(health_checks=True), engines=30)
     for _ in range(100):
         r = rig.ask(SAFE, 1000.0)
@@ -136,13 +143,13 @@
     assert len(rig.of(CheckHealth)) <= MAX_HEALTH_CHECK_CREDIT + 0.4 * 100
 
 
-def test_an_idle_gateway_sets_no_timers_and_sends_no_probes() -> None:
+def test_an_idle_gateway_starts_no_timers_and_no_health_checks() -> None:
     rig = Rig(settings(health_checks=True), engines=30)
     rig.pass_time(60000.0)
     assert not rig.log
 
 
-def test_an_engine_far_too_idle_for_the_fleet_counts_as_hung() -> None:
+def test_an_engine_far_less_busy_than_the_fleet_counts_as_hung() -> None:
     rig = Rig(engines=5)
     for number in (1, 2, 3, 4):
         rig.feed(HealthCheckEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (0.6,)))
@@ -151,41 +158,41 @@
         r = rig.ask(SAFE, 100.0)
         if rig.sends(r)[0].engine != "10.0.0.5:80":
             rig.end(r, Status.OK, 100.0, work_ms=100.0)
-    assert sends_to([rig], 5) < 10
+    assert count_sends_to([rig], 5) < 10
     rig.pass_time(60000.0)
-    assert selection_factor(rig.gateway, engine_of(rig, 5)) > 0.8  # forgiven in time
+    assert selection_factor(rig.gateway, engine_by_number(rig, 5)) > 0.8  # the silence score decays with time
 
 
-def test_an_idle_fleet_marks_nobody_for_idleness() -> None:
+def test_no_engine_of_an_idle_fleet_counts_as_hung() -> None:
     rig = Rig(engines=5)
     for number in range(1, 6):
         rig.feed(HealthCheckEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (0.0,)))
     assert all(e.silence_score == 0.0 for e in rig.gateway.engines.values())
 
 
-def test_an_unanswered_probe_is_a_silence() -> None:
+def test_an_unanswered_health_check_counts_as_silence() -> None:
     rig = Rig()
     rig.feed(HealthCheckEnded("10.0.0.1:80", Status.TIMEOUT, 250.0))
     assert (
-        selection_factor(rig.gateway, engine_of(rig, 1))
+        selection_factor(rig.gateway, engine_by_number(rig, 1))
         < 0.6
-        <= selection_factor(rig.gateway, engine_of(rig, 2))
+        <= selection_factor(rig.gateway, engine_by_number(rig, 2))
     )
 
 
-def test_answers_late_against_their_aims_raise_pressure_and_it_falls_again() -> None:
+def test_answers_after_their_latency_objective_raise_pressure_which_falls_again() -> None:
     rig = Rig()
     for _ in range(30):
         rig.now += 300.0
         r = rig.ask(SAFE, 100.0)
         if rig.sends(r):
-            rig.end(r, Status.OK, 1500.0, work_ms=100.0)  # the aim is 800 ms
+            rig.end(r, Status.OK, 1500.0, work_ms=100.0)  # the latency objective is 800 ms
     assert rig.gateway.admission.pressure(rig.gateway.now, SAFE) > 0.9
     rig.pass_time(20000.0)
     assert rig.gateway.admission.pressure(rig.gateway.now, SAFE) == 0.0
 
 
-def test_a_jam_shows_in_answers_that_never_came() -> None:
+def test_requests_without_an_answer_raise_lateness() -> None:
     rig = Rig()
     for _ in range(12):
         rig.ask(SAFE, 100.0)
@@ -194,7 +201,7 @@
     assert rig.gateway.load.lateness.value > 0.35
 
 
-def test_the_free_attempts_of_a_quiet_gateway_are_few() -> None:
+def test_a_quiet_gateway_has_few_retries_without_a_configured_retry_budget() -> None:
     rig = Rig(settings(max_attempts=5))
     r = rig.ask(SAFE, 100.0)
     while not rig.answers(r):
@@ -202,20 +209,20 @@
     assert len(rig.sends(r)) <= 2
 
 
-def test_a_tenant_with_few_arrivals_has_room_for_chance_but_not_for_a_burst() -> None:
-    config = settings(tenants=(Tenant("one", 250.0),), instances=MANY)  # one a second here
+def test_a_tenant_with_a_small_quota_may_arrive_unevenly_but_not_in_a_burst() -> None:
+    config = settings(tenants=(Tenant("one", 250.0),), instances=GATEWAYS)  # one per second at this gateway
     rig = Rig(config)
     for number in (1, 2, 3):
         rig.feed(HealthCheckEnded(f"10.0.0.{number}:80", Status.OK, 1.0, (1.0,)))
-    steady = 0
+    admitted_at_quota = 0
     for step in range(60):
-        rig.now += 400.0 if step % 2 else 1600.0  # uneven, at the quota
+        rig.now += 400.0 if step % 2 else 1600.0  # at uneven intervals, on average at the quota
         rig.feed(HealthCheckEnded("10.0.0.1:80", Status.OK, 1.0, (1.0,)))
         r = rig.ask(SAFE, 10.0)
-        steady += not rig.answers(r)
+        admitted_at_quota += not rig.answers(r)
         if not rig.answers(r):
             rig.end(r, Status.OK, 10.0, work_ms=10.0)
-    assert steady >= 50
+    assert admitted_at_quota >= 50
     burst = [rig.ask(SAFE, 10.0) for _ in range(40)]
     rig.gateway.load.lateness.value = 1.0
     rig.gateway.load.lateness.updated_at = rig.now
@@ -223,22 +230,22 @@
     assert sum(bool(rig.answers(r)) for r in burst) >= 35
 
 
-def test_engines_taken_in_waves_get_nothing_new_and_cold_successors_little() -> None:
+def test_engines_replaced_in_waves_get_no_new_attempts_and_their_cold_successors_few() -> None:
     rig = Rig(engines=10)
     for wave in range(3):
-        gone, come = entry(1 + wave, EngineState.DRAINING), entry(20 + wave, started=rig.now)
-        rig.members(gone, come)
+        gone, successor = entry(1 + wave, EngineState.DRAINING), entry(20 + wave, started=rig.now)
+        rig.members(gone, successor)
         before = len(rig.sends())
         for _ in range(40):
             rig.end(rig.ask(SAFE, 100.0), Status.OK, 100.0, work_ms=100.0)
         later = [s.engine for s in rig.sends()[before:]]
         assert len(later) == 40
         assert gone.engine not in later
-        assert later.count(come.engine) <= 8
+        assert later.count(successor.engine) <= 8
         rig.pass_time(1000.0)
 
 
-def test_an_engine_that_ages_loses_its_draws_then_crashes_and_comes_back_cold() -> None:
+def test_an_engine_that_slows_down_is_avoided_and_counts_as_cold_after_a_restart() -> None:
     rig = Rig(engines=4)
     for step in range(200):
         r = rig.ask(SAFE, 100.0)
@@ -248,13 +255,13 @@
     late = [s.engine for s in rig.sends()[-80:]]
     assert late.count("10.0.0.1:80") < 0.6 * 80 / 4
     rig.members(entry(1, started=rig.now))
-    aged = engine_of(rig, 1)
-    assert rig.gateway.outliers.reliability(rig.gateway.now, aged) == 1.0
-    assert aged.slowness.value == 1.0
-    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, aged) < 0.5
+    restarted = engine_by_number(rig, 1)
+    assert rig.gateway.outliers.reliability(rig.gateway.now, restarted) == 1.0
+    assert restarted.slowness.value == 1.0
+    assert rig.gateway.slow_start.warm_up_factor(rig.gateway.now, restarted) < 0.5
 
 
-def test_a_shift_to_the_heaviest_class_raises_its_mean_and_is_not_refused_for_good() -> None:
+def test_a_shift_to_the_most_expensive_class_raises_its_mean_and_is_admitted() -> None:
     rig = Rig()
     for _ in range(40):
         rig.now += 200.0
@@ -266,7 +273,9 @@
 
 @pytest.mark.parametrize("instances", [1, 7, 10**6])
 @pytest.mark.parametrize("engines", [0, 1, 300])
-def test_any_number_of_gateways_and_engines(instances: int, engines: int) -> None:
+def test_each_request_is_sent_or_answered_with_any_number_of_gateways_and_engines(
+    instances: int, engines: int
+) -> None:
     budget = RetryBudget(3.0, 0.1, 5000.0)
     rig = Rig(settings(instances=instances, health_checks=True, retry_budget=budget), engines=0)
     listed = [entry(i, started=500.0 if i % 2 else 0.0) for i in range(1, engines + 1)]
