--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients: time limits, messages that cannot be read, and which are shed."""
+"""Client connections: timeouts, malformed messages, and the order in which connections are shed."""
 
 from __future__ import annotations
 
@@ -18,30 +18,33 @@
 from tests.scenes import ROWS, Endless, ends, hold_reads, play, until
 from tests.standins import Answered, RestEngine, at_once, config, connect, engine, inside, never, program
 
-HALF = msgpack.packb([0, 1, "lookup", [{}, b"x" * 50]])[:-9]
+INCOMPLETE_REQUEST = msgpack.packb([0, 1, "lookup", [{}, b"x" * 50]])[:-9]
 
 
-ENDLESS = b"\x94\x00\x01\xa6lookup\x92\x80\xc6\x03\x93\x87\x00"  # a body of 60 MB
+# The start of a request that announces a body of 60 MB.
+OVERSIZED_REQUEST_START = b"\x94\x00\x01\xa6lookup\x92\x80\xc6\x03\x93\x87\x00"
 
 
-@pytest.mark.parametrize("sent", [b"", HALF])
-def test_a_client_that_is_silent_or_stops_in_a_message_is_closed(sent: bytes) -> None:
+@pytest.mark.parametrize("sent", [b"", INCOMPLETE_REQUEST])
+def test_a_client_that_sends_nothing_or_an_incomplete_message_is_disconnected(sent: bytes) -> None:
     async def scene() -> None:
         async with engine() as one, program(config(one.address)) as node:
             client, asked = await node.client(), await node.client()
             assert await asked.answer(await asked.ask()) == (None, ROWS)
             await client.stream.send_all(sent)
             assert await ends(client, 10.0) == b""
-            # one that has asked may hold its connection in silence, but not stop in a message
+            # A client that has sent a request may stay idle, but must not stop inside a message.
             assert await asked.answer(await asked.ask()) == (None, ROWS)
-            await asked.stream.send_all(HALF.replace(b"\x00\x01", b"\x00\x09", 1))
+            await asked.stream.send_all(INCOMPLETE_REQUEST.replace(b"\x00\x01", b"\x00\x09", 1))
             assert await ends(asked, 10.0) == b""
 
     play(scene)
 
 
-@pytest.mark.parametrize("noise", [b"\xc1", msgpack.packb([0, 1, "lookup", [{}, b""]]), ENDLESS])
-def test_what_cannot_be_read_closes_the_connection_whatever_else_is_open(noise: bytes) -> None:
+@pytest.mark.parametrize(
+    "noise", [b"\xc1", msgpack.packb([0, 1, "lookup", [{}, b""]]), OVERSIZED_REQUEST_START]
+)
+def test_a_malformed_message_closes_the_connection_despite_an_open_request(noise: bytes) -> None:
     async def scene() -> None:
         async with engine(never) as one, program(config(one.address)) as node:
             client = await node.client()
@@ -49,29 +52,29 @@
             while not one.posts:
                 await trio.sleep(0.01)
             await client.stream.send_all(noise)
-            unread = b"x" * 200_000  # still on its way: a plain close would send a reset
+            unread = b"x" * 200_000  # still in flight: a plain close would send a reset
             await client.stream.send_all(unread)
-            got = await ends(client, 5.0)
-            assert (b"Invalid" in got) == (noise != b"\xc1")
-            while not one.deleted:  # its query is given up
+            received = await ends(client, 5.0)
+            assert (b"Invalid" in received) == (noise != b"\xc1")
+            while not one.deleted:  # the open query is abandoned
                 await trio.sleep(0.01)
 
     play(scene)
 
 
-def test_a_large_body_is_refused_by_its_head() -> None:
+def test_an_oversized_body_is_rejected_by_its_announced_length() -> None:
     async def scene() -> None:
         async with engine() as one, program(config(one.address)) as node:
             client = await node.client()
-            await client.stream.send_all(ENDLESS)
+            await client.stream.send_all(OVERSIZED_REQUEST_START)
             assert b"Invalid" in await ends(client, 5.0)
 
     play(scene)
 
 
-def test_silent_connections_make_room_for_clients_that_ask() -> None:
+def test_silent_connections_are_shed_for_clients_that_send_requests() -> None:
     async def scene() -> None:
-        limits = {"cores": 1.0, "memory_mb": 64, "sockets": 128}  # room for 51 clients
+        limits = {"cores": 1.0, "memory_mb": 64, "sockets": 128}  # capacity for 51 clients
         async with engine() as one, program(config(one.address, limits=limits)) as node:
             first = await node.client()
             assert await first.answer(await first.ask()) == (None, ROWS)
@@ -79,34 +82,35 @@
             await trio.sleep(0.5)
             for client in [await node.client() for _ in range(20)]:
                 assert await client.answer(await client.ask()) == (None, ROWS)
-            assert await first.answer(await first.ask()) == (None, ROWS)  # it asked, and was not shed
+            # The first client was not shed, since it has sent a request.
+            assert await first.answer(await first.ask()) == (None, ROWS)
             assert len(silent) == 45
 
     play(scene)
 
 
-def test_a_new_connection_has_time_to_ask_while_there_are_idle_ones() -> None:
-    class Fresh:
+def test_new_connections_are_shed_after_silent_and_idle_ones() -> None:
+    class FakeStream:
         socket = SimpleNamespace(fileno=lambda: -1, close=lambda: None)
 
-    def client(front: RpcFront, age_ms: float, asked: bool) -> RpcConnection:
-        one = RpcConnection(Fresh(), front.coordinator, 1_000)  # type: ignore[arg-type]
-        one.last_activity_ms -= age_ms
+    def client(front: RpcFront, idle_ms: float, asked: bool) -> RpcConnection:
+        one = RpcConnection(FakeStream(), front.coordinator, 1_000)  # type: ignore[arg-type]
+        one.last_activity_ms -= idle_ms
         one.has_requested = asked
         front.clients.add(one)
         return one
 
     front = RpcFront(Coordinator(parse(config()).settings, 1, {}, Deadlines(lambda: 10_000.0), Counters()))
-    new, held, used, silent = (
+    new, long_idle, recently_used, silent = (
         client(front, *each) for each in ((5.0, False), (900.0, True), (100.0, True), (700.0, False))
     )
-    for goes in (silent, held, used, new):
+    for expected in (silent, long_idle, recently_used, new):
         assert front._shed_one()
-        assert goes not in front.clients
+        assert expected not in front.clients
     assert not front._shed_one()
 
 
-def test_a_connection_that_has_just_closed_is_no_trouble_to_those_that_need_room() -> None:
+def test_a_connection_that_has_just_closed_makes_room_for_a_new_one() -> None:
     async def scene() -> None:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         ours = await trio.open_tcp_stream(*listeners[0].socket.getsockname())
@@ -114,7 +118,7 @@
         front.max_clients = 1
         closed = RpcConnection(ours, front.coordinator, 1_000)
         front.clients.add(closed)
-        ours.socket.close()  # its task has not come to its end yet
+        ours.socket.close()  # its task has not ended yet
         theirs = await listeners[0].accept()
         await theirs.send_eof()
         await theirs.aclose()
@@ -129,7 +133,7 @@
 def test_a_connection_whose_request_is_read_and_not_handled_yet_is_not_shed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Guards against a request that is read and then dropped with its connection, to make room for another.
+    # Guards against a request that is read and then lost because its connection is shed for another.
     gate = hold_reads(monkeypatch, taken=True)
     gate.open.set()
 
@@ -143,7 +147,7 @@
             number = await client.ask()
             await until(lambda: gate.held)
             other = await connect(node)
-            assert await ends(other, 5.0) == b""  # there is no room: the first is not idle
+            assert await ends(other, 5.0) == b""  # no capacity: the first client is not idle
             gate.open.set()
             assert await client.answer(number) == (None, ROWS)
             assert not any("internal_error" in name for name in node.counters.snapshot())
@@ -151,24 +155,25 @@
     play(scene)
 
 
-def test_messages_in_pieces_are_timed_each_by_itself() -> None:
-    """A busy connection whose reads always end inside a message is neither overdue nor to be shed."""
+def test_the_message_timeout_applies_to_each_message_separately() -> None:
+    # Guards against a busy connection that is timed out or shed because each of its reads ends inside a
+    # message.
     fields = {"limit": "3000", "team": "karri-energy"}
     sent = b"".join(
         msgpack.packb([0, number, "lookup", [fields | {"txn": f"{number:016x}"}, b"x"]])
         for number in range(1, 31)
     )
 
-    class Pieces:
-        """Each piece ends one message and begins the next."""
+    class SplitMessageStream:
+        """Returns from each read the end of one message and the start of the next."""
 
         socket = SimpleNamespace(fileno=lambda: -1)
-        at, size = 0, len(sent) // 30 - 5
+        offset, size = 0, len(sent) // 30 - 5
 
-        async def receive_some(self, most: int) -> bytes:
+        async def receive_some(self, max_bytes: int) -> bytes:
             await trio.sleep(0.2)
-            self.at += self.size
-            return sent[self.at - self.size : self.at]
+            self.offset += self.size
+            return sent[self.offset - self.size : self.offset]
 
         async def send_all(self, data: bytes) -> None:
             pass
@@ -186,8 +191,8 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(deadlines.run)
             await nursery.start(coordinator.run)
-            nursery.start_soon(front.serve, Pieces())  # type: ignore[arg-type]
-            await trio.sleep(4.0)  # twice the time for one message
+            nursery.start_soon(front.serve, SplitMessageStream())  # type: ignore[arg-type]
+            await trio.sleep(4.0)  # twice the message timeout
             assert coordinator.counters["client.idle_timeout"] == 0
             assert coordinator.counters["taken.lookup"] > 15
             assert [client.idle for client in front.clients] == [False]
@@ -196,13 +201,13 @@
     trio.run(scene, clock=MockClock(autojump_threshold=0.0))
 
 
-def test_a_client_that_reads_nothing_is_not_kept_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Full:
-        """A connection whose buffers are full."""
+def test_a_client_that_does_not_read_its_responses_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
+    class StalledStream:
+        """A stream whose peer does not read: each write blocks."""
 
         sent = closed = 0
 
-        async def receive_some(self, most: int) -> bytes:
+        async def receive_some(self, max_bytes: int) -> bytes:
             if not self.sent:
                 self.sent = 1
                 return msgpack.packb([0, 1, "nonsense", [{}, b""]])  # type: ignore[no-any-return]
@@ -218,7 +223,7 @@
     async def scene() -> None:
         monkeypatch.setattr("fordstair.net.clients.client_limits.RPC_WRITE_TIMEOUT_MS", 50.0)
         coordinator = Coordinator(parse(config()).settings, 1, {}, Deadlines(), Counters())
-        stream, front = Full(), RpcFront(coordinator)
+        stream, front = StalledStream(), RpcFront(coordinator)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(coordinator.deadlines.run)
             await front.serve(stream)  # type: ignore[arg-type]
@@ -231,11 +236,11 @@
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 0.3])
-def test_a_message_that_is_written_slowly_costs_no_open_request_its_answer(pause_s: float) -> None:
+def test_an_incomplete_message_does_not_prevent_the_answer_to_an_open_request(pause_s: float) -> None:
     async def scene() -> None:
         done = trio.Event()
 
-        async def later(
+        async def serves_when_done(
             one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
         ) -> Answered | bytes | None:
             if not done.is_set():
@@ -247,17 +252,17 @@
                 else (200, {"X-Sheets": "2"}, b"a\tb\tc\n")
             )
 
-        async with engine(later) as one, inside(config(one.address)) as node:
+        async with engine(serves_when_done) as one, inside(config(one.address)) as node:
             client = await connect(node)
             number = await client.ask("meter-load", limit="20000")
             await until(lambda: one.posts)
-            second = HALF.replace(b"\x00\x01", b"\x00\x02", 1)
-            if pause_s:  # some bytes at a time
-                for byte in second:
+            incomplete = INCOMPLETE_REQUEST.replace(b"\x00\x01", b"\x00\x02", 1)
+            if pause_s:  # one byte at a time
+                for byte in incomplete:
                     await client.stream.send_all(bytes([byte]))
                     await trio.sleep(pause_s / 10)
-            else:  # it stops in its message for good
-                await client.stream.send_all(second)
+            else:  # the message is never completed
+                await client.stream.send_all(incomplete)
                 await trio.sleep(2.6)
             done.set()
             assert await client.answer(number) == (None, ROWS)
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -1,4 +1,4 @@
-"""Clients that cancel, close or reset: nothing further is begun, and engines are given up."""
+"""Clients that cancel, close or reset: no further attempt begins, and engines abandon their queries."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.standins import Answered, Client, RestEngine, config, connect, engine, inside, never, program
 
 
-def test_queries_given_up_one_after_the_other_cost_no_new_connections() -> None:
+def test_queries_cancelled_one_after_another_reuse_connections() -> None:
     async def scene() -> None:
         async with engine(never) as one, program(config(one.address)) as node:
             client = await node.client()
@@ -35,41 +35,42 @@
                 while len(one.deleted) < number:
                     await trio.sleep(0.02)
                 await trio.sleep(0.1)
-            assert one.calls["connections"] <= 2  # one that asks, one beside it
+            assert one.calls["connections"] <= 2  # one for polls, one for calls beside them
 
     play(scene)
 
 
-def test_a_post_that_nobody_waits_for_any_more_cannot_be_read_late() -> None:
-    """A machine that was cut off and comes back reads what is in its open connections."""
-    ends: list[bool] = []
+def test_the_connection_of_a_cancelled_unanswered_post_is_closed() -> None:
+    # Guards against a query that runs after its client cancelled it: once it is back, a machine that was
+    # unreachable reads what is left in its open connections.
+    closed: list[bool] = []
 
-    async def cut_off(stream: trio.SocketStream) -> None:
+    async def serve_unreachable(stream: trio.SocketStream) -> None:
         first = await stream.receive_some(65536)
         if not bytes(first).startswith(b"POST"):
-            await trio.sleep_forever()  # the DELETE finds nobody
-        with trio.move_on_after(0.4) as late, suppress(trio.BrokenResourceError):
+            await trio.sleep_forever()  # the DELETE gets no response
+        with trio.move_on_after(0.4) as timeout, suppress(trio.BrokenResourceError):
             await stream.receive_some(65536)
-        ends.append(not late.cancelled_caught)
+        closed.append(not timeout.cancelled_caught)
 
     async def scene() -> None:
         async with trio.open_nursery() as nursery:
-            listeners = await nursery.start(partial(trio.serve_tcp, cut_off, 0, host="127.0.0.1"))
+            listeners = await nursery.start(partial(trio.serve_tcp, serve_unreachable, 0, host="127.0.0.1"))
             address = f"127.0.0.1:{listeners[0].socket.getsockname()[1]}"
             async with program(config(address)) as node:
                 client = await node.client()
                 await client.ask("settlement", limit="20000")
                 await trio.sleep(0.1)
                 await client.send([2, "cancelRequest", [1]])
-                while not ends:
+                while not closed:
                     await trio.sleep(0.02)
             nursery.cancel_scope.cancel()
-        assert ends == [True]
+        assert closed == [True]
 
     play(scene)
 
 
-def test_what_is_withdrawn_before_its_turn_leaves_nothing_behind() -> None:
+def test_requests_withdrawn_before_they_start_leave_no_state_behind() -> None:
     async def scene() -> None:
         deadlines, counters = Deadlines(), Counters()
         settings = parse(config()).settings
@@ -78,9 +79,10 @@
             await nursery.start(coordinator.run)
             coordinator.update_engines(ListUpdateKind.FULL, [Engine(EngineEntry("s-1"), "127.0.0.1:1")])
             query = Query("0" * 16, "lookup", 0, 0, 3000.0, b"")
-            for _ in range(50):  # before the task has begun
+            for _ in range(50):  # withdrawn before their tasks have started
                 coordinator.client_disconnected(coordinator.submit(query, PendingReply()))
-            for _ in range(5):  # a fault in the transport, here that there is none, ends the attempt as well
+            # A fault of the transport ends the attempt as well; here there is no transport.
+            for _ in range(5):
                 coordinator.submit(query, PendingReply())
             for _ in range(5):
                 await trio.lowlevel.checkpoint()
@@ -94,7 +96,7 @@
     play(scene)
 
 
-def test_a_cancelled_request_gets_no_answer_and_leaves_its_engine() -> None:
+def test_a_cancelled_request_gets_no_answer_and_is_deleted_at_its_engine() -> None:
     async def scene() -> None:
         async with engine(never) as one, program(config(one.address)) as node:
             client = await node.client()
@@ -120,14 +122,14 @@
     await trio.aclose_forcefully(client.stream)
 
 
-Leaves = Callable[[Client, int], Awaitable[None]]
+Leave = Callable[[Client, int], Awaitable[None]]
 
 
-LEAVES = [cancels, closes, resets]
+WAYS_TO_LEAVE = [cancels, closes, resets]
 
 
-@pytest.mark.parametrize("leave", LEAVES)
-def test_nothing_is_begun_for_a_client_that_leaves_while_a_connection_comes_up(leave: Leaves) -> None:
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_no_attempt_begins_for_a_client_that_leaves_during_the_connect_to_an_engine(leave: Leave) -> None:
     async def scene() -> None:
         async with engine() as one, inside(config(one.address)) as node:
             gate = hold_connects(node)
@@ -142,15 +144,16 @@
             await wait_all_tasks_blocked(0.05)
             assert not one.posts
             assert node.counters["client.disconnected"] == 1
-            asks = await connect(node)  # what was begun for it serves another
-            assert await asks.answer(await asks.ask(txn="00000000000000aa")) == (None, ROWS)
+            # The connection that was opened for it serves another client.
+            other = await connect(node)
+            assert await other.answer(await other.ask(txn="00000000000000aa")) == (None, ROWS)
             assert one.calls["connections"] == 1
 
     play(scene)
 
 
-@pytest.mark.parametrize("leave", LEAVES)
-def test_nothing_is_begun_for_a_client_that_leaves_while_there_is_no_room(leave: Leaves) -> None:
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_no_attempt_begins_for_a_client_that_leaves_while_the_pool_has_no_capacity(leave: Leave) -> None:
     async def scene() -> None:
         async with engine(never) as one, inside(config(one.address)) as node:
             node.pool.resize(1)
@@ -172,10 +175,11 @@
 @pytest.mark.parametrize(
     ("leave", "taken"), [(cancels, False), (cancels, True), (closes, False), (closes, True), (resets, False)]
 )
-def test_nothing_further_is_begun_for_a_client_whose_leaving_is_not_heeded_yet(
-    monkeypatch: pytest.MonkeyPatch, leave: Leaves, taken: bool
+def test_no_retry_begins_for_a_client_whose_cancellation_or_disconnect_is_not_handled_yet(
+    monkeypatch: pytest.MonkeyPatch, leave: Leave, taken: bool
 ) -> None:
-    """Its word stands unread while the first attempt ends, or is read and on its way to being taken."""
+    # Guards against a retry for a client that has left, because its cancellation or disconnect is unread when
+    # the first attempt ends, or has been read and is not handled yet.
     gate, answer = hold_reads(monkeypatch, taken), trio.Event()
     gate.open.set()
 
@@ -193,11 +197,11 @@
             await until(lambda: one.posts or two.posts)
             gate.open = trio.Event()
             await leave(client, number)
-            if leave is not resets:  # which nothing can be read from
+            if leave is not resets:  # nothing can be read after a reset
                 await until(lambda: gate.held)
             answer.set()
-            await until(lambda: node.counters["sent.lookup"] == 2)  # the module has ordered a further attempt
-            with trio.move_on_after(0.3):  # it could go at once, on a connection that is open
+            await until(lambda: node.counters["sent.lookup"] == 2)  # the gateway has decided on a retry
+            with trio.move_on_after(0.3):  # it could begin at once, on an open connection
                 await until(lambda: one.posts and two.posts)
             gate.open.set()
             await until(lambda: not node.coordinator.live)
@@ -207,8 +211,8 @@
     play(scene)
 
 
-@pytest.mark.parametrize("leave", LEAVES)
-def test_a_query_whose_client_has_gone_is_given_up_at_its_engine(leave: Leaves) -> None:
+@pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
+def test_a_query_whose_client_has_left_is_deleted_at_its_engine(leave: Leave) -> None:
     async def scene() -> None:
         async with engine(never) as one, inside(config(one.address)) as node:
             client = await connect(node)
