--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to engines: capacity, late connects, retries."""
+"""The pool of connections to engines: capacity, late connects and retries."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 )
 
 
-def test_a_connect_that_fails_at_once_is_not_tried_without_a_pause() -> None:
-    class Unreachable:
+def test_connects_that_fail_at_once_are_retried_with_a_pause() -> None:
+    class UnreachablePool:
         tries = 0
 
         async def acquire(self, address: str, *, fresh: bool = False) -> PooledConnection:
@@ -40,7 +40,7 @@
             raise ConnectError("no route")
 
     async def scene() -> None:
-        pool, deadlines = Unreachable(), Deadlines()
+        pool, deadlines = UnreachablePool(), Deadlines()
         engine = Engine(EngineEntry("s-1"), "10.0.0.1:1")
         attempt_request = AttemptRequest(Query("0" * 16, "lookup", 0, 0, 1000.0, b""), engine, 1, 1000.0)
         call = RestTransport(pool, deadlines, ()).call(attempt_request)  # type: ignore[arg-type]
@@ -54,19 +54,19 @@
     play(scene)
 
 
-def test_a_connection_in_use_is_not_used_again_once_another_process_has_its_address() -> None:
-    told = trio.Event()
+def test_a_connection_in_use_is_not_reused_once_another_engine_has_its_address() -> None:
+    removed = trio.Event()
 
-    async def held(
+    async def hold_first_poll(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | bytes | None:
         if method == "GET":
-            await told.wait()
+            await removed.wait()
         return await never(one, method, path, headers, body)
 
     async def scene() -> None:
         async with (
-            engine(held) as one,
+            engine(hold_first_poll) as one,
             channel() as (commands, where),
             inside(config(one.address, channel=where)) as node,
         ):
@@ -74,15 +74,15 @@
             number = await client.ask("meter-load", limit="20000")
             await until(lambda: one.calls["GET"])
             await commands.connected(1)
-            await commands.tell(frame(2, (0, one.address, 2)))  # its engine is gone from the list
+            await commands.tell(frame(2, (0, one.address, 2)))  # its engine is removed from the list
             await until(lambda: not node.coordinator.engines)
-            told.set()
+            removed.set()
             await until(lambda: one.calls["GET"] > 1)
             await cancels(client, number)
             await until(lambda: one.deleted and not node.coordinator.live)
             opened = one.calls["connections"]
             one.script = at_once
-            await commands.tell(frame(3, (9, one.address, 0)))  # a new one is at its address
+            await commands.tell(frame(3, (9, one.address, 0)))  # a new engine has its address
             await until(lambda: node.coordinator.engines)
             assert node.pool.connection_count == 0
             assert await client.answer(await client.ask()) == (None, ROWS)
@@ -91,19 +91,19 @@
     play(scene)
 
 
-def test_room_that_was_meant_for_a_call_that_has_just_gone_is_passed_on() -> None:
-    """The one that waited first is cancelled in the very moment in which room comes free."""
-
+def test_capacity_offered_to_a_cancelled_call_is_passed_on_to_the_next_one() -> None:
+    # Guards against capacity that is lost when the call that has waited longest is cancelled at the moment at
+    # which it is woken up.
     async def scene() -> None:
         async with engine(never) as one, inside(config(one.address)) as node:
             pool = node.pool
             pool.resize(1)
-            held = await pool.acquire(one.address)
-            got, scope = list[PooledConnection](), trio.CancelScope()
+            in_use = await pool.acquire(one.address)
+            acquired, scope = list[PooledConnection](), trio.CancelScope()
 
-            async def wait(mine: trio.CancelScope) -> None:
-                with mine:
-                    got.append(await pool.acquire(one.address, fresh=True))
+            async def wait(own_scope: trio.CancelScope) -> None:
+                with own_scope:
+                    acquired.append(await pool.acquire(one.address, fresh=True))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(wait, scope)
@@ -111,22 +111,22 @@
                 nursery.start_soon(wait, trio.CancelScope())
                 await until(lambda: len(pool._capacity_waiters) == 2)
                 scope.cancel()
-                held.desynchronized = True
-                pool.release(held)  # before the cancelled one has run
+                in_use.desynchronized = True
+                pool.release(in_use)  # before the cancelled task has run
                 with trio.fail_after(5.0):
-                    await until(lambda: len(got) == 1)
-            pool.release(got[0])
+                    await until(lambda: len(acquired) == 1)
+            pool.release(acquired[0])
             assert pool.connection_count == 1
 
     play(scene)
 
 
-def test_a_connection_given_to_a_call_that_has_just_gone_is_not_lost() -> None:
+def test_a_connection_assigned_to_a_cancelled_call_returns_to_the_pool() -> None:
     async def scene() -> None:
         async with engine(never) as one, inside(config(one.address)) as node:
             pool = node.pool
             pool.resize(1)
-            held, scope = await pool.acquire(one.address), trio.CancelScope()
+            in_use, scope = await pool.acquire(one.address), trio.CancelScope()
 
             async def wait() -> None:
                 with scope:
@@ -136,16 +136,16 @@
                 nursery.start_soon(wait)
                 await until(lambda: pool._capacity_waiters)
                 scope.cancel()
-                pool.release(held)
+                pool.release(in_use)
             with trio.fail_after(5.0):
-                assert await pool.acquire(one.address) is held
+                assert await pool.acquire(one.address) is in_use
             assert pool.connection_count == 1
             assert one.calls["connections"] == 1
 
     play(scene)
 
 
-def test_a_connection_that_comes_up_late_serves_the_next_query() -> None:
+def test_a_connection_established_late_serves_the_next_query() -> None:
     async def scene() -> None:
         async with engine() as one, inside(config(one.address)) as node:
             gate = hold_connects(node)
@@ -153,10 +153,9 @@
             error, _ = await client.answer(await client.ask())
             assert error[0] == "Overloaded"
             assert not one.posts
-            module = node.coordinator.gateway
-            assert (
-                module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) == 1.0
-            )  # late is not down
+            gateway = node.coordinator.gateway
+            # A late connection does not show that the engine is down.
+            assert gateway.slow_start.warm_up_factor(gateway.now, gateway.engines["s-00000000"]) == 1.0
             gate.open.set()
             await until(lambda: node.pool.connection_count == node.counters["engine.connections_late"] > 0)
             await until(lambda: one.calls["connections"] == node.pool.connection_count)
@@ -167,7 +166,7 @@
     play(scene)
 
 
-def test_an_engine_to_which_no_connection_comes_up_for_seconds_counts_as_cold_after_that(
+def test_an_engine_counts_as_cold_once_a_late_connect_has_timed_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("fordstair.net.engines.connection_policies.LATE_CONNECT_TIMEOUT_MS", 100.0)
@@ -177,28 +176,28 @@
             node.pool.connect_timeout_ms = 20.0
             never_up = trio.Event()
 
-            async def nothing(*_: object) -> None:
+            async def never_connects(*_: object) -> None:
                 await never_up.wait()
 
-            monkeypatch.setattr("trio._socket._SocketType.connect", nothing)
+            monkeypatch.setattr("trio._socket._SocketType.connect", never_connects)
             async with trio.open_nursery() as nursery:
                 for _ in range(2):
-                    nursery.start_soon(failing, node.pool, one.address)
-            module = node.coordinator.gateway
-            assert module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) == 1.0
-            await until(lambda: module.engines["s-00000000"].unreachable_at)
-            assert module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) < 1.0
+                    nursery.start_soon(expect_connect_timeout, node.pool, one.address)
+            gateway = node.coordinator.gateway
+            assert gateway.slow_start.warm_up_factor(gateway.now, gateway.engines["s-00000000"]) == 1.0
+            await until(lambda: gateway.engines["s-00000000"].unreachable_at)
+            assert gateway.slow_start.warm_up_factor(gateway.now, gateway.engines["s-00000000"]) < 1.0
             assert node.pool.connection_count == 0
 
     play(scene)
 
 
-async def failing(pool: ConnectionPool, address: str) -> None:
-    with pytest.raises(ConnectTimeoutError):  # in particular no ConnectRefusedError
+async def expect_connect_timeout(pool: ConnectionPool, address: str) -> None:
+    with pytest.raises(ConnectTimeoutError):  # and in particular no ConnectRefusedError
         await pool.acquire(address)
 
 
-def test_few_connections_are_left_coming_up_to_a_machine_that_never_answers() -> None:
+def test_few_late_connects_are_kept_to_an_engine_that_never_accepts() -> None:
     async def scene() -> None:
         async with engine() as one, inside(config(one.address)) as node:
             hold_connects(node)
@@ -213,35 +212,40 @@
     play(scene)
 
 
-def keyed(window_ms: float) -> dict[str, Any]:
-    """Settings whose first class may be repeated within a window."""
+def settings_with_idempotency_key(window_ms: float) -> dict[str, Any]:
+    """Return settings whose first class has an idempotency key and this deduplication window."""
     first = SETTINGS["categories"][0] | {"effect": "idempotency_key", "memorySpanMs": window_ms}
     return SETTINGS | {"categories": [first, *SETTINGS["categories"][1:]]}
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent(late: bool) -> None:
+def test_a_retry_whose_connection_is_established_after_the_deduplication_window_is_not_sent(
+    late: bool,
+) -> None:
     async def scene() -> None:
-        async with engine(breaks) as one, inside(config(one.address, settings=keyed(5_000.0))) as node:
-            ahead = [0.0]
-            node.deadlines.clock = lambda: monotonic_now() + ahead[0]
+        async with (
+            engine(breaks) as one,
+            inside(config(one.address, settings=settings_with_idempotency_key(5_000.0))) as node,
+        ):
+            clock_offset_ms = [0.0]
+            node.deadlines.clock = lambda: monotonic_now() + clock_offset_ms[0]
             node.pool.connect_timeout_ms = 20_000.0
-            client, gate = await connect(node), list[Gate]()
+            client, gates = await connect(node), list[Gate]()
 
             async def breaks_once(
                 one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
             ) -> Answered | bytes | None:
                 if method == "GET" and len(one.posts) == 1:
-                    if one.calls["GET"] == 2:  # it is asked twice before it counts as lost
-                        gate.append(hold_connects(node))  # for the further attempt
+                    if one.calls["GET"] == 2:  # the result counts as lost after two polls
+                        gates.append(hold_connects(node))  # holds the connect of the retry
                     return b"HTTP/1.1 500 Lost\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
                 return await (breaks if len(one.posts) == 1 else at_once)(one, method, path, headers, body)
 
             one.script = breaks_once
             number = await client.ask(limit="20000", unique="55cf377728d8d2bd")
-            await until(lambda: gate and gate[0].held)
-            ahead[0] = 4_700.0 if late else 0.0
-            gate[0].open.set()
+            await until(lambda: gates and gates[0].held)
+            clock_offset_ms[0] = 4_700.0 if late else 0.0
+            gates[0].open.set()
             error, result = await client.answer(number)
             assert (error, len(one.posts)) == (["Overloaded", error[1]], 1) if late else result == ROWS
 
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -1,4 +1,4 @@
-"""Engines that break, fall silent or answer with nonsense, and what that proves of a query."""
+"""Engines that fail, stop responding or send malformed responses, and what that proves about a query."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.standins import Answered, RestEngine, at_once, breaks, config, engine, never, program
 
 
-def test_answers_come_before_the_client_gives_up_and_the_query_is_dropped() -> None:
+def test_a_query_past_its_time_limit_is_answered_in_time_and_deleted_at_its_engine() -> None:
     async def scene() -> None:
         async with engine(never) as one, program(config(one.address)) as node:
             client = await node.client()
@@ -29,7 +29,9 @@
 @pytest.mark.parametrize(
     ("class_name", "posts", "word"), [("meter-load", 1, "Internal"), ("lookup", 4, "Overloaded")]
 )
-def test_a_broken_connection_proves_nothing(class_name: str, posts: int, word: str) -> None:
+def test_a_broken_connection_does_not_prove_that_a_load_never_ran(
+    class_name: str, posts: int, word: str
+) -> None:
     async def scene() -> None:
         async with engine(breaks) as one, program(config(one.address)) as node:
             client = await node.client()
@@ -40,7 +42,7 @@
     play(scene)
 
 
-def test_a_load_goes_out_again_where_it_never_ran() -> None:
+def test_a_load_is_retried_if_the_engine_says_that_it_never_ran() -> None:
     async def full_once(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> tuple[int, dict[str, str], bytes] | None:
@@ -60,24 +62,25 @@
 PAGE = b"a\tb\tc\n"
 
 
-GOOD = b"HTTP/1.1 200 OK\r\nX-Sheets: 2\r\nContent-Length: 6\r\n\r\n" + PAGE
+GOOD_RESPONSE = b"HTTP/1.1 200 OK\r\nX-Sheets: 2\r\nContent-Length: 6\r\n\r\n" + PAGE
 
 
-def spoils(first: bytes | None, where: str) -> tuple[list[str], object]:
-    """An engine that spoils its first answer to such a call, and serves all others."""
-    spoilt: list[str] = []
+def script_first_response(first: bytes | None, where: str) -> tuple[list[str], object]:
+    """Return a script that sends ``first`` as its first response to such a call, and a list of its path."""
+    sent_first: list[str] = []
 
     async def script(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | bytes | None:
-        if f"{method} {path}".startswith(where) and not spoilt:
-            spoilt.append(path)
+        if f"{method} {path}".startswith(where) and not sent_first:
+            sent_first.append(path)
             return first
-        if method == "GET" and path.endswith("/0"):  # after a good end it gives that answer again
+        # The engine repeats its response to a query that has ended.
+        if method == "GET" and path.endswith("/0"):
             return 200, {"X-Sheets": "2"}, PAGE
         return await at_once(one, method, path, headers, body)
 
-    return spoilt, script
+    return sent_first, script
 
 
 @pytest.mark.parametrize("where", ["POST", "GET /o/0000000000000001/1"])
@@ -87,47 +90,49 @@
         None,
         b"\x00\xffnoise\r\n\r\n",
         b"HTTP/1.1 200 OK\r\n" + b"X-Noise: 1\r\n" * 3_000,
-        GOOD[:-2],
-        GOOD.replace(b": 6", b": 3000000000") + b"x" * 9_000,
-        GOOD.replace(b": 6", b": 4"),
-        GOOD.replace(b"Content-Length: 6\r\n", b""),
-        GOOD.replace(PAGE, b"a\xff\x00\tb\n"),
-        GOOD.replace(b"X-Sheets: 2", b"X-Sheets: 0"),
+        GOOD_RESPONSE[:-2],
+        GOOD_RESPONSE.replace(b": 6", b": 3000000000") + b"x" * 9_000,
+        GOOD_RESPONSE.replace(b": 6", b": 4"),
+        GOOD_RESPONSE.replace(b"Content-Length: 6\r\n", b""),
+        GOOD_RESPONSE.replace(PAGE, b"a\xff\x00\tb\n"),
+        GOOD_RESPONSE.replace(b"X-Sheets: 2", b"X-Sheets: 0"),
     ],
 )
-def test_a_load_whose_answer_is_spoilt_is_asked_for_by_its_id(first: bytes | None, where: str) -> None:
+def test_a_load_with_a_malformed_response_is_polled_by_its_id(first: bytes | None, where: str) -> None:
     async def scene() -> None:
-        spoilt, script = spoils(first, where)
+        sent_first, script = script_first_response(first, where)
         async with engine(script) as one, program(config(one.address)) as node:  # type: ignore[arg-type]
             client = await node.client()
             assert await client.answer(await client.ask("meter-load", limit="20000")) == (None, ROWS)
-            assert spoilt
+            assert sent_first
             assert len(one.posts) == 1
 
     play(scene)
 
 
 @pytest.mark.parametrize(
-    "more", [GOOD, b"noise", b"HTTP/1.1 200 OK\r\nX-Sheet: 1\r\nContent-Length: 6\r\n\r\nz\tz\tz\n"]
+    "more", [GOOD_RESPONSE, b"noise", b"HTTP/1.1 200 OK\r\nX-Sheet: 1\r\nContent-Length: 6\r\n\r\nz\tz\tz\n"]
 )
-def test_a_good_answer_with_surplus_is_good_and_its_surplus_answers_no_other_call(more: bytes) -> None:
+def test_surplus_bytes_after_a_valid_response_are_not_taken_for_the_response_to_another_call(
+    more: bytes,
+) -> None:
     async def scene() -> None:
-        first = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + GOOD + more
-        spoilt, script = spoils(first, "POST")
+        first = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + GOOD_RESPONSE + more
+        sent_first, script = script_first_response(first, "POST")
         async with engine(script) as one, program(config(one.address)) as node:  # type: ignore[arg-type]
             client = await node.client()
             assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
-            assert spoilt
+            assert sent_first
             assert not one.calls["after raw bytes"]
             assert one.calls["POST"] == one.calls["GET"] == 1
 
     play(scene)
 
 
-def test_what_may_still_run_is_given_up_before_a_second_attempt() -> None:
+def test_an_attempt_that_may_still_run_is_deleted_before_a_retry() -> None:
     order: list[str] = []
 
-    async def loses(
+    async def fails_first(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | bytes | None:
         order.append(method)
@@ -136,7 +141,7 @@
         return await at_once(one, method, path, headers, body)
 
     async def scene() -> None:
-        async with engine(loses) as one, program(config(one.address)) as node:
+        async with engine(fails_first) as one, program(config(one.address)) as node:
             client = await node.client()
             assert await client.answer(await client.ask()) == (None, ROWS)
             second = order.index("POST", 1)
@@ -147,11 +152,14 @@
 
 
 @pytest.mark.parametrize("first", [(202, {}, b""), None])
-def test_what_may_still_run_behind_a_cut_is_followed_by_no_other_attempt(first: Answered | None) -> None:
-    """The engine has the query, or reset the POST's connection; then nothing of the machine is heard."""
+def test_an_attempt_that_may_still_run_on_an_unreachable_engine_is_not_retried(
+    first: Answered | None,
+) -> None:
+    # Guards against a retry while the first attempt may still run: the engine has accepted the query, or has
+    # reset the connection of the POST, and does not respond after that.
     posts: list[str] = []
 
-    async def cut_off(
+    async def unreachable_after_post(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | bytes | None:
         if method == "POST":
@@ -164,8 +172,8 @@
 
     async def scene() -> None:
         async with (
-            engine(cut_off) as one,
-            engine(cut_off) as two,
+            engine(unreachable_after_post) as one,
+            engine(unreachable_after_post) as two,
             program(config(one.address, two.address)) as node,
         ):
             client = await node.client()
@@ -178,7 +186,9 @@
 
 
 @pytest.mark.parametrize(("class_name", "word"), [("lookup", "Overloaded"), ("meter-load", "Internal")])
-def test_a_machine_that_accepts_and_says_nothing_holds_no_call(class_name: str, word: str) -> None:
+def test_an_engine_that_accepts_connections_and_never_responds_holds_no_call(
+    class_name: str, word: str
+) -> None:
     async def silent(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | None:
@@ -190,14 +200,16 @@
             client = await node.client()
             assert (await client.answer(await client.ask(class_name, limit="2500")))[0][0] == word
             assert one.calls["POST"] == 1 or class_name == "lookup"
-            assert one.calls["GET"] >= 1 or class_name == "lookup"  # it is asked again, on other connections
+            assert one.calls["GET"] >= 1 or class_name == "lookup"  # it is polled again, on other connections
 
     play(scene)
 
 
 @pytest.mark.parametrize(("class_name", "posts"), [("lookup", 2), ("meter-load", 1)])
-def test_a_lost_page_is_an_error_of_a_query_that_may_have_run(class_name: str, posts: int) -> None:
-    async def loses(
+def test_a_failed_page_read_counts_as_an_error_of_a_query_that_may_have_run(
+    class_name: str, posts: int
+) -> None:
+    async def fails_first(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | None:
         if path.endswith("/1") and len(one.posts) == 1:
@@ -205,7 +217,7 @@
         return await at_once(one, method, path, headers, body)
 
     async def scene() -> None:
-        async with engine(loses) as one, program(config(one.address)) as node:
+        async with engine(fails_first) as one, program(config(one.address)) as node:
             client = await node.client()
             error, result = await client.answer(await client.ask(class_name))
             assert len(one.posts) == posts
@@ -217,14 +229,14 @@
 @pytest.mark.parametrize(
     "answer", [(200, {"X-Sheets": "many"}, b""), (200, {}, b"x"), (418, {}, b""), (503, {}, b"")]
 )
-def test_an_answer_that_cannot_be_read_ends_only_its_attempt(answer: Answered) -> None:
-    async def odd(
+def test_an_unexpected_response_ends_only_its_attempt(answer: Answered) -> None:
+    async def answers_first(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | None:
         return answer if len(one.posts) == 1 else await at_once(one, method, path, headers, body)
 
     async def scene() -> None:
-        async with engine(odd) as one, program(config(one.address)) as node:
+        async with engine(answers_first) as one, program(config(one.address)) as node:
             client = await node.client()
             assert (await client.answer(await client.ask("meter-load")))[0][0] == "Internal"
             assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -1,4 +1,4 @@
-"""The engine list: the command channel, its address, and engines that come and go."""
+"""The engine list: the command channel, its address, and engines that are added and removed."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 )
 
 
-def test_engines_that_have_gone_are_forgotten() -> None:
+def test_engines_that_are_gone_are_removed() -> None:
     async def scene() -> None:
         coordinator = Coordinator(parse(config()).settings, 1, {"rest": Nowhere()}, Deadlines(), Counters())
         for number in range(20):
@@ -44,16 +44,17 @@
     play(scene)
 
 
-async def reload(node: Program, text: str, times: int) -> None:
-    """Replace the configuration, send SIGHUP, and wait for the line that says what became of it."""
+async def reload(node: Program, text: str, expected_lines: int) -> None:
+    """Replace the configuration, send SIGHUP, and wait until this many log lines name a configuration."""
     node.path.write_text(text)
     node.process.send_signal(signal.SIGHUP)
-    while sum("configuration" in line for line in node.log) < times:
+    while sum("configuration" in line for line in node.log) < expected_lines:
         await trio.sleep(0.01)
 
 
-def test_a_drain_told_in_a_pause_holds_for_a_request_that_came_in_it() -> None:
-    # Guards against a request that overtakes a drain which has lain unread for longer than it may.
+def test_a_drain_received_during_a_stop_applies_to_requests_received_during_it() -> None:
+    # Guards against a request that is sent to an engine although the command to drain it has been unread for
+    # longer than allowed.
     async def scene() -> None:
         async with (
             engine() as one,
@@ -76,7 +77,7 @@
     play(scene)
 
 
-def test_sighup_moves_the_channel_keeps_its_engines_and_refuses_a_bad_file() -> None:
+def test_sighup_moves_the_channel_keeps_its_engines_and_rejects_an_invalid_file() -> None:
     async def scene() -> None:
         async with (
             engine() as one,
@@ -98,21 +99,21 @@
             assert new.cursors == [2]
             await new.tell(frame(3, (0, one.address, 1)))
             await trio.sleep(0.1)
-            already = len(one.posts)
+            posts_before = len(one.posts)
             for _ in range(4):
                 assert await client.answer(await client.ask()) == (None, ROWS)
             assert len(two.posts) >= 4
-            assert len(one.posts) == already
+            assert len(one.posts) == posts_before
             assert sum(line.startswith("ERROR") for line in node.log) == 2
             assert await node.stop() == 0
 
     play(scene)
 
 
-def test_a_moved_channel_and_a_planned_end_under_traffic_lose_no_request_and_answer_none_twice() -> None:
-    """Requests go out all the while, on open connections and new ones; each gets one whole answer."""
-
-    async def takes_a_while(
+def test_each_request_gets_one_answer_while_the_channel_moves_and_the_program_ends() -> None:
+    # Guards against requests, on open connections and new ones, that are lost or answered twice while the
+    # channel moves or the program ends.
+    async def serves_slowly(
         one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | bytes | None:
         await trio.sleep(0.03 if method == "POST" else 0.0)
@@ -122,18 +123,18 @@
         asked, ended = Counter[str](), trio.Event()
 
         async def ask(node: Program, number: int) -> None:
-            client, mine = await node.client(), list[int]()
+            client, requests = await node.client(), list[int]()
             while not ended.is_set():
-                mine.append(await client.ask(txn=f"{number:08x}{len(mine):08x}", limit="20000"))
+                requests.append(await client.ask(txn=f"{number:08x}{len(requests):08x}", limit="20000"))
                 await trio.sleep(0.02)
-            for one in mine:  # a second answer to any, or an end without one, is an error there
+            for one in requests:  # raises at a second answer, and at a connection that ends without one
                 error, result = await client.answer(one)
                 assert result == ROWS or error[0] == "Overloaded"
                 asked["served" if result == ROWS else "refused"] += 1
 
         async with (
-            engine(takes_a_while) as one,
-            engine(takes_a_while) as two,
+            engine(serves_slowly) as one,
+            engine(serves_slowly) as two,
             channel() as (old, before),
             channel() as (new, after),
             program(config(one.address, two.address, channel=before)) as node,
@@ -148,7 +149,7 @@
                 await trio.sleep(0.3)
                 node.process.send_signal(signal.SIGTERM)
                 await trio.sleep(0.1)
-                nursery.start_soon(ask, node, 9)  # connections still come for a while
+                nursery.start_soon(ask, node, 9)  # new connections are still accepted for a while
                 await trio.sleep(0.1)
                 ended.set()
             assert await node.process.wait() == 0
@@ -159,13 +160,13 @@
     play(scene)
 
 
-def test_a_whole_list_under_the_number_at_hand_holds() -> None:
+def test_a_full_list_with_the_current_number_is_applied() -> None:
     async def scene() -> None:
         async with (
             engine(never) as one,
             engine() as two,
-            channel() as (commands, where),
-            program(config(one.address, channel=where)) as node,
+            channel() as (commands, channel_address),
+            program(config(one.address, channel=channel_address)) as node,
         ):
             await commands.connected(1)
             await commands.tell(frame(1, (7, two.address, 0), kind=1))
@@ -177,13 +178,13 @@
     play(scene)
 
 
-def test_the_channel_is_followed_and_taken_up_again_from_the_last_number() -> None:
+def test_the_channel_is_followed_and_resumed_from_the_last_number() -> None:
     async def scene() -> None:
         async with (
             engine() as one,
             engine() as two,
-            channel() as (commands, where),
-            program(config(one.address, channel=where)) as node,
+            channel() as (commands, channel_address),
+            program(config(one.address, channel=channel_address)) as node,
         ):
             await commands.connected(1)
             await commands.tell(frame(2, (0, one.address, 1), (7, two.address, 0)))
@@ -195,23 +196,27 @@
             assert len(two.posts) == 6
             await commands.streams[-1].aclose()
             await commands.connected(2)
-            commands.beats = False  # a dead connection gives no sign but its silence
+            commands.beats = False  # a dead connection shows only by missing heartbeats
             await commands.connected(3)
             assert commands.cursors == [1, 2, 2]
 
     play(scene)
 
 
-def test_a_channel_that_breaks_inside_a_frame_or_tells_nonsense_loses_nothing() -> None:
+def test_a_channel_that_breaks_inside_a_frame_or_sends_garbage_loses_no_update() -> None:
     async def scene() -> None:
-        async with engine() as one, channel() as (commands, where), program(config(channel=where)) as node:
+        async with (
+            engine() as one,
+            channel() as (commands, channel_address),
+            program(config(channel=channel_address)) as node,
+        ):
             await commands.connected(1)
-            whole = frame(2, (7, one.address, 0))
-            await commands.tell(whole[:20])
+            update = frame(2, (7, one.address, 0))
+            await commands.tell(update[:20])
             await commands.streams[-1].aclose()
             await commands.connected(2)
             await commands.tell(b"\xff" * 40)
-            commands.frames = [whole, whole]  # told twice, as after a reconnection
+            commands.frames = [update, update]  # sent twice, as after a reconnection
             await commands.connected(3)
             client = await node.client()
             await trio.sleep(0.1)
@@ -221,12 +226,12 @@
     play(scene)
 
 
-def test_an_engine_that_took_anothers_address_is_a_new_one() -> None:
+def test_an_engine_at_the_address_of_a_removed_one_is_a_new_engine() -> None:
     async def scene() -> None:
         async with (
             engine(never) as one,
-            channel() as (commands, where),
-            program(config(one.address, channel=where)) as node,
+            channel() as (commands, channel_address),
+            program(config(one.address, channel=channel_address)) as node,
         ):
             await commands.connected(1)
             client = await node.client()
@@ -241,11 +246,11 @@
 
 
 @pytest.mark.parametrize("kind", [1, 2])
-def test_work_on_an_engine_that_the_list_drops_is_answered_from_there(kind: int) -> None:
+def test_a_query_on_an_engine_removed_from_the_list_is_answered_by_that_engine(kind: int) -> None:
     async def scene() -> None:
         done = trio.Event()
 
-        async def later(
+        async def serves_when_done(
             one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
         ) -> Answered | bytes | None:
             if method == "GET" and path.endswith("/0") and done.is_set():
@@ -255,10 +260,10 @@
             return await never(one, method, path, headers, body)
 
         async with (
-            engine(later) as one,
+            engine(serves_when_done) as one,
             engine() as two,
-            channel() as (commands, where),
-            inside(config(one.address, channel=where)) as node,
+            channel() as (commands, channel_address),
+            inside(config(one.address, channel=channel_address)) as node,
         ):
             client = await connect(node)
             number = await client.ask("meter-load", limit="20000")
@@ -274,8 +279,8 @@
             done.set()
             assert await client.answer(number) == (None, ROWS)
             assert len(one.posts) == 1
-            module = node.coordinator.gateway
-            assert not module.attempts
-            assert not module.requests
+            gateway = node.coordinator.gateway
+            assert not gateway.attempts
+            assert not gateway.requests
 
     play(scene)
