--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("sent", [b"", INCOMPLETE_REQUEST])
 def test_a_client_that_sends_nothing_or_an_incomplete_message_is_disconnected(sent: bytes) -> None:
     async def scene() -> None:
-        async with engine() as one, program(config(one.address)) as node:
+        async with engine() as rest_engine, program(config(rest_engine.address)) as node:
             client, asked = await node.client(), await node.client()
             assert await asked.answer(await asked.ask()) == (None, ROWS)
             await client.stream.send_all(sent)
@@ -46,17 +46,17 @@
 )
 def test_a_malformed_message_closes_the_connection_despite_an_open_request(noise: bytes) -> None:
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never) as rest_engine, program(config(rest_engine.address)) as node:
             client = await node.client()
             await client.ask(limit="20000")
-            while not one.posts:
+            while not rest_engine.posts:
                 await trio.sleep(0.01)
             await client.stream.send_all(noise)
             unread = b"x" * 200_000  # still in flight: a plain close would send a reset
             await client.stream.send_all(unread)
             received = await ends(client, 5.0)
             assert (b"Invalid" in received) == (noise != b"\xc1")
-            while not one.deleted:  # the open query is abandoned
+            while not rest_engine.deleted:  # the open query is abandoned
                 await trio.sleep(0.01)
 
     play(scene)
@@ -64,7 +64,7 @@
 
 def test_an_oversized_body_is_rejected_by_its_announced_length() -> None:
     async def scene() -> None:
-        async with engine() as one, program(config(one.address)) as node:
+        async with engine() as rest_engine, program(config(rest_engine.address)) as node:
             client = await node.client()
             await client.stream.send_all(OVERSIZED_REQUEST_START)
             assert b"Invalid" in await ends(client, 5.0)
@@ -75,7 +75,7 @@
 def test_silent_connections_are_shed_for_clients_that_send_requests() -> None:
     async def scene() -> None:
         limits = {"cores": 1.0, "memory_mb": 64, "sockets": 128}  # capacity for 51 clients
-        async with engine() as one, program(config(one.address, limits=limits)) as node:
+        async with engine() as rest_engine, program(config(rest_engine.address, limits=limits)) as node:
             first = await node.client()
             assert await first.answer(await first.ask()) == (None, ROWS)
             silent = [await node.client() for _ in range(45)]
@@ -94,11 +94,11 @@
         socket = SimpleNamespace(fileno=lambda: -1, close=lambda: None)
 
     def client(front: RpcFront, idle_ms: float, asked: bool) -> RpcConnection:
-        one = RpcConnection(FakeStream(), front.coordinator, 1_000)  # type: ignore[arg-type]
-        one.last_activity_ms -= idle_ms
-        one.has_requested = asked
-        front.clients.add(one)
-        return one
+        connection = RpcConnection(FakeStream(), front.coordinator, 1_000)  # type: ignore[arg-type]
+        connection.last_activity_ms -= idle_ms
+        connection.has_requested = asked
+        front.clients.add(connection)
+        return connection
 
     front = RpcFront(Coordinator(parse(config()).settings, 1, {}, Deadlines(lambda: 10_000.0), Counters()))
     new, long_idle, recently_used, silent = (
@@ -138,7 +138,7 @@
     gate.open.set()
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as rest_engine, inside(config(rest_engine.address)) as node:
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
             client = await connect(node)
             assert await client.answer(await client.ask()) == (None, ROWS)
@@ -241,21 +241,21 @@
         done = trio.Event()
 
         async def serves_when_done(
-            one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+            rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
         ) -> Answered | bytes | None:
             if not done.is_set():
                 await trio.sleep(0.05)
                 return 202, {}, b""
             return (
-                await at_once(one, method, path, headers, body)
+                await at_once(rest_engine, method, path, headers, body)
                 if method != "GET" or path.endswith("/1")
                 else (200, {"X-Sheets": "2"}, b"a\tb\tc\n")
             )
 
-        async with engine(serves_when_done) as one, inside(config(one.address)) as node:
+        async with engine(serves_when_done) as rest_engine, inside(config(rest_engine.address)) as node:
             client = await connect(node)
             number = await client.ask("meter-load", limit="20000")
-            await until(lambda: one.posts)
+            await until(lambda: rest_engine.posts)
             incomplete = INCOMPLETE_REQUEST.replace(b"\x00\x01", b"\x00\x02", 1)
             if pause_s:  # one byte at a time
                 for byte in incomplete:
--- a/tests/test_client_departures.py
+++ b/tests/test_client_departures.py
@@ -24,18 +24,18 @@
 
 def test_queries_cancelled_one_after_another_reuse_connections() -> None:
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never) as rest_engine, program(config(rest_engine.address)) as node:
             client = await node.client()
             for number in range(1, 9):
                 await client.ask("settlement", limit="20000")
-                asked = one.calls["GET"]
-                while len(one.posts) < number or one.calls["GET"] == asked:
+                asked = rest_engine.calls["GET"]
+                while len(rest_engine.posts) < number or rest_engine.calls["GET"] == asked:
                     await trio.sleep(0.02)
                 await client.send([2, "cancelRequest", [number]])
-                while len(one.deleted) < number:
+                while len(rest_engine.deleted) < number:
                     await trio.sleep(0.02)
                 await trio.sleep(0.1)
-            assert one.calls["connections"] <= 2  # one for polls, one for calls beside them
+            assert rest_engine.calls["connections"] <= 2  # one for polls, one for calls beside them
 
     play(scene)
 
@@ -98,13 +98,13 @@
 
 def test_a_cancelled_request_gets_no_answer_and_is_deleted_at_its_engine() -> None:
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never) as rest_engine, program(config(rest_engine.address)) as node:
             client = await node.client()
             number = await client.ask()
-            while not one.posts:
+            while not rest_engine.posts:
                 await trio.sleep(0.01)
             await client.send([2, "cancelRequest", [number]])
-            while not one.deleted:
+            while not rest_engine.deleted:
                 await trio.sleep(0.01)
             await client.send([0, 99, "alive", [{}]])
             await client.answer(99)
@@ -131,7 +131,7 @@
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 def test_no_attempt_begins_for_a_client_that_leaves_during_the_connect_to_an_engine(leave: Leave) -> None:
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as rest_engine, inside(config(rest_engine.address)) as node:
             gate = hold_connects(node)
             node.pool.connect_timeout_ms = 20_000.0
             client = await connect(node)
@@ -140,14 +140,14 @@
             await leave(client, number)
             await until(lambda: not node.coordinator.live)
             gate.open.set()
-            await until(lambda: one.calls["connections"])
+            await until(lambda: rest_engine.calls["connections"])
             await wait_all_tasks_blocked(0.05)
-            assert not one.posts
+            assert not rest_engine.posts
             assert node.counters["client.disconnected"] == 1
             # The connection that was opened for it serves another client.
             other = await connect(node)
             assert await other.answer(await other.ask(txn="00000000000000aa")) == (None, ROWS)
-            assert one.calls["connections"] == 1
+            assert rest_engine.calls["connections"] == 1
 
     play(scene)
 
@@ -155,19 +155,19 @@
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 def test_no_attempt_begins_for_a_client_that_leaves_while_the_pool_has_no_capacity(leave: Leave) -> None:
     async def scene() -> None:
-        async with engine(never) as one, inside(config(one.address)) as node:
+        async with engine(never) as rest_engine, inside(config(rest_engine.address)) as node:
             node.pool.resize(1)
             first, client = await connect(node), await connect(node)
             await first.ask(limit="20000", txn="00000000000000aa")
-            await until(lambda: one.posts)
+            await until(lambda: rest_engine.posts)
             number = await client.ask(limit="20000")
             await until(lambda: node.pool._capacity_waiters)
             await leave(client, number)
             await until(lambda: not node.pool._capacity_waiters and len(node.coordinator.live) == 1)
             await first.stream.send_eof()
-            await until(lambda: one.deleted)
+            await until(lambda: rest_engine.deleted)
             await wait_all_tasks_blocked(0.05)
-            assert len(one.posts) == 1
+            assert len(rest_engine.posts) == 1
 
     play(scene)
 
@@ -184,17 +184,21 @@
     gate.open.set()
 
     async def full(
-        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | bytes | None:
         await answer.wait()
         return 503, {"X-Unrun": "1"}, b""
 
     async def scene() -> None:
-        async with engine(full) as one, engine(full) as two, inside(config(one.address, two.address)) as node:
+        async with (
+            engine(full) as first_engine,
+            engine(full) as second_engine,
+            inside(config(first_engine.address, second_engine.address)) as node,
+        ):
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
             client = await connect(node)
             number = await client.ask(limit="20000")
-            await until(lambda: one.posts or two.posts)
+            await until(lambda: first_engine.posts or second_engine.posts)
             gate.open = trio.Event()
             await leave(client, number)
             if leave is not resets:  # nothing can be read after a reset
@@ -202,11 +206,11 @@
             answer.set()
             await until(lambda: node.counters["sent.lookup"] == 2)  # the gateway has decided on a retry
             with trio.move_on_after(0.3):  # it could begin at once, on an open connection
-                await until(lambda: one.posts and two.posts)
+                await until(lambda: first_engine.posts and second_engine.posts)
             gate.open.set()
             await until(lambda: not node.coordinator.live)
             await wait_all_tasks_blocked(0.05)
-            assert len(one.posts) + len(two.posts) == 1
+            assert len(first_engine.posts) + len(second_engine.posts) == 1
 
     play(scene)
 
@@ -214,13 +218,13 @@
 @pytest.mark.parametrize("leave", WAYS_TO_LEAVE)
 def test_a_query_whose_client_has_left_is_deleted_at_its_engine(leave: Leave) -> None:
     async def scene() -> None:
-        async with engine(never) as one, inside(config(one.address)) as node:
+        async with engine(never) as rest_engine, inside(config(rest_engine.address)) as node:
             client = await connect(node)
             number = await client.ask("meter-load", limit="20000")
-            await until(lambda: one.posts)
+            await until(lambda: rest_engine.posts)
             await leave(client, number)
-            await until(lambda: one.deleted)
+            await until(lambda: rest_engine.deleted)
             await until(lambda: not node.coordinator.live)
-            assert len(one.posts) == 1
+            assert len(rest_engine.posts) == 1
 
     play(scene)
--- a/tests/test_connection_bursts.py
+++ b/tests/test_connection_bursts.py
@@ -157,7 +157,7 @@
     gate = hold_reads(monkeypatch, taken=True)
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as rest_engine, inside(config(rest_engine.address)) as node:
             clock_offset_ms = [0.0]
             node.deadlines.clock = lambda: monotonic_now() + clock_offset_ms[0]
             gate.ports.add(node.listeners[0].socket.getsockname()[1])  # type: ignore[attr-defined]
@@ -167,7 +167,7 @@
             clock_offset_ms[0] = 700.0
             gate.open.set()
             assert await client.answer(number) == (None, ROWS)
-            assert float(one.posts[0][0]["x-limit-ms"]) <= 3_000.0 - 700.0
+            assert float(rest_engine.posts[0][0]["x-limit-ms"]) <= 3_000.0 - 700.0
 
     play(scene)
 
@@ -203,7 +203,7 @@
     # Guards against rejections after a stall: all requests that had arrived during it were counted in one
     # turn, and reached the limit on threads.
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as rest_engine, inside(config(rest_engine.address)) as node:
             clients = [await connect(node) for _ in range(3)]
             for number, client in enumerate(clients):
                 assert await client.answer(await client.ask(txn=f"a{number:015x}")) == (None, ROWS)
@@ -226,7 +226,7 @@
     new_clients = 150
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as rest_engine, inside(config(rest_engine.address)) as node:
             client = await connect(node)
             assert await client.answer(await client.ask()) == (None, ROWS)
             address = node.listeners[0].socket.getsockname()
@@ -236,7 +236,7 @@
             os.write(client.stream.socket.fileno(), lookup_message(2, "f" * 16))
             assert await client.answer(2) == (None, ROWS)
             # Most of the new clients' requests have not been sent yet.
-            assert len(one.posts) < new_clients / 3
+            assert len(rest_engine.posts) < new_clients / 3
             for other in others:
                 other.close()
 
@@ -246,7 +246,7 @@
 def test_requests_that_are_queued_when_the_program_ends_are_answered_within_a_few_turns() -> None:
     # Guards against a drain that times out before the last request of a burst has been handled.
     async def scene() -> None:
-        async with engine(never) as one, inside(config(one.address)) as node:
+        async with engine(never) as rest_engine, inside(config(rest_engine.address)) as node:
             client = await connect(node)
             sent = b"".join(
                 lookup_message(number, f"{number:016x}") for number in range(1, REQUESTS_PER_CONNECTION + 1)
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -58,35 +58,35 @@
     removed = trio.Event()
 
     async def hold_first_poll(
-        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | bytes | None:
         if method == "GET":
             await removed.wait()
-        return await never(one, method, path, headers, body)
+        return await never(rest_engine, method, path, headers, body)
 
     async def scene() -> None:
         async with (
-            engine(hold_first_poll) as one,
+            engine(hold_first_poll) as rest_engine,
             channel() as (commands, where),
-            inside(config(one.address, channel=where)) as node,
+            inside(config(rest_engine.address, channel=where)) as node,
         ):
             client = await connect(node)
             number = await client.ask("meter-load", limit="20000")
-            await until(lambda: one.calls["GET"])
+            await until(lambda: rest_engine.calls["GET"])
             await commands.connected(1)
-            await commands.tell(frame(2, (0, one.address, 2)))  # its engine is removed from the list
+            await commands.tell(frame(2, (0, rest_engine.address, 2)))  # its engine is removed from the list
             await until(lambda: not node.coordinator.engines)
             removed.set()
-            await until(lambda: one.calls["GET"] > 1)
+            await until(lambda: rest_engine.calls["GET"] > 1)
             await cancels(client, number)
-            await until(lambda: one.deleted and not node.coordinator.live)
-            opened = one.calls["connections"]
-            one.script = at_once
-            await commands.tell(frame(3, (9, one.address, 0)))  # a new engine has its address
+            await until(lambda: rest_engine.deleted and not node.coordinator.live)
+            opened = rest_engine.calls["connections"]
+            rest_engine.script = at_once
+            await commands.tell(frame(3, (9, rest_engine.address, 0)))  # a new engine has its address
             await until(lambda: node.coordinator.engines)
             assert node.pool.connection_count == 0
             assert await client.answer(await client.ask()) == (None, ROWS)
-            assert one.calls["connections"] == opened + 1
+            assert rest_engine.calls["connections"] == opened + 1
 
     play(scene)
 
@@ -95,15 +95,15 @@
     # Guards against capacity that is lost when the call that has waited longest is cancelled at the moment at
     # which it is woken up.
     async def scene() -> None:
-        async with engine(never) as one, inside(config(one.address)) as node:
+        async with engine(never) as rest_engine, inside(config(rest_engine.address)) as node:
             pool = node.pool
             pool.resize(1)
-            in_use = await pool.acquire(one.address)
+            in_use = await pool.acquire(rest_engine.address)
             acquired, scope = list[PooledConnection](), trio.CancelScope()
 
             async def wait(own_scope: trio.CancelScope) -> None:
                 with own_scope:
-                    acquired.append(await pool.acquire(one.address, fresh=True))
+                    acquired.append(await pool.acquire(rest_engine.address, fresh=True))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(wait, scope)
@@ -123,14 +123,14 @@
 
 def test_a_connection_assigned_to_a_cancelled_call_returns_to_the_pool() -> None:
     async def scene() -> None:
-        async with engine(never) as one, inside(config(one.address)) as node:
+        async with engine(never) as rest_engine, inside(config(rest_engine.address)) as node:
             pool = node.pool
             pool.resize(1)
-            in_use, scope = await pool.acquire(one.address), trio.CancelScope()
+            in_use, scope = await pool.acquire(rest_engine.address), trio.CancelScope()
 
             async def wait() -> None:
                 with scope:
-                    await pool.acquire(one.address)
+                    await pool.acquire(rest_engine.address)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(wait)
@@ -138,30 +138,30 @@
                 scope.cancel()
                 pool.release(in_use)
             with trio.fail_after(5.0):
-                assert await pool.acquire(one.address) is in_use
+                assert await pool.acquire(rest_engine.address) is in_use
             assert pool.connection_count == 1
-            assert one.calls["connections"] == 1
+            assert rest_engine.calls["connections"] == 1
 
     play(scene)
 
 
 def test_a_connection_established_late_serves_the_next_query() -> None:
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as rest_engine, inside(config(rest_engine.address)) as node:
             gate = hold_connects(node)
             client = await connect(node)
             error, _ = await client.answer(await client.ask())
             assert error[0] == "Overloaded"
-            assert not one.posts
+            assert not rest_engine.posts
             gateway = node.coordinator.gateway
             # A late connection does not show that the engine is down.
             assert gateway.slow_start.warm_up_factor(gateway.now, gateway.engines["s-00000000"]) == 1.0
             gate.open.set()
             await until(lambda: node.pool.connection_count == node.counters["engine.connections_late"] > 0)
-            await until(lambda: one.calls["connections"] == node.pool.connection_count)
-            opened = one.calls["connections"]
+            await until(lambda: rest_engine.calls["connections"] == node.pool.connection_count)
+            opened = rest_engine.calls["connections"]
             assert await client.answer(await client.ask()) == (None, ROWS)
-            assert one.calls["connections"] == opened
+            assert rest_engine.calls["connections"] == opened
 
     play(scene)
 
@@ -172,7 +172,7 @@
     monkeypatch.setattr("fordstair.net.engines.connection_policies.LATE_CONNECT_TIMEOUT_MS", 100.0)
 
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as rest_engine, inside(config(rest_engine.address)) as node:
             node.pool.connect_timeout_ms = 20.0
             never_up = trio.Event()
 
@@ -182,7 +182,7 @@
             monkeypatch.setattr("trio._socket._SocketType.connect", never_connects)
             async with trio.open_nursery() as nursery:
                 for _ in range(2):
-                    nursery.start_soon(expect_connect_timeout, node.pool, one.address)
+                    nursery.start_soon(expect_connect_timeout, node.pool, rest_engine.address)
             gateway = node.coordinator.gateway
             assert gateway.slow_start.warm_up_factor(gateway.now, gateway.engines["s-00000000"]) == 1.0
             await until(lambda: gateway.engines["s-00000000"].unreachable_at)
@@ -199,7 +199,7 @@
 
 def test_few_late_connects_are_kept_to_an_engine_that_never_accepts() -> None:
     async def scene() -> None:
-        async with engine() as one, inside(config(one.address)) as node:
+        async with engine() as rest_engine, inside(config(rest_engine.address)) as node:
             hold_connects(node)
             node.pool.connect_timeout_ms = 20.0
             client = await connect(node)
@@ -224,8 +224,8 @@
 ) -> None:
     async def scene() -> None:
         async with (
-            engine(breaks) as one,
-            inside(config(one.address, settings=settings_with_idempotency_key(5_000.0))) as node,
+            engine(breaks) as rest_engine,
+            inside(config(rest_engine.address, settings=settings_with_idempotency_key(5_000.0))) as node,
         ):
             clock_offset_ms = [0.0]
             node.deadlines.clock = lambda: monotonic_now() + clock_offset_ms[0]
@@ -233,20 +233,24 @@
             client, gates = await connect(node), list[Gate]()
 
             async def breaks_once(
-                one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+                rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
             ) -> Answered | bytes | None:
-                if method == "GET" and len(one.posts) == 1:
-                    if one.calls["GET"] == 2:  # the result counts as lost after two polls
+                if method == "GET" and len(rest_engine.posts) == 1:
+                    if rest_engine.calls["GET"] == 2:  # the result counts as lost after two polls
                         gates.append(hold_connects(node))  # holds the connect of the retry
                     return b"HTTP/1.1 500 Lost\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-                return await (breaks if len(one.posts) == 1 else at_once)(one, method, path, headers, body)
+                return await (breaks if len(rest_engine.posts) == 1 else at_once)(
+                    rest_engine, method, path, headers, body
+                )
 
-            one.script = breaks_once
+            rest_engine.script = breaks_once
             number = await client.ask(limit="20000", unique="55cf377728d8d2bd")
             await until(lambda: gates and gates[0].held)
             clock_offset_ms[0] = 4_700.0 if late else 0.0
             gates[0].open.set()
             error, result = await client.answer(number)
-            assert (error, len(one.posts)) == (["Overloaded", error[1]], 1) if late else result == ROWS
+            assert (
+                (error, len(rest_engine.posts)) == (["Overloaded", error[1]], 1) if late else result == ROWS
+            )
 
     play(scene)
--- a/tests/test_engine_faults.py
+++ b/tests/test_engine_faults.py
@@ -13,15 +13,15 @@
 
 def test_a_query_past_its_time_limit_is_answered_in_time_and_deleted_at_its_engine() -> None:
     async def scene() -> None:
-        async with engine(never) as one, program(config(one.address)) as node:
+        async with engine(never) as rest_engine, program(config(rest_engine.address)) as node:
             client = await node.client()
             start = time.monotonic()
             error, _ = await client.answer(await client.ask("meter-load", limit="900"))
             assert error[0] == "Internal"
             assert time.monotonic() - start < 10.0
-            while not one.deleted:
+            while not rest_engine.deleted:
                 await trio.sleep(0.01)
-            assert len(one.posts) == 1
+            assert len(rest_engine.posts) == 1
 
     play(scene)
 
@@ -33,28 +33,28 @@
     class_name: str, posts: int, word: str
 ) -> None:
     async def scene() -> None:
-        async with engine(breaks) as one, program(config(one.address)) as node:
+        async with engine(breaks) as rest_engine, program(config(rest_engine.address)) as node:
             client = await node.client()
             error, _ = await client.answer(await client.ask(class_name))
             assert error[0] == word
-            assert 1 <= len(one.posts) <= posts
+            assert 1 <= len(rest_engine.posts) <= posts
 
     play(scene)
 
 
 def test_a_load_is_retried_if_the_engine_says_that_it_never_ran() -> None:
     async def full_once(
-        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> tuple[int, dict[str, str], bytes] | None:
-        if len(one.posts) == 1 and method == "POST":
+        if len(rest_engine.posts) == 1 and method == "POST":
             return 503, {"X-Unrun": "1"}, b""
-        return await at_once(one, method, path, headers, body)
+        return await at_once(rest_engine, method, path, headers, body)
 
     async def scene() -> None:
-        async with engine(full_once) as one, program(config(one.address)) as node:
+        async with engine(full_once) as rest_engine, program(config(rest_engine.address)) as node:
             client = await node.client()
             assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
-            assert len(one.posts) == 2
+            assert len(rest_engine.posts) == 2
 
     play(scene)
 
@@ -70,7 +70,7 @@
     sent_first: list[str] = []
 
     async def script(
-        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | bytes | None:
         if f"{method} {path}".startswith(where) and not sent_first:
             sent_first.append(path)
@@ -78,7 +78,7 @@
         # The engine repeats its response to a query that has ended.
         if method == "GET" and path.endswith("/0"):
             return 200, {"X-Sheets": "2"}, PAGE
-        return await at_once(one, method, path, headers, body)
+        return await at_once(rest_engine, method, path, headers, body)
 
     return sent_first, script
 
@@ -101,11 +101,11 @@
 def test_a_load_with_a_malformed_response_is_polled_by_its_id(first: bytes | None, where: str) -> None:
     async def scene() -> None:
         sent_first, script = script_first_response(first, where)
-        async with engine(script) as one, program(config(one.address)) as node:  # type: ignore[arg-type]
+        async with engine(script) as rest_engine, program(config(rest_engine.address)) as node:  # type: ignore[arg-type]
             client = await node.client()
             assert await client.answer(await client.ask("meter-load", limit="20000")) == (None, ROWS)
             assert sent_first
-            assert len(one.posts) == 1
+            assert len(rest_engine.posts) == 1
 
     play(scene)
 
@@ -119,12 +119,12 @@
     async def scene() -> None:
         first = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + GOOD_RESPONSE + more
         sent_first, script = script_first_response(first, "POST")
-        async with engine(script) as one, program(config(one.address)) as node:  # type: ignore[arg-type]
+        async with engine(script) as rest_engine, program(config(rest_engine.address)) as node:  # type: ignore[arg-type]
             client = await node.client()
             assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
             assert sent_first
-            assert not one.calls["after raw bytes"]
-            assert one.calls["POST"] == one.calls["GET"] == 1
+            assert not rest_engine.calls["after raw bytes"]
+            assert rest_engine.calls["POST"] == rest_engine.calls["GET"] == 1
 
     play(scene)
 
@@ -133,15 +133,15 @@
     order: list[str] = []
 
     async def fails_first(
-        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | bytes | None:
         order.append(method)
-        if method != "DELETE" and len(one.posts) == 1:
+        if method != "DELETE" and len(rest_engine.posts) == 1:
             return None
-        return await at_once(one, method, path, headers, body)
+        return await at_once(rest_engine, method, path, headers, body)
 
     async def scene() -> None:
-        async with engine(fails_first) as one, program(config(one.address)) as node:
+        async with engine(fails_first) as rest_engine, program(config(rest_engine.address)) as node:
             client = await node.client()
             assert await client.answer(await client.ask()) == (None, ROWS)
             second = order.index("POST", 1)
@@ -160,27 +160,27 @@
     posts: list[str] = []
 
     async def unreachable_after_post(
-        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | bytes | None:
         if method == "POST":
-            posts.append(one.address)
+            posts.append(rest_engine.address)
             if len(posts) == 1:
                 return first
-        elif one.address == posts[0]:
+        elif rest_engine.address == posts[0]:
             await trio.sleep_forever()
-        return await at_once(one, method, path, headers, body)
+        return await at_once(rest_engine, method, path, headers, body)
 
     async def scene() -> None:
         async with (
-            engine(unreachable_after_post) as one,
-            engine(unreachable_after_post) as two,
-            program(config(one.address, two.address)) as node,
+            engine(unreachable_after_post) as first_engine,
+            engine(unreachable_after_post) as second_engine,
+            program(config(first_engine.address, second_engine.address)) as node,
         ):
             client = await node.client()
             error, _ = await client.answer(await client.ask(limit="5000"))
             assert error[0] == "Overloaded"
             assert len(posts) == 1
-            assert "DELETE" in one.calls | two.calls
+            assert "DELETE" in first_engine.calls | second_engine.calls
 
     play(scene)
 
@@ -190,17 +190,18 @@
     class_name: str, word: str
 ) -> None:
     async def silent(
-        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | None:
         await trio.sleep_forever()
         raise AssertionError
 
     async def scene() -> None:
-        async with engine(silent) as one, program(config(one.address)) as node:
+        async with engine(silent) as rest_engine, program(config(rest_engine.address)) as node:
             client = await node.client()
             assert (await client.answer(await client.ask(class_name, limit="2500")))[0][0] == word
-            assert one.calls["POST"] == 1 or class_name == "lookup"
-            assert one.calls["GET"] >= 1 or class_name == "lookup"  # it is polled again, on other connections
+            assert rest_engine.calls["POST"] == 1 or class_name == "lookup"
+            # A load is polled, on other connections.
+            assert rest_engine.calls["GET"] >= 1 or class_name == "lookup"
 
     play(scene)
 
@@ -210,17 +211,17 @@
     class_name: str, posts: int
 ) -> None:
     async def fails_first(
-        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | None:
-        if path.endswith("/1") and len(one.posts) == 1:
+        if path.endswith("/1") and len(rest_engine.posts) == 1:
             return 500, {}, b""
-        return await at_once(one, method, path, headers, body)
+        return await at_once(rest_engine, method, path, headers, body)
 
     async def scene() -> None:
-        async with engine(fails_first) as one, program(config(one.address)) as node:
+        async with engine(fails_first) as rest_engine, program(config(rest_engine.address)) as node:
             client = await node.client()
             error, result = await client.answer(await client.ask(class_name))
-            assert len(one.posts) == posts
+            assert len(rest_engine.posts) == posts
             assert result == ROWS if class_name == "lookup" else error[0] == "Internal"
 
     play(scene)
@@ -231,12 +232,14 @@
 )
 def test_an_unexpected_response_ends_only_its_attempt(answer: Answered) -> None:
     async def answers_first(
-        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | None:
-        return answer if len(one.posts) == 1 else await at_once(one, method, path, headers, body)
+        return (
+            answer if len(rest_engine.posts) == 1 else await at_once(rest_engine, method, path, headers, body)
+        )
 
     async def scene() -> None:
-        async with engine(answers_first) as one, program(config(one.address)) as node:
+        async with engine(answers_first) as rest_engine, program(config(rest_engine.address)) as node:
             client = await node.client()
             assert (await client.answer(await client.ask("meter-load")))[0][0] == "Internal"
             assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
@@ -246,10 +249,10 @@
 
 def test_a_refused_connection_proves_that_a_load_never_ran() -> None:
     async def scene() -> None:
-        async with engine() as one, program(config("127.0.0.1:1", one.address)) as node:
+        async with engine() as rest_engine, program(config("127.0.0.1:1", rest_engine.address)) as node:
             client = await node.client()
             for _ in range(6):
                 assert await client.answer(await client.ask("meter-load")) == (None, ROWS)
-            assert len(one.posts) == 6
+            assert len(rest_engine.posts) == 6
 
     play(scene)
--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -57,22 +57,22 @@
     # longer than allowed.
     async def scene() -> None:
         async with (
-            engine() as one,
+            engine() as rest_engine,
             channel() as (discovery, address),
-            program(config(one.address, channel=address)) as node,
+            program(config(rest_engine.address, channel=address)) as node,
         ):
             await discovery.connected(1)
             client = await node.client()
             assert await client.answer(await client.ask()) == (None, ROWS)
             node.process.send_signal(signal.SIGSTOP)
             waiting = [await client.ask() for _ in range(20)]
-            await discovery.tell(frame(2, (0, one.address, 1)))
+            await discovery.tell(frame(2, (0, rest_engine.address, 1)))
             await trio.sleep(1.2)
             node.process.send_signal(signal.SIGCONT)
             for number in waiting:
                 error, _ = await client.answer(number)
                 assert error[0] == "Overloaded"
-            assert len(one.posts) == 1
+            assert len(rest_engine.posts) == 1
 
     play(scene)
 
@@ -80,30 +80,30 @@
 def test_sighup_moves_the_channel_keeps_its_engines_and_rejects_an_invalid_file() -> None:
     async def scene() -> None:
         async with (
-            engine() as one,
-            engine() as two,
+            engine() as first_engine,
+            engine() as second_engine,
             channel() as (old, before),
             channel() as (new, after),
-            program(config(one.address, channel=before)) as node,
+            program(config(first_engine.address, channel=before)) as node,
         ):
             await old.connected(1)
             client = await node.client()
             await reload(node, "{", 1)
-            await reload(node, ujson.dumps(config(one.address, channel="nowhere")), 2)
+            await reload(node, ujson.dumps(config(first_engine.address, channel="nowhere")), 2)
             assert await client.answer(await client.ask()) == (None, ROWS)
             assert len(old.cursors) == 1
-            await old.tell(frame(2, (7, two.address, 0)))
+            await old.tell(frame(2, (7, second_engine.address, 0)))
             await trio.sleep(0.1)
-            await reload(node, ujson.dumps(config(one.address, channel=after)), 3)
+            await reload(node, ujson.dumps(config(first_engine.address, channel=after)), 3)
             await new.connected(1)
             assert new.cursors == [2]
-            await new.tell(frame(3, (0, one.address, 1)))
+            await new.tell(frame(3, (0, first_engine.address, 1)))
             await trio.sleep(0.1)
-            posts_before = len(one.posts)
+            posts_before = len(first_engine.posts)
             for _ in range(4):
                 assert await client.answer(await client.ask()) == (None, ROWS)
-            assert len(two.posts) >= 4
-            assert len(one.posts) == posts_before
+            assert len(second_engine.posts) >= 4
+            assert len(first_engine.posts) == posts_before
             assert sum(line.startswith("ERROR") for line in node.log) == 2
             assert await node.stop() == 0
 
@@ -114,10 +114,10 @@
     # Guards against requests, on open connections and new ones, that are lost or answered twice while the
     # channel moves or the program ends.
     async def serves_slowly(
-        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+        rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Answered | bytes | None:
         await trio.sleep(0.03 if method == "POST" else 0.0)
-        return await at_once(one, method, path, headers, body)
+        return await at_once(rest_engine, method, path, headers, body)
 
     async def scene() -> None:
         asked, ended = Counter[str](), trio.Event()
@@ -127,24 +127,27 @@
             while not ended.is_set():
                 requests.append(await client.ask(txn=f"{number:08x}{len(requests):08x}", limit="20000"))
                 await trio.sleep(0.02)
-            for one in requests:  # raises at a second answer, and at a connection that ends without one
-                error, result = await client.answer(one)
+            for request_id in requests:
+                # This raises at a second answer, and at a connection that ends without one.
+                error, result = await client.answer(request_id)
                 assert result == ROWS or error[0] == "Overloaded"
                 asked["served" if result == ROWS else "refused"] += 1
 
         async with (
-            engine(serves_slowly) as one,
-            engine(serves_slowly) as two,
+            engine(serves_slowly) as first_engine,
+            engine(serves_slowly) as second_engine,
             channel() as (old, before),
             channel() as (new, after),
-            program(config(one.address, two.address, channel=before)) as node,
+            program(config(first_engine.address, second_engine.address, channel=before)) as node,
         ):
             await old.connected(1)
             async with trio.open_nursery() as nursery:
                 for number in range(4):
                     nursery.start_soon(ask, node, number)
                 await trio.sleep(0.5)
-                await reload(node, ujson.dumps(config(one.address, two.address, channel=after)), 1)
+                await reload(
+                    node, ujson.dumps(config(first_engine.address, second_engine.address, channel=after)), 1
+                )
                 await new.connected(1)
                 await trio.sleep(0.3)
                 node.process.send_signal(signal.SIGTERM)
@@ -155,7 +158,10 @@
             assert await node.process.wait() == 0
         assert asked["served"] > 100, asked
         assert asked["refused"] < 0.1 * asked.total(), asked
-        assert len({headers["x-txn"] for headers, _ in (*one.posts, *two.posts)}) >= asked["served"]
+        assert (
+            len({headers["x-txn"] for headers, _ in (*first_engine.posts, *second_engine.posts)})
+            >= asked["served"]
+        )
 
     play(scene)
 
@@ -163,17 +169,17 @@
 def test_a_full_list_with_the_current_number_is_applied() -> None:
     async def scene() -> None:
         async with (
-            engine(never) as one,
-            engine() as two,
+            engine(never) as first_engine,
+            engine() as second_engine,
             channel() as (commands, channel_address),
-            program(config(one.address, channel=channel_address)) as node,
+            program(config(first_engine.address, channel=channel_address)) as node,
         ):
             await commands.connected(1)
-            await commands.tell(frame(1, (7, two.address, 0), kind=1))
+            await commands.tell(frame(1, (7, second_engine.address, 0), kind=1))
             await trio.sleep(0.1)
             client = await node.client()
             assert await client.answer(await client.ask()) == (None, ROWS)
-            assert not one.posts
+            assert not first_engine.posts
 
     play(scene)
 
@@ -181,19 +187,19 @@
 def test_the_channel_is_followed_and_resumed_from_the_last_number() -> None:
     async def scene() -> None:
         async with (
-            engine() as one,
-            engine() as two,
+            engine() as first_engine,
+            engine() as second_engine,
             channel() as (commands, channel_address),
-            program(config(one.address, channel=channel_address)) as node,
+            program(config(first_engine.address, channel=channel_address)) as node,
         ):
             await commands.connected(1)
-            await commands.tell(frame(2, (0, one.address, 1), (7, two.address, 0)))
+            await commands.tell(frame(2, (0, first_engine.address, 1), (7, second_engine.address, 0)))
             client = await node.client()
             await trio.sleep(0.1)
             for _ in range(6):
                 assert await client.answer(await client.ask()) == (None, ROWS)
-            assert not one.posts
-            assert len(two.posts) == 6
+            assert not first_engine.posts
+            assert len(second_engine.posts) == 6
             await commands.streams[-1].aclose()
             await commands.connected(2)
             commands.beats = False  # a dead connection shows only by missing heartbeats
@@ -206,12 +212,12 @@
 def test_a_channel_that_breaks_inside_a_frame_or_sends_garbage_loses_no_update() -> None:
     async def scene() -> None:
         async with (
-            engine() as one,
+            engine() as rest_engine,
             channel() as (commands, channel_address),
             program(config(channel=channel_address)) as node,
         ):
             await commands.connected(1)
-            update = frame(2, (7, one.address, 0))
+            update = frame(2, (7, rest_engine.address, 0))
             await commands.tell(update[:20])
             await commands.streams[-1].aclose()
             await commands.connected(2)
@@ -229,18 +235,18 @@
 def test_an_engine_at_the_address_of_a_removed_one_is_a_new_engine() -> None:
     async def scene() -> None:
         async with (
-            engine(never) as one,
+            engine(never) as rest_engine,
             channel() as (commands, channel_address),
-            program(config(one.address, channel=channel_address)) as node,
+            program(config(rest_engine.address, channel=channel_address)) as node,
         ):
             await commands.connected(1)
             client = await node.client()
             number = await client.ask("meter-load", limit="1200")
-            while not one.posts:
+            while not rest_engine.posts:
                 await trio.sleep(0.01)
-            await commands.tell(frame(2, (0, one.address, 2), (9, one.address, 0)))
+            await commands.tell(frame(2, (0, rest_engine.address, 2), (9, rest_engine.address, 0)))
             assert (await client.answer(number))[0][0] == "Internal"
-            assert len(one.posts) == 1
+            assert len(rest_engine.posts) == 1
 
     play(scene)
 
@@ -251,34 +257,34 @@
         done = trio.Event()
 
         async def serves_when_done(
-            one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+            rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
         ) -> Answered | bytes | None:
             if method == "GET" and path.endswith("/0") and done.is_set():
                 return 200, {"X-Sheets": "2"}, b"a\tb\tc\n"
             if method == "GET" and path.endswith("/1"):
-                return await at_once(one, method, path, headers, body)
-            return await never(one, method, path, headers, body)
+                return await at_once(rest_engine, method, path, headers, body)
+            return await never(rest_engine, method, path, headers, body)
 
         async with (
-            engine(serves_when_done) as one,
-            engine() as two,
+            engine(serves_when_done) as first_engine,
+            engine() as second_engine,
             channel() as (commands, channel_address),
-            inside(config(one.address, channel=channel_address)) as node,
+            inside(config(first_engine.address, channel=channel_address)) as node,
         ):
             client = await connect(node)
             number = await client.ask("meter-load", limit="20000")
-            await until(lambda: one.posts)
+            await until(lambda: first_engine.posts)
             await commands.connected(1)
             await commands.tell(
-                frame(2, (7, two.address, 0), kind=1)
+                frame(2, (7, second_engine.address, 0), kind=1)
                 if kind == 1
-                else frame(2, (0, one.address, 2), (7, two.address, 0))
+                else frame(2, (0, first_engine.address, 2), (7, second_engine.address, 0))
             )
             await until(lambda: list(node.coordinator.engines) == ["s-00000007"])
             assert await client.answer(await client.ask()) == (None, ROWS)  # new work goes elsewhere
             done.set()
             assert await client.answer(number) == (None, ROWS)
-            assert len(one.posts) == 1
+            assert len(first_engine.posts) == 1
             gateway = node.coordinator.gateway
             assert not gateway.attempts
             assert not gateway.requests
