--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -90,13 +90,14 @@
 
 
 def test_new_connections_are_shed_after_silent_and_idle_ones() -> None:
+    # Guards against a new connection that is shed before it has had time to send its first request.
     class FakeStream:
         socket = SimpleNamespace(fileno=lambda: -1, close=lambda: None)
 
-    def client(front: RpcFront, idle_ms: float, asked: bool) -> RpcConnection:
+    def client(front: RpcFront, idle_ms: float, has_requested: bool) -> RpcConnection:
         connection = RpcConnection(FakeStream(), front.coordinator, 1_000)  # type: ignore[arg-type]
         connection.last_activity_ms -= idle_ms
-        connection.has_requested = asked
+        connection.has_requested = has_requested
         front.clients.add(connection)
         return connection
 
