--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to engines: capacity, late connects, retries."""
+"""The pool of connections to engines: capacity, late connects and retries."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 )
 
 
-def test_a_connect_that_fails_at_once_is_not_tried_without_a_pause() -> None:
-    class Unreachable:
+def test_connects_that_fail_at_once_are_retried_with_a_pause() -> None:
+    class UnreachablePool:
         tries = 0
 
         async def acquire(self, address: str, *, fresh: bool = False) -> PooledConnection:
@@ -40,7 +40,7 @@
             raise ConnectError("no route")
 
     async def scene() -> None:
-        pool, deadlines = Unreachable(), Deadlines()
+        pool, deadlines = UnreachablePool(), Deadlines()
         engine = Engine(EngineEntry("s-1"), "10.0.0.1:1")
         attempt_request = AttemptRequest(Query("0" * 16, "lookup", 0, 0, 1000.0, b""), engine, 1, 1000.0)
         call = RestTransport(pool, deadlines, ()).call(attempt_request)  # type: ignore[arg-type]
@@ -54,56 +54,56 @@
     run_with_timeout(scene)
 
 
-def test_a_connection_in_use_is_not_used_again_once_another_process_has_its_address() -> None:
-    told = trio.Event()
+def test_a_connection_in_use_is_not_reused_once_another_engine_has_its_address() -> None:
+    removed = trio.Event()
 
-    async def held(
-        one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+    async def hold_first_poll(
+        rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Response | bytes | None:
         if method == "GET":
-            await told.wait()
-        return await never_finish(one, method, path, headers, body)
+            await removed.wait()
+        return await never_finish(rest_engine, method, path, headers, body)
 
     async def scene() -> None:
         async with (
-            engine(held) as one,
+            engine(hold_first_poll) as rest_engine,
             channel() as (commands, where),
-            run_in_process(config(one.address, channel=where)) as node,
+            run_in_process(config(rest_engine.address, channel=where)) as node,
         ):
             client = await connect(node)
             number = await client.send_request("meter-load", limit="20000")
-            await until(lambda: one.calls["GET"])
+            await until(lambda: rest_engine.calls["GET"])
             await commands.wait_connected(1)
-            await commands.send(frame(2, (0, one.address, 2)))  # its engine is gone from the list
+            await commands.send(frame(2, (0, rest_engine.address, 2)))  # its engine is removed from the list
             await until(lambda: not node.coordinator.engines)
-            told.set()
-            await until(lambda: one.calls["GET"] > 1)
+            removed.set()
+            await until(lambda: rest_engine.calls["GET"] > 1)
             await send_cancel(client, number)
-            await until(lambda: one.deleted and not node.coordinator.live)
-            opened = one.calls["connections"]
-            one.script = serve_at_once
-            await commands.send(frame(3, (9, one.address, 0)))  # a new one is at its address
+            await until(lambda: rest_engine.deleted and not node.coordinator.live)
+            opened = rest_engine.calls["connections"]
+            rest_engine.script = serve_at_once
+            await commands.send(frame(3, (9, rest_engine.address, 0)))  # a new engine has its address
             await until(lambda: node.coordinator.engines)
             assert node.pool.connection_count == 0
             assert await client.answer(await client.send_request()) == (None, ROWS)
-            assert one.calls["connections"] == opened + 1
+            assert rest_engine.calls["connections"] == opened + 1
 
     run_with_timeout(scene)
 
 
-def test_room_that_was_meant_for_a_call_that_has_just_gone_is_passed_on() -> None:
-    """The one that waited first is cancelled in the very moment in which room comes free."""
-
+def test_capacity_offered_to_a_cancelled_call_is_passed_on_to_the_next_one() -> None:
+    # Guards against capacity that is lost when the call that has waited longest is cancelled at the moment at
+    # which it is woken up.
     async def scene() -> None:
-        async with engine(never_finish) as one, run_in_process(config(one.address)) as node:
+        async with engine(never_finish) as rest_engine, run_in_process(config(rest_engine.address)) as node:
             pool = node.pool
             pool.resize(1)
-            held = await pool.acquire(one.address)
-            got, scope = list[PooledConnection](), trio.CancelScope()
+            in_use = await pool.acquire(rest_engine.address)
+            acquired, scope = list[PooledConnection](), trio.CancelScope()
 
-            async def wait(mine: trio.CancelScope) -> None:
-                with mine:
-                    got.append(await pool.acquire(one.address, fresh=True))
+            async def wait(own_scope: trio.CancelScope) -> None:
+                with own_scope:
+                    acquired.append(await pool.acquire(rest_engine.address, fresh=True))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(wait, scope)
@@ -111,96 +111,95 @@
                 nursery.start_soon(wait, trio.CancelScope())
                 await until(lambda: len(pool._capacity_waiters) == 2)
                 scope.cancel()
-                held.desynchronized = True
-                pool.release(held)  # before the cancelled one has run
+                in_use.desynchronized = True
+                pool.release(in_use)  # before the cancelled task has run
                 with trio.fail_after(5.0):
-                    await until(lambda: len(got) == 1)
-            pool.release(got[0])
+                    await until(lambda: len(acquired) == 1)
+            pool.release(acquired[0])
             assert pool.connection_count == 1
 
     run_with_timeout(scene)
 
 
-def test_a_connection_given_to_a_call_that_has_just_gone_is_not_lost() -> None:
+def test_a_connection_assigned_to_a_cancelled_call_returns_to_the_pool() -> None:
     async def scene() -> None:
-        async with engine(never_finish) as one, run_in_process(config(one.address)) as node:
+        async with engine(never_finish) as rest_engine, run_in_process(config(rest_engine.address)) as node:
             pool = node.pool
             pool.resize(1)
-            held, scope = await pool.acquire(one.address), trio.CancelScope()
+            in_use, scope = await pool.acquire(rest_engine.address), trio.CancelScope()
 
             async def wait() -> None:
                 with scope:
-                    await pool.acquire(one.address)
+                    await pool.acquire(rest_engine.address)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(wait)
                 await until(lambda: pool._capacity_waiters)
                 scope.cancel()
-                pool.release(held)
+                pool.release(in_use)
             with trio.fail_after(5.0):
-                assert await pool.acquire(one.address) is held
+                assert await pool.acquire(rest_engine.address) is in_use
             assert pool.connection_count == 1
-            assert one.calls["connections"] == 1
+            assert rest_engine.calls["connections"] == 1
 
     run_with_timeout(scene)
 
 
-def test_a_connection_that_comes_up_late_serves_the_next_query() -> None:
+def test_a_connection_established_late_serves_the_next_query() -> None:
     async def scene() -> None:
-        async with engine() as one, run_in_process(config(one.address)) as node:
+        async with engine() as rest_engine, run_in_process(config(rest_engine.address)) as node:
             gate = hold_connects(node)
             client = await connect(node)
             error, _ = await client.answer(await client.send_request())
             assert error[0] == "Overloaded"
-            assert not one.posts
-            module = node.coordinator.gateway
-            assert (
-                module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) == 1.0
-            )  # late is not down
+            assert not rest_engine.posts
+            gateway = node.coordinator.gateway
+            # A late connection does not show that the engine is down.
+            assert gateway.slow_start.warm_up_factor(gateway.now, gateway.engines["s-00000000"]) == 1.0
             gate.open.set()
             await until(lambda: node.pool.connection_count == node.counters["engine.connections_late"] > 0)
-            await until(lambda: one.calls["connections"] == node.pool.connection_count)
-            opened = one.calls["connections"]
+            await until(lambda: rest_engine.calls["connections"] == node.pool.connection_count)
+            opened = rest_engine.calls["connections"]
             assert await client.answer(await client.send_request()) == (None, ROWS)
-            assert one.calls["connections"] == opened
+            assert rest_engine.calls["connections"] == opened
 
     run_with_timeout(scene)
 
 
-def test_an_engine_to_which_no_connection_comes_up_for_seconds_counts_as_cold_after_that(
+def test_an_engine_counts_as_cold_once_a_late_connect_has_timed_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("fordstair.net.engines.connection_policies.LATE_CONNECT_TIMEOUT_MS", 100.0)
 
     async def scene() -> None:
-        async with engine() as one, run_in_process(config(one.address)) as node:
+        async with engine() as rest_engine, run_in_process(config(rest_engine.address)) as node:
             node.pool.connect_timeout_ms = 20.0
             never_up = trio.Event()
 
-            async def nothing(*_: object) -> None:
+            async def never_connects(*_: object) -> None:
                 await never_up.wait()
 
-            monkeypatch.setattr("trio._socket._SocketType.connect", nothing)
+            monkeypatch.setattr("trio._socket._SocketType.connect", never_connects)
             async with trio.open_nursery() as nursery:
                 for _ in range(2):
-                    nursery.start_soon(failing, node.pool, one.address)
-            module = node.coordinator.gateway
-            assert module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) == 1.0
-            await until(lambda: module.engines["s-00000000"].unreachable_at)
-            assert module.slow_start.warm_up_factor(module.now, module.engines["s-00000000"]) < 1.0
+                    nursery.start_soon(expect_connect_timeout, node.pool, rest_engine.address)
+            gateway = node.coordinator.gateway
+            assert gateway.slow_start.warm_up_factor(gateway.now, gateway.engines["s-00000000"]) == 1.0
+            await until(lambda: gateway.engines["s-00000000"].unreachable_at)
+            assert gateway.slow_start.warm_up_factor(gateway.now, gateway.engines["s-00000000"]) < 1.0
             assert node.pool.connection_count == 0
 
     run_with_timeout(scene)
 
 
-async def failing(pool: ConnectionPool, address: str) -> None:
-    with pytest.raises(ConnectTimeoutError):  # in particular no ConnectRefusedError
+async def expect_connect_timeout(pool: ConnectionPool, address: str) -> None:
+    with pytest.raises(ConnectTimeoutError):  # and in particular no ConnectRefusedError
         await pool.acquire(address)
 
 
-def test_few_connections_are_left_coming_up_to_a_machine_that_never_answers() -> None:
+def test_few_late_connects_are_kept_to_an_engine_that_never_accepts() -> None:
     async def scene() -> None:
-        async with engine() as one, run_in_process(config(one.address)) as node:
+        async with engine() as rest_engine, run_in_process(config(rest_engine.address)) as node:
             hold_connects(node)
             node.pool.connect_timeout_ms = 20.0
             client = await connect(node)
@@ -213,41 +212,47 @@
     run_with_timeout(scene)
 
 
-def keyed(window_ms: float) -> dict[str, Any]:
-    """Settings whose first class may be repeated within a window."""
+def settings_with_idempotency_key(window_ms: float) -> dict[str, Any]:
+    """Return settings whose first class has an idempotency key and this deduplication window."""
     first = SETTINGS["categories"][0] | {"effect": "idempotency_key", "memorySpanMs": window_ms}
     return SETTINGS | {"categories": [first, *SETTINGS["categories"][1:]]}
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent(late: bool) -> None:
+def test_a_retry_whose_connection_is_established_after_the_deduplication_window_is_not_sent(
+    late: bool,
+) -> None:
     async def scene() -> None:
         async with (
-            engine(break_connection) as one,
-            run_in_process(config(one.address, settings=keyed(5_000.0))) as node,
+            engine(break_connection) as rest_engine,
+            run_in_process(
+                config(rest_engine.address, settings=settings_with_idempotency_key(5_000.0))
+            ) as node,
         ):
-            ahead = [0.0]
-            node.deadlines.clock = lambda: monotonic_now() + ahead[0]
+            clock_offset_ms = [0.0]
+            node.deadlines.clock = lambda: monotonic_now() + clock_offset_ms[0]
             node.pool.connect_timeout_ms = 20_000.0
-            client, gate = await connect(node), list[Gate]()
+            client, gates = await connect(node), list[Gate]()
 
             async def breaks_once(
-                one: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
+                rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
             ) -> Response | bytes | None:
-                if method == "GET" and len(one.posts) == 1:
-                    if one.calls["GET"] == 2:  # it is asked twice before it counts as lost
-                        gate.append(hold_connects(node))  # for the further attempt
+                if method == "GET" and len(rest_engine.posts) == 1:
+                    if rest_engine.calls["GET"] == 2:  # the result counts as lost after two polls
+                        gates.append(hold_connects(node))  # holds the connect of the retry
                     return b"HTTP/1.1 500 Lost\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-                return await (break_connection if len(one.posts) == 1 else serve_at_once)(
-                    one, method, path, headers, body
+                return await (break_connection if len(rest_engine.posts) == 1 else serve_at_once)(
+                    rest_engine, method, path, headers, body
                 )
 
-            one.script = breaks_once
+            rest_engine.script = breaks_once
             number = await client.send_request(limit="20000", unique="55cf377728d8d2bd")
-            await until(lambda: gate and gate[0].held)
-            ahead[0] = 4_700.0 if late else 0.0
-            gate[0].open.set()
+            await until(lambda: gates and gates[0].held)
+            clock_offset_ms[0] = 4_700.0 if late else 0.0
+            gates[0].open.set()
             error, result = await client.answer(number)
-            assert (error, len(one.posts)) == (["Overloaded", error[1]], 1) if late else result == ROWS
+            assert (
+                (error, len(rest_engine.posts)) == (["Overloaded", error[1]], 1) if late else result == ROWS
+            )
 
     run_with_timeout(scene)
