--- a/tests/replication/test_load_history.py
+++ b/tests/replication/test_load_history.py
@@ -16,8 +16,8 @@
     )
     for violations, text in (
         (find_violations([operation("a", "ok")], {"a": 2}, {}), "ran 2 times"),
-        (find_violations([operation("a", "ok")], {}, {}), "never_finish ran"),
-        (find_violations([operation("a", "fail")], {"a": 1}, {}), "told that it has not"),
+        (find_violations([operation("a", "ok")], {}, {}), "never ran"),
+        (find_violations([operation("a", "fail")], {"a": 1}, {}), "every response says that it did not"),
         (
             find_violations([operation("a", "ok"), operation("a", "fail", 5.0, True)], {"a": 1}, {}),
             "run it again",
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -43,7 +43,7 @@
             assert await asked.answer(await asked.send_request()) == (None, ROWS)
             await client.stream.send_all(sent)
             assert await read_to_end(client, 10.0) == b""
-            # A client that has sent a request may stay idle, but must not stop run_in_process a message.
+            # A client that has sent a request may stay idle, but must not stop inside a message.
             assert await asked.answer(await asked.send_request()) == (None, ROWS)
             await asked.stream.send_all(INCOMPLETE_REQUEST.replace(b"\x00\x01", b"\x00\x09", 1))
             assert await read_to_end(asked, 10.0) == b""
--- a/tests/test_engine_list.py
+++ b/tests/test_engine_list.py
@@ -114,7 +114,7 @@
 
 def test_each_request_gets_one_answer_while_the_channel_moves_and_the_program_ends() -> None:
     # Guards against requests, on open connections and new ones, that are lost or answered twice while the
-    # channel moves or the program read_to_end.
+    # channel moves or the program ends.
     async def serves_slowly(
         rest_engine: RestEngine, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> Response | bytes | None:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -202,7 +202,7 @@
     )
     while not harness.actions_of(RejectRequest, heavy):
         heavy = harness.send_request(0, 8000.0, time_left_ms=20000.0)
-        assert heavy < 60, "the token bucket of expensive requests never_finish runs empty"
+        assert heavy < 60, "the token bucket of expensive requests never runs empty"
     assert harness.sends(light)
     assert not harness.sends(heavy)
 
@@ -310,7 +310,7 @@
 
 def test_a_failing_engine_is_not_preferred_because_it_is_idle() -> None:
     harness = GatewayHarness()
-    engine(harness, 1).error_rate.value = 0.9  # it fails at once, so it never_finish has attempts in flight
+    engine(harness, 1).error_rate.value = 0.9  # it fails at once, so it never has attempts in flight
     for number in (2, 3):
         engine(harness, number).own_threads = 16
     assert sample_selections(harness, 1000)[1] < 50
@@ -318,7 +318,7 @@
 
 def test_the_limit_on_own_threads_also_rejects_light_requests_until_one_ends() -> None:
     # Guards against light requests that are admitted without limit under pressure, until the engines page
-    # memory to disk and no query read_to_end.
+    # memory to disk and no query ends.
     harness = GatewayHarness(
         settings(classes=(HEAVY,), instances=2), engines=2
     )  # 16 cores, 8 of them this gateway's share
