--- a/fordstair/net/engine_list_wire.py
+++ b/fordstair/net/engine_list_wire.py
@@ -14,6 +14,7 @@
 from fordstair.runtime.clock import UnixMs
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
+# Length, number and kind of a frame.
 HEADER = struct.Struct(">IQB")
 RECORD = struct.Struct(">I4sHBBBHIQ")
 _LENGTH_BYTES = 4
